--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -5,7 +5,7 @@
 use clap::{Args, Parser, Subcommand};
 use fawnspoke_control::client;
 use fawnspoke_control::protocol::{Call, Reply};
-use fawnspoke_journal::inspect::{self, InspectError, Repaired};
+use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
 use fawnspoke_lab::bench::Settings;
 use fawnspoke_lab::command;
 use std::io::{BufWriter, ErrorKind, Write};
@@ -383,14 +383,14 @@
             true
         }
         Journal::Repair { folder, to } => {
-            let Repaired { messages, doubted, problems } = inspect::repair(folder, to, now)?;
+            let RepairReport { messages, assumed_run: doubted, problems } = inspect::repair(folder, to, now)?;
             problems.iter().try_for_each(|line| writeln!(out, "{line}"))?;
             writeln!(
                 out,
                 "{messages} messages written to {}; {doubted} of them count as ones that may have run",
                 to.display()
             )?;
-            !problems.iter().any(|line| line.starts_with(inspect::DAMAGED))
+            !problems.iter().any(|line| line.starts_with(inspect::DAMAGE_PREFIX))
         }
     };
     out.flush()?;
--- a/crates/fawnspoke/tests/journal.rs
+++ b/crates/fawnspoke/tests/journal.rs
@@ -1,7 +1,7 @@
 //! `fawnspoke journal`, on folders that the journal's own package wrote.
 
-use fawnspoke_journal::plan::Limits;
-use fawnspoke_journal::{Durability, Handed, Journal, Notice, Options, Share, Start};
+use fawnspoke_journal::compaction::Limits;
+use fawnspoke_journal::{AcceptedMessage, AttemptStart, Durability, Journal, Notice, Options, QuotaStatus};
 use serde_json::Value;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -31,13 +31,13 @@
 }
 
 fn open(state: &Path) -> Journal {
-    let limits = Limits { segment: 4_000, ..Limits::of(3_000_000) };
+    let limits = Limits { segment_bytes: 4_000, ..Limits::for_budget(3_000_000) };
     let options = Options {
         limits,
         durability: Durability::None,
         now: 1_700_000_000_000_000,
         identity: 0xfeed,
-        ends: 0,
+        remembered_outcomes: 0,
     };
     Journal::open(state, options).unwrap().0
 }
@@ -47,26 +47,28 @@
     fs::create_dir_all(state).unwrap();
     let mut journal = open(state);
     for i in 0..80u64 {
-        let handed = Handed {
+        let handed = AcceptedMessage {
             id: format!("id-{i}"),
             class: "charge-post".into(),
-            dest: 1 + i as u32 % 3,
-            taken: 1_700_000_000_000_000 + i,
+            destination: 1 + i as u32 % 3,
+            accepted_at: 1_700_000_000_000_000 + i,
             deadline: 1_700_000_020_000_000 + i,
             key: Some(format!("key-{i}")),
-            customer: (i % 2 == 0).then(|| ("kilima".into(), Share { over: i % 4 == 2, left: 1500 })),
+            tenant: (i % 2 == 0).then(|| {
+                ("kilima".into(), QuotaStatus { exceeded: i % 4 == 2, remaining_thousandths: 1500 })
+            }),
             body: format!("secret-{i}").repeat(20).into_bytes().into(),
         };
-        let number = journal.take(&handed).unwrap().unwrap();
+        let number = journal.accept(&handed).unwrap().unwrap();
         if i % 4 == 3 {
-            journal.over(number).unwrap();
+            journal.close(number).unwrap();
         } else if i % 3 == 1 {
-            journal.started(number, Start { at: 1_700_000_001_000_000, zone: 2 }).unwrap();
+            journal.attempt_started(number, AttemptStart { at: 1_700_000_001_000_000, zone: 2 }).unwrap();
         } else if i % 3 == 2 {
-            journal.owe(number, Notice::HandedBack { retry_in_ms: 250 }).unwrap();
+            journal.notice_due(number, Notice::HandedBack { retry_in_ms: 250 }).unwrap();
         }
     }
-    journal.outage(2, true).unwrap();
+    journal.set_outage(2, true).unwrap();
 }
 
 fn run(arguments: &[&str], folder: &Path) -> (Option<i32>, String, String) {
@@ -191,7 +193,9 @@
     let journal = open(&again);
     assert!(journal.iter().count() >= 55);
     assert!(
-        journal.iter().any(|(_, kept)| kept.may_have_run.is_some_and(|start| start.at == kept.handed.taken))
+        journal
+            .iter()
+            .any(|(_, kept)| kept.may_have_run.is_some_and(|start| start.at == kept.message.accepted_at))
     );
     assert_eq!(journal.outages().collect::<Vec<_>>(), [2]);
     let (code, _, error) = run(&["repair", path.to_str().unwrap()], &again);
--- a/crates/journal/examples/measure.rs
+++ b/crates/journal/examples/measure.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo run --release -p fawnspoke-journal --example measure`
 
-use fawnspoke_journal::plan::Limits;
-use fawnspoke_journal::{Durability, Handed, Journal, Options, Start};
+use fawnspoke_journal::compaction::Limits;
+use fawnspoke_journal::{AcceptedMessage, AttemptStart, Durability, Journal, Options};
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -52,11 +52,11 @@
         Ok(())
     }
 
-    fn take(&mut self, number: u64, handed: &Handed) -> io::Result<bool> {
+    fn take(&mut self, number: u64, message: &AcceptedMessage) -> io::Result<bool> {
         let mut bytes = vec![0; 48];
-        bytes.extend_from_slice(handed.id.as_bytes());
-        bytes.extend_from_slice(handed.class.as_bytes());
-        bytes.extend_from_slice(&handed.body);
+        bytes.extend_from_slice(message.id.as_bytes());
+        bytes.extend_from_slice(message.class.as_bytes());
+        bytes.extend_from_slice(&message.body);
         if !self.room(bytes.len() as u64, true)? {
             return Ok(false);
         }
@@ -80,17 +80,17 @@
     }
 }
 
-fn handed(i: u64) -> Handed {
+fn message(i: u64) -> AcceptedMessage {
     let body = vec![i as u8; 100 + (i * 37 % 400) as usize].into();
     let (id, class) = (format!("{i:016x}"), "charge-post".to_string());
-    Handed {
+    AcceptedMessage {
         id,
         class,
-        dest: 1 + i as u32 % 20,
-        taken: i,
+        destination: 1 + i as u32 % 20,
+        accepted_at: i,
         deadline: i + 8_000_000,
         key: None,
-        customer: None,
+        tenant: None,
         body,
     }
 }
@@ -115,7 +115,13 @@
 }
 
 fn options(budget: u64) -> Options {
-    Options { limits: Limits::of(budget), durability: Durability::None, now: 1, identity: 1, ends: 4096 }
+    Options {
+        limits: Limits::for_budget(budget),
+        durability: Durability::None,
+        now: 1,
+        identity: 1,
+        remembered_outcomes: 4096,
+    }
 }
 
 fn open(folder: &Path, budget: u64) -> Journal {
@@ -129,11 +135,11 @@
     fs::create_dir_all(&at)?;
     let mut swap = Swap::open(&at, budget)?;
     for i in 0..held {
-        assert!(swap.take(i, &handed(i))?, "no room for {i}");
+        assert!(swap.take(i, &message(i))?, "no room for {i}");
     }
     let (mut times, before, begun) = (Times::default(), swap.written, Instant::now());
     for i in held..held + messages {
-        times.of(|| swap.take(i, &handed(i)))?;
+        times.of(|| swap.take(i, &message(i)))?;
         times.of(|| swap.note(&[0; 24]))?;
         times.of(|| swap.over(i - held))?;
     }
@@ -153,27 +159,27 @@
         // Without steps: a budget that needs none, for the rate alone.
         let mut journal = open(&at, if steps { budget } else { 4 * budget });
         for i in 0..held {
-            assert!(journal.take(&handed(i))?.is_some(), "no room for {i}");
+            assert!(journal.accept(&message(i))?.is_some(), "no room for {i}");
         }
-        let (mut times, before, begun) = (Times::default(), journal.counts().written, Instant::now());
+        let (mut times, before, begun) = (Times::default(), journal.counters().bytes_written, Instant::now());
         let mut refused = 0;
         for i in held..held + messages {
-            refused += u64::from(times.of(|| journal.take(&handed(i)))?.is_none());
-            times.of(|| journal.started(i + 1, Start { at: i, zone: 0 }))?;
-            times.of(|| journal.over(i - held + 1))?;
+            refused += u64::from(times.of(|| journal.accept(&message(i)))?.is_none());
+            times.of(|| journal.attempt_started(i + 1, AttemptStart { at: i, zone: 0 }))?;
+            times.of(|| journal.close(i - held + 1))?;
             if steps {
-                times.of(|| journal.step())?;
+                times.of(|| journal.compact_step())?;
             }
         }
         let took = begun.elapsed().as_secs_f64();
-        let counts = journal.counts();
+        let counts = journal.counters();
         let name = if steps { "segments:      " } else { "no compaction: " };
         println!("  {name}{}", times.told());
         println!(
             "                 {:.0} messages a second, {} bytes written a message, {} segments removed, {refused} refused",
             messages as f64 / took,
-            (counts.written - before) / messages,
-            counts.removed
+            (counts.bytes_written - before) / messages,
+            counts.segments_removed
         );
         drop(journal);
         let begun = Instant::now();
@@ -194,12 +200,12 @@
     let at = folder.join("held");
     fs::create_dir_all(&at)?;
     let mut swap = Swap::open(&at, budget - 4 * 512)?;
-    let before = (0..).take_while(|i| swap.take(*i, &handed(*i)).unwrap_or(false)).count();
+    let before = (0..).take_while(|i| swap.take(*i, &message(*i)).unwrap_or(false)).count();
     // Other files in its folder would count against its budget.
     let own = at.join("own");
     fs::create_dir_all(&own)?;
     let mut journal = open(&own, budget - 512);
-    let after = (0..).take_while(|i| matches!(journal.take(&handed(*i)), Ok(Some(_)))).count();
+    let after = (0..).take_while(|i| matches!(journal.accept(&message(*i)), Ok(Some(_)))).count();
     println!("held at {:.0} MB: two-file swap {before}, segments {after}", budget as f64 / 1e6);
     drop((swap, journal));
     fs::remove_dir_all(&at)
--- a/crates/journal/src/plan.rs
+++ b/crates/journal/src/compaction.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// All files together, each counted in whole blocks.
-    pub budget: u64,
+    pub budget_bytes: u64,
     /// A segment is sealed once it has grown to this size: at least that of the longest record.
-    pub segment: u64,
+    pub segment_bytes: u64,
     /// Copied at a step while there is room.
-    pub calm_step: u64,
+    pub normal_step_bytes: u64,
     /// Copied at a step once room runs short.
-    pub hurry_step: u64,
+    pub pressure_step_bytes: u64,
     /// Never given to new messages.
-    pub reserve: u64,
+    pub reserve_bytes: u64,
 }
 
 /// Files count in whole blocks of this size.
-pub const BLOCK: u64 = 512;
+pub const BLOCK_BYTES: u64 = 512;
 /// Segments are at least this long: the longest record fits, a message of 64 KiB with its head.
 const SEGMENT_LEAST: u64 = 80 * 1024;
 /// Segments are at most this long: one is copied in seconds of small steps.
@@ -44,16 +44,22 @@
 
 impl Limits {
     /// Sizes for a budget in bytes.
-    pub fn of(budget: u64) -> Limits {
-        let segment = (budget / SEGMENTS).clamp(SEGMENT_LEAST, SEGMENT_MOST);
-        let reserve = 2 * segment + ENDS;
-        Limits { budget, segment, calm_step: CALM_STEP, hurry_step: HURRY_STEP, reserve }
+    pub fn for_budget(budget_bytes: u64) -> Limits {
+        let segment_bytes = (budget_bytes / SEGMENTS).clamp(SEGMENT_LEAST, SEGMENT_MOST);
+        let reserve_bytes = 2 * segment_bytes + ENDS;
+        Limits {
+            budget_bytes,
+            segment_bytes,
+            normal_step_bytes: CALM_STEP,
+            pressure_step_bytes: HURRY_STEP,
+            reserve_bytes,
+        }
     }
 }
 
 /// A length as it counts against the budget.
 pub fn blocks(length: u64) -> u64 {
-    length.div_ceil(BLOCK) * BLOCK
+    length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
 /// A sealed segment.
@@ -69,9 +75,9 @@
 
 /// What is on file and what is owed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stock {
+pub struct Usage {
     /// All files, in whole blocks.
-    pub on_file: u64,
+    pub bytes_on_disk: u64,
     /// Copies of all messages, at most.
     pub owed: u64,
 }
@@ -89,11 +95,11 @@
 
 /// Whether a message fits of which a record of `record` bytes is to be written now, and which takes `size` bytes
 /// at most until it is over.
-pub fn admit(limits: &Limits, stock: Stock, record: u64, size: u64) -> Admission {
-    let room = limits.budget.saturating_sub(limits.reserve);
+pub fn admit(limits: &Limits, stock: Usage, record: u64, size: u64) -> Admission {
+    let room = limits.budget_bytes.saturating_sub(limits.reserve_bytes);
     if stock.owed + size > room {
         Admission::Full
-    } else if stock.on_file + record + BLOCK > room + limits.segment {
+    } else if stock.bytes_on_disk + record + BLOCK_BYTES > room + limits.segment_bytes {
         Admission::Later
     } else {
         Admission::Fits
@@ -101,21 +107,21 @@
 }
 
 /// Whether room runs short: the last quarter before the reserve, or the reserve.
-pub fn hurried(limits: &Limits, stock: Stock) -> bool {
-    let room = limits.budget.saturating_sub(limits.reserve);
-    stock.on_file > room - room / 4
+pub fn hurried(limits: &Limits, stock: Usage) -> bool {
+    let room = limits.budget_bytes.saturating_sub(limits.reserve_bytes);
+    stock.bytes_on_disk > room - room / 4
 }
 
 /// The bytes to copy at the next step.
-pub fn step(limits: &Limits, stock: Stock) -> u64 {
-    let step = if hurried(limits, stock) { limits.hurry_step } else { limits.calm_step };
+pub fn step(limits: &Limits, stock: Usage) -> u64 {
+    let step = if hurried(limits, stock) { limits.pressure_step_bytes } else { limits.normal_step_bytes };
     // What is copied at a step fits into a segment.
-    step.min(limits.segment / 2)
+    step.min(limits.segment_bytes / 2)
 }
 
 /// The segment to empty next, where one is worth it: the one with the least that counts for its length, the
 /// oldest of equals. What weighs nothing always goes.
-pub fn next(limits: &Limits, stock: Stock, sealed: impl Iterator<Item = Segment>) -> Option<u64> {
+pub fn next(limits: &Limits, stock: Usage, sealed: impl Iterator<Item = Segment>) -> Option<u64> {
     let share = |s: &Segment| s.weight as f64 / blocks(s.length).max(1) as f64;
     let (mut best, mut count, mut small) = (None::<Segment>, 0, None::<Segment>);
     for segment in sealed {
@@ -132,8 +138,8 @@
     }
     let best = best?;
     // In a hurry any gain counts: a block at least, or it would go on for ever.
-    let gains = best.weight + BLOCK < blocks(best.length);
+    let gains = best.weight + BLOCK_BYTES < blocks(best.length);
     let worth = share(&best) <= 1.0 - DEAD_SHARE || (hurried(limits, stock) && gains);
-    let merged = small.filter(|s| count > MERGE * SEGMENTS as usize && s.length < limits.segment / 2);
+    let merged = small.filter(|s| count > MERGE * SEGMENTS as usize && s.length < limits.segment_bytes / 2);
     worth.then_some(best).or(merged).map(|segment| segment.segment)
 }
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -25,7 +25,7 @@
 
 /// When and where a call was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct AttemptStart {
     /// When.
     pub at: UnixMicros,
     /// The zone of the endpoint, or [`UNKNOWN_ZONE`].
@@ -46,41 +46,41 @@
 
 /// How a message stood with its customer's share when it was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct QuotaStatus {
     /// It came beyond it.
-    pub over: bool,
+    pub exceeded: bool,
     /// What the customer could still hand in within it from then on, in thousandths of a message.
-    pub left: u32,
+    pub remaining_thousandths: u32,
 }
 
 /// What a customer could still hand in within its share, and when that was.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Level {
+pub struct QuotaLevel {
     /// The customer's name.
-    pub customer: String,
+    pub tenant: String,
     /// In thousandths of a message.
-    pub left: u32,
+    pub remaining_thousandths: u32,
     /// When.
     pub at: UnixMicros,
 }
 
 /// A message as it was handed in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Handed {
+pub struct AcceptedMessage {
     /// The client's id of it.
     pub id: String,
     /// Its class by name.
     pub class: String,
     /// The number of its destination.
-    pub dest: u32,
+    pub destination: u32,
     /// When it was taken.
-    pub taken: UnixMicros,
+    pub accepted_at: UnixMicros,
     /// When its time is up.
     pub deadline: UnixMicros,
     /// The idempotency key.
     pub key: Option<String>,
     /// Its customer by name, where that one has a share.
-    pub customer: Option<(String, Share)>,
+    pub tenant: Option<(String, QuotaStatus)>,
     /// The body; empty once a notice is owed.
     pub body: Bytes,
 }
@@ -91,9 +91,9 @@
     /// Calls that were started.
     pub attempts: u32,
     /// The first call that may have run.
-    pub may_have_run: Option<Start>,
+    pub may_have_run: Option<AttemptStart>,
     /// The call that is out.
-    pub out: Option<Start>,
+    pub in_flight: Option<AttemptStart>,
     /// The notice that is owed to the platform.
     pub notice: Option<Notice>,
 }
@@ -114,19 +114,19 @@
     Taken1 {
         /// See [`Record::Taken`].
         number: u64,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         id: &'a str,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         class: &'a str,
-        /// See [`Handed`].
-        dest: u32,
-        /// See [`Handed`].
-        taken: UnixMicros,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
+        destination: u32,
+        /// See [`AcceptedMessage`].
+        accepted_at: UnixMicros,
+        /// See [`AcceptedMessage`].
         deadline: UnixMicros,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         key: Option<&'a str>,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         body: &'a [u8],
         /// How far it had come when this copy was made; a first record has none.
         progress: Option<Progress>,
@@ -136,7 +136,7 @@
         /// The message.
         number: u64,
         /// When and where.
-        start: Start,
+        start: AttemptStart,
     },
     /// A call ended, the message did not.
     Ended {
@@ -169,9 +169,9 @@
     /// A destination is out or comes back cold; or it is as usual again.
     Outage {
         /// Its number.
-        dest: u32,
+        destination: u32,
         /// Whether it is out or cold.
-        out: bool,
+        ongoing: bool,
     },
     /// The first record of a segment, as version 1 has it. Read as [`Record::Opening`], never written.
     Opening1 {
@@ -191,21 +191,21 @@
     Taken {
         /// The journal's number of it, never used again.
         number: u64,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         id: &'a str,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         class: &'a str,
-        /// See [`Handed`].
-        dest: u32,
-        /// See [`Handed`].
-        taken: UnixMicros,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
+        destination: u32,
+        /// See [`AcceptedMessage`].
+        accepted_at: UnixMicros,
+        /// See [`AcceptedMessage`].
         deadline: UnixMicros,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
         key: Option<&'a str>,
-        /// See [`Handed`].
-        customer: Option<(&'a str, Share)>,
-        /// See [`Handed`].
+        /// See [`AcceptedMessage`].
+        tenant: Option<(&'a str, QuotaStatus)>,
+        /// See [`AcceptedMessage`].
         body: &'a [u8],
         /// How far it had come when this copy was made; a first record has none.
         progress: Option<Progress>,
@@ -219,7 +219,7 @@
         /// The next message's number.
         next: u64,
         /// Where customers stood with their shares.
-        levels: Vec<Level>,
+        quota_levels: Vec<QuotaLevel>,
     },
 }
 
@@ -227,12 +227,23 @@
     /// The record as this version has it.
     fn current(self) -> Self {
         match self {
-            Record::Taken1 { number, id, class, dest, taken, deadline, key, body, progress } => {
-                let customer = None;
-                Record::Taken { number, id, class, dest, taken, deadline, key, customer, body, progress }
+            Record::Taken1 { number, id, class, destination, accepted_at, deadline, key, body, progress } => {
+                let tenant = None;
+                Record::Taken {
+                    number,
+                    id,
+                    class,
+                    destination,
+                    accepted_at,
+                    deadline,
+                    key,
+                    tenant,
+                    body,
+                    progress,
+                }
             }
             Record::Opening1 { sealed, outages, next } => {
-                Record::Opening { sealed, outages, next, levels: Vec::new() }
+                Record::Opening { sealed, outages, next, quota_levels: Vec::new() }
             }
             other => other,
         }
--- a/crates/journal/src/ledger.rs
+++ b/crates/journal/src/index.rs
@@ -1,8 +1,10 @@
 //! What the records say: the messages that are not over, and for each segment which of its facts still count. No
 //! I/O: records go in, sums come out.
 
-use crate::ended::{End, Ended};
-use crate::format::{Handed, Level, Notice, Progress, Record, Sealed, Start, UNKNOWN_ZONE, UnixMicros};
+use crate::format::{
+    AcceptedMessage, AttemptStart, Notice, Progress, QuotaLevel, Record, Sealed, UNKNOWN_ZONE, UnixMicros,
+};
+use crate::recent_outcomes::{FinalOutcome, RecentOutcomes};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -21,44 +23,45 @@
 
 /// A message that is not over.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Kept {
+pub struct JournaledMessage {
     /// As it was handed in.
-    pub handed: Handed,
+    pub message: AcceptedMessage,
     /// Calls that were started.
     pub attempts: u32,
     /// The first call that may have run.
-    pub may_have_run: Option<Start>,
+    pub may_have_run: Option<AttemptStart>,
     /// The call that is out.
-    pub out: Option<Start>,
+    pub in_flight: Option<AttemptStart>,
     /// The notice that is owed to the platform.
     pub notice: Option<Notice>,
 }
 
-impl Kept {
+impl JournaledMessage {
     /// Whether this is what is handed in once more; the body is gone once a notice is owed.
-    pub fn is(&self, handed: &Handed) -> bool {
-        let Handed { class, dest, key, body, .. } = &self.handed;
-        (class, dest, key) == (&handed.class, &handed.dest, &handed.key)
-            && (self.notice.is_some() || *body == handed.body)
+    pub fn matches(&self, message: &AcceptedMessage) -> bool {
+        let AcceptedMessage { class, destination, key, body, .. } = &self.message;
+        (class, destination, key) == (&message.class, &message.destination, &message.key)
+            && (self.notice.is_some() || *body == message.body)
     }
 
     /// How far it has come.
     pub fn progress(&self) -> Progress {
-        let Kept { attempts, may_have_run, out, notice, .. } = *self;
-        Progress { attempts, may_have_run, out, notice }
+        let JournaledMessage { attempts, may_have_run, in_flight, notice, .. } = *self;
+        Progress { attempts, may_have_run, in_flight, notice }
     }
 
     fn set(&mut self, progress: Progress) {
-        let Progress { attempts, may_have_run, out, notice } = progress;
-        (self.attempts, self.may_have_run, self.out, self.notice) = (attempts, may_have_run, out, notice);
+        let Progress { attempts, may_have_run, in_flight, notice } = progress;
+        (self.attempts, self.may_have_run, self.in_flight, self.notice) =
+            (attempts, may_have_run, in_flight, notice);
         if notice.is_some() {
-            self.handed.body = Bytes::new();
+            self.message.body = Bytes::new();
         }
     }
 
     /// What it takes at most, in bytes, with all that is still to be written of it.
     pub fn size(&self) -> u64 {
-        size(&self.handed)
+        size(&self.message)
     }
 
     /// What a copy of it takes, in bytes.
@@ -68,36 +71,36 @@
 
     /// The first record of the message, or a copy of it.
     pub fn record(&self, number: u64, progress: Option<Progress>) -> Record<'_> {
-        taken(number, &self.handed, progress)
+        accepted_record(number, &self.message, progress)
     }
 }
 
-/// See [`Kept::size`].
-pub fn size(handed: &Handed) -> u64 {
-    let key = handed.key.as_ref().map_or(0, String::len);
-    let customer = handed.customer.as_ref().map_or(0, |(name, _)| name.len());
-    (handed.id.len() + handed.class.len() + key + customer + handed.body.len()) as u64 + OVERHEAD
+/// See [`JournaledMessage::size`].
+pub fn size(message: &AcceptedMessage) -> u64 {
+    let key = message.key.as_ref().map_or(0, String::len);
+    let tenant = message.tenant.as_ref().map_or(0, |(name, _)| name.len());
+    (message.id.len() + message.class.len() + key + tenant + message.body.len()) as u64 + OVERHEAD
 }
 
 /// The first record of a message, or a copy of it with how far it has come.
-pub fn taken(number: u64, handed: &Handed, progress: Option<Progress>) -> Record<'_> {
+pub fn accepted_record(number: u64, message: &AcceptedMessage, progress: Option<Progress>) -> Record<'_> {
     Record::Taken {
         number,
-        id: &handed.id,
-        class: &handed.class,
-        dest: handed.dest,
-        taken: handed.taken,
-        deadline: handed.deadline,
-        key: handed.key.as_deref(),
-        customer: handed.customer.as_ref().map(|(name, share)| (name.as_str(), *share)),
-        body: &handed.body,
+        id: &message.id,
+        class: &message.class,
+        destination: message.destination,
+        accepted_at: message.accepted_at,
+        deadline: message.deadline,
+        key: message.key.as_deref(),
+        tenant: message.tenant.as_ref().map(|(name, share)| (name.as_str(), *share)),
+        body: &message.body,
         progress,
     }
 }
 
 #[derive(Clone, Debug)]
 struct Entry {
-    kept: Kept,
+    journaled: JournaledMessage,
     /// The segment with its last `Taken` record.
     base: u64,
     /// The segment with later records of it, where that is another one. The first of them there is a copy of all
@@ -136,47 +139,47 @@
 
 /// All that is owed, and where it stands.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct MessageIndex {
     entries: BTreeMap<u64, Entry>,
     numbers: HashMap<String, u64>,
     owed: BTreeSet<u64>,
     outages: BTreeSet<u32>,
     /// What customers had left of their shares, and when: one for each name.
-    levels: BTreeMap<String, (u32, UnixMicros)>,
+    quota_levels: BTreeMap<String, (u32, UnixMicros)>,
     segments: BTreeMap<u64, Facts>,
     /// Segments of which copies were begun and not ended.
     unfinished: BTreeSet<u64>,
-    doubted: BTreeSet<u64>,
-    ended: Ended,
+    assumed_run: BTreeSet<u64>,
+    ended: RecentOutcomes,
     next: u64,
     size: u64,
-    latest: UnixMicros,
+    latest_timestamp: UnixMicros,
 }
 
-impl Ledger {
+impl MessageIndex {
     /// A ledger that knows of nothing, and will remember so many ends.
-    pub fn new(ends: usize) -> Ledger {
-        Ledger { next: 1, ended: Ended::new(ends), ..Ledger::default() }
+    pub fn new(ends: usize) -> MessageIndex {
+        MessageIndex { next: 1, ended: RecentOutcomes::new(ends), ..MessageIndex::default() }
     }
 
     /// How a message ended that is handed in again, where that is remembered.
-    pub fn end_of(&self, handed: &Handed) -> Option<End> {
-        self.ended.get(handed)
+    pub fn final_outcome_of(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
+        self.ended.get(message)
     }
 
     /// The ends that are remembered.
-    pub fn ended(&self) -> &Ended {
+    pub fn ended(&self) -> &RecentOutcomes {
         &self.ended
     }
 
     /// Remembers what another process remembered, in place of what is on file: that is less.
-    pub fn recall(&mut self, ended: Ended) {
+    pub fn restore_recent_outcomes(&mut self, ended: RecentOutcomes) {
         self.ended = ended;
     }
 
     /// A message that is not over.
-    pub fn get(&self, number: u64) -> Option<&Kept> {
-        self.entries.get(&number).map(|entry| &entry.kept)
+    pub fn get(&self, number: u64) -> Option<&JournaledMessage> {
+        self.entries.get(&number).map(|entry| &entry.journaled)
     }
 
     /// The number of the message with an id.
@@ -185,8 +188,8 @@
     }
 
     /// All messages that are not over, in the order taken.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &Kept)> {
-        self.entries.iter().map(|(number, entry)| (*number, &entry.kept))
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &JournaledMessage)> {
+        self.entries.iter().map(|(number, entry)| (*number, &entry.journaled))
     }
 
     /// How many messages are not over.
@@ -220,8 +223,8 @@
     }
 
     /// The latest time that any record tells: no later life begins before it.
-    pub fn latest(&self) -> UnixMicros {
-        self.latest
+    pub fn latest_timestamp(&self) -> UnixMicros {
+        self.latest_timestamp
     }
 
     /// What the facts of a segment take in a copy at most, in bytes. A segment that weighs nothing may go.
@@ -252,23 +255,33 @@
     /// The writer empties one segment at a time to its end and removes it before it empties another: so a record
     /// that ends a message has to outlast only the segment with the last copy of it.
     pub fn replay(&mut self, segment: u64, record: &Record) {
-        if let Record::Taken { number, id, class, dest, taken, deadline, key, customer, body, progress } =
-            record
+        if let Record::Taken {
+            number,
+            id,
+            class,
+            destination,
+            accepted_at,
+            deadline,
+            key,
+            tenant,
+            body,
+            progress,
+        } = record
         {
-            let handed = Handed {
+            let message = AcceptedMessage {
                 id: (*id).into(),
                 class: (*class).into(),
-                dest: *dest,
-                taken: *taken,
+                destination: *destination,
+                accepted_at: *accepted_at,
                 deadline: *deadline,
                 key: key.map(Into::into),
-                customer: customer.map(|(name, share)| (name.into(), share)),
+                tenant: tenant.map(|(name, share)| (name.into(), share)),
                 body: Bytes::copy_from_slice(body),
             };
             if let Some(stale) = self.base(*number).filter(|base| *base != segment) {
                 self.unfinished.insert(stale);
             }
-            self.insert(segment, *number, handed, *progress);
+            self.insert(segment, *number, message, *progress);
             return;
         }
         self.happened(record);
@@ -279,36 +292,39 @@
     pub fn happened(&mut self, record: &Record) {
         match record {
             Record::Started { number, start } => {
-                self.latest = self.latest.max(start.at);
-                self.change(*number, |kept| {
+                self.latest_timestamp = self.latest_timestamp.max(start.at);
+                self.change(*number, |journaled| {
                     // The end of one that was out before is not on record: its life ended first.
-                    kept.may_have_run = kept.may_have_run.or(kept.out);
-                    (kept.attempts, kept.out) = (kept.attempts.saturating_add(1), Some(*start));
+                    journaled.may_have_run = journaled.may_have_run.or(journaled.in_flight);
+                    (journaled.attempts, journaled.in_flight) =
+                        (journaled.attempts.saturating_add(1), Some(*start));
                 });
             }
-            Record::Ended { number, may_have_run } => self.change(*number, |kept| {
-                let out = kept.out.take().filter(|_| *may_have_run);
-                kept.may_have_run = kept.may_have_run.or(out);
+            Record::Ended { number, may_have_run } => self.change(*number, |journaled| {
+                let in_flight = journaled.in_flight.take().filter(|_| *may_have_run);
+                journaled.may_have_run = journaled.may_have_run.or(in_flight);
             }),
-            Record::Owed { number, notice } => self.change(*number, |kept| {
-                kept.set(Progress { notice: Some(*notice), ..kept.progress() });
+            Record::Owed { number, notice } => self.change(*number, |journaled| {
+                journaled.set(Progress { notice: Some(*notice), ..journaled.progress() });
             }),
-            Record::Progress { number, progress } => self.change(*number, |kept| kept.set(*progress)),
+            Record::Progress { number, progress } => {
+                self.change(*number, |journaled| journaled.set(*progress))
+            }
             Record::Over { number, .. } => {
-                if let Some(kept) = self.entries.get(number).map(|entry| &entry.kept)
-                    && let Some(end) = End::of(kept)
+                if let Some(journaled) = self.entries.get(number).map(|entry| &entry.journaled)
+                    && let Some(end) = FinalOutcome::of(journaled)
                 {
-                    self.ended.remember(&kept.handed, end);
+                    self.ended.remember(&journaled.message, end);
                 }
                 self.forget(*number);
             }
-            Record::Outage { dest, out: true } => _ = self.outages.insert(*dest),
-            Record::Outage { dest, out: false } => _ = self.outages.remove(dest),
-            Record::Opening { outages, next, levels, .. } => {
+            Record::Outage { destination, ongoing: true } => _ = self.outages.insert(*destination),
+            Record::Outage { destination, ongoing: false } => _ = self.outages.remove(destination),
+            Record::Opening { outages, next, quota_levels, .. } => {
                 self.outages = outages.iter().copied().collect();
                 self.next = self.next.max(*next);
-                for Level { customer, left, at } in levels {
-                    self.level(customer, *left, *at);
+                for QuotaLevel { tenant, remaining_thousandths, at } in quota_levels {
+                    self.level(tenant, *remaining_thousandths, *at);
                 }
             }
             Record::Removed { segment } => {
@@ -343,54 +359,61 @@
     }
 
     /// Takes note of a message whose first record, or a copy of it with how far it had come, stands in a segment.
-    pub fn insert(&mut self, segment: u64, number: u64, handed: Handed, progress: Option<Progress>) {
+    pub fn insert(
+        &mut self, segment: u64, number: u64, message: AcceptedMessage, progress: Option<Progress>,
+    ) {
         self.next = self.next.max(number.saturating_add(1));
-        self.latest = self.latest.max(handed.taken);
+        self.latest_timestamp = self.latest_timestamp.max(message.accepted_at);
         self.forget(number);
         self.segments.entry(segment).or_default();
         // A copy tells what stood long ago.
-        if let (Some((customer, share)), None) = (&handed.customer, progress) {
-            self.level(customer, share.left, handed.taken);
+        if let (Some((tenant, share)), None) = (&message.tenant, progress) {
+            self.level(tenant, share.remaining_thousandths, message.accepted_at);
         }
-        let mut kept = Kept { handed, attempts: 0, may_have_run: None, out: None, notice: None };
-        kept.set(progress.unwrap_or_default());
-        if kept.notice.is_some() {
+        let mut journaled =
+            JournaledMessage { message, attempts: 0, may_have_run: None, in_flight: None, notice: None };
+        journaled.set(progress.unwrap_or_default());
+        if journaled.notice.is_some() {
             self.owed.insert(number);
         }
         // Of two messages with one id, which nobody hands in, the first keeps it.
-        self.numbers.entry(kept.handed.id.clone()).or_insert(number);
+        self.numbers.entry(journaled.message.id.clone()).or_insert(number);
         let facts = self.segments.entry(segment).or_default();
         facts.bases.insert(number);
-        facts.weight += kept.copy();
-        self.size += kept.size();
-        self.entries.insert(number, Entry { kept, base: segment, touched: None });
+        facts.weight += journaled.copy();
+        self.size += journaled.size();
+        self.entries.insert(number, Entry { journaled, base: segment, touched: None });
     }
 
     /// Takes note of what a customer had left of its share.
-    fn level(&mut self, customer: &str, left: u32, at: UnixMicros) {
-        match self.levels.get_mut(customer) {
-            Some(level) if at >= level.1 => *level = (left, at),
+    fn level(&mut self, tenant: &str, remaining_thousandths: u32, at: UnixMicros) {
+        match self.quota_levels.get_mut(tenant) {
+            Some(level) if at >= level.1 => *level = (remaining_thousandths, at),
             Some(_) => {}
-            None => _ = self.levels.insert(customer.into(), (left, at)),
+            None => _ = self.quota_levels.insert(tenant.into(), (remaining_thousandths, at)),
         }
-        if self.levels.len() > LEVELS
+        if self.quota_levels.len() > LEVELS
             && let Some(oldest) =
-                self.levels.iter().min_by_key(|(_, (_, at))| *at).map(|(name, _)| name.clone())
+                self.quota_levels.iter().min_by_key(|(_, (_, at))| *at).map(|(name, _)| name.clone())
         {
-            self.levels.remove(&oldest);
+            self.quota_levels.remove(&oldest);
         }
     }
 
     /// Where customers stood with their shares when they last handed something in.
-    pub fn levels(&self) -> impl Iterator<Item = Level> {
-        self.levels.iter().map(|(name, (left, at))| Level { customer: name.clone(), left: *left, at: *at })
+    pub fn quota_levels(&self) -> impl Iterator<Item = QuotaLevel> {
+        self.quota_levels.iter().map(|(name, (remaining_thousandths, at))| QuotaLevel {
+            tenant: name.clone(),
+            remaining_thousandths: *remaining_thousandths,
+            at: *at,
+        })
     }
 
     /// Moves a message to the copy that was made of it. Its body is not touched.
     pub fn moved(&mut self, segment: u64, number: u64) {
         self.untouch(number);
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        let size = entry.kept.copy();
+        let size = entry.journaled.copy();
         let old = std::mem::replace(&mut entry.base, segment);
         if let Some(facts) = self.segments.get_mut(&old) {
             facts.bases.remove(&number);
@@ -425,28 +448,28 @@
     }
 
     /// Every message whose last copy stands at or before a damage may have run: the record that tells so may be
-    /// what was lost. It has to be written down, too: [`doubted`](Ledger::doubted).
-    pub fn doubt(&mut self, segment: u64) {
+    /// what was lost. It has to be written down, too: [`assumed_run`](Ledger::doubted).
+    pub fn assume_run(&mut self, segment: u64) {
         for (number, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.base <= segment) {
-            let Kept { handed, may_have_run, .. } = &mut entry.kept;
+            let JournaledMessage { message, may_have_run, .. } = &mut entry.journaled;
             // The earliest time at which it can have been sent; nobody knows where to.
-            let first = Start { at: handed.taken, zone: UNKNOWN_ZONE };
+            let first = AttemptStart { at: message.accepted_at, zone: UNKNOWN_ZONE };
             may_have_run.get_or_insert(first);
-            self.doubted.insert(*number);
+            self.assumed_run.insert(*number);
         }
     }
 
     /// Messages that were doubted; forgets which they were.
-    pub fn doubted(&mut self) -> Vec<u64> {
-        let doubted = std::mem::take(&mut self.doubted);
-        doubted.into_iter().filter(|number| self.entries.contains_key(number)).collect()
+    pub fn assumed_run(&mut self) -> Vec<u64> {
+        let assumed_run = std::mem::take(&mut self.assumed_run);
+        assumed_run.into_iter().filter(|number| self.entries.contains_key(number)).collect()
     }
 
     /// A call whose end was not recorded may have run: at the start of a life.
     pub fn settle(&mut self) {
         for entry in self.entries.values_mut() {
-            let out = entry.kept.out.take();
-            entry.kept.may_have_run = entry.kept.may_have_run.or(out);
+            let in_flight = entry.journaled.in_flight.take();
+            entry.journaled.may_have_run = entry.journaled.may_have_run.or(in_flight);
         }
     }
 
@@ -460,16 +483,16 @@
         self.segments.entry(segment).or_default();
     }
 
-    fn change(&mut self, number: u64, with: impl FnOnce(&mut Kept)) {
+    fn change(&mut self, number: u64, with: impl FnOnce(&mut JournaledMessage)) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        let before = entry.kept.size();
-        with(&mut entry.kept);
-        let after = entry.kept.size();
+        let before = entry.journaled.size();
+        with(&mut entry.journaled);
+        let after = entry.journaled.size();
         if let Some(facts) = self.segments.get_mut(&entry.base) {
             facts.weight = facts.weight + after - before;
         }
         self.size = self.size + after - before;
-        if entry.kept.notice.is_some() {
+        if entry.journaled.notice.is_some() {
             self.owed.insert(number);
         }
     }
@@ -503,14 +526,14 @@
     fn forget(&mut self, number: u64) {
         self.untouch(number);
         let Some(entry) = self.entries.remove(&number) else { return };
-        self.size -= entry.kept.size();
+        self.size -= entry.journaled.size();
         if let Some(facts) = self.segments.get_mut(&entry.base) {
             facts.bases.remove(&number);
-            facts.weight -= entry.kept.copy();
+            facts.weight -= entry.journaled.copy();
         }
         self.owed.remove(&number);
-        if self.numbers.get(&entry.kept.handed.id) == Some(&number) {
-            self.numbers.remove(&entry.kept.handed.id);
+        if self.numbers.get(&entry.journaled.message.id) == Some(&number) {
+            self.numbers.remove(&entry.journaled.message.id);
         }
     }
 
@@ -530,9 +553,9 @@
 /// What a record takes with its frame, in bytes, more or less.
 pub fn record_size(record: &Record) -> u64 {
     match record {
-        Record::Taken { id, class, key, customer, body, .. } => {
-            let customer = customer.map_or(0, |(name, _)| name.len());
-            (id.len() + class.len() + key.map_or(0, str::len) + customer + body.len()) as u64 + COPY
+        Record::Taken { id, class, key, tenant, body, .. } => {
+            let tenant = tenant.map_or(0, |(name, _)| name.len());
+            (id.len() + class.len() + key.map_or(0, str::len) + tenant + body.len()) as u64 + COPY
         }
         _ => PROGRESS,
     }
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -2,12 +2,12 @@
 //!
 //! All but [`repair`] only read, also beside a dispatcher that is running; `repair` writes to a new folder alone.
 
+use crate::compaction::{Limits, blocks};
 use crate::files::{Disk, Files};
-use crate::format::{Notice, Record, Start, UnixMicros};
+use crate::format::{AttemptStart, Notice, Record, UnixMicros};
+use crate::index::JournaledMessage;
 use crate::journal::{Durability, Journal, OpenError, Options};
-use crate::ledger::Kept;
-use crate::plan::{Limits, blocks};
-use crate::survey::{Survey, survey, visit};
+use crate::scan::{ScanResult, scan, scan_records};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
@@ -18,7 +18,7 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 /// Begins each line about something that no crash leaves behind.
-pub const DAMAGED: &str = "damaged: ";
+pub const DAMAGE_PREFIX: &str = "damaged: ";
 /// A segment may go while it is read: a dispatcher that runs wins room back. Then the folder is read again, so often.
 const TRIES: u32 = 5;
 
@@ -62,26 +62,26 @@
 }
 
 /// Reads a folder that a dispatcher may be writing to.
-fn read(folder: &Path, seen: &mut dyn FnMut(u64, u64, &Record)) -> Result<Survey, InspectError> {
+fn read(folder: &Path, seen: &mut dyn FnMut(u64, u64, &Record)) -> Result<ScanResult, InspectError> {
     let files = Disk::new(folder);
     let told = || folder.display().to_string();
     let failed = |error| InspectError::Open { folder: told(), error };
     // The folder itself must be there: that error is final.
     files.list().map_err(|error| failed(error.into()))?;
     let mut tries = 1;
-    let survey = loop {
-        match visit(&files, 0, seen) {
+    let scan = loop {
+        match scan_records(&files, 0, seen) {
             Err(error) if is_gone(&error) && tries < TRIES => tries += 1,
             other => break other.map_err(failed)?,
         }
     };
-    if survey.old.is_some() {
+    if scan.old.is_some() {
         return Err(InspectError::Old(told()));
     }
-    if survey.identity.is_none() && survey.recovery.damage.is_empty() {
+    if scan.identity.is_none() && scan.recovery.damage.is_empty() {
         return Err(InspectError::Nothing(told()));
     }
-    Ok(survey)
+    Ok(scan)
 }
 
 /// What is owed to one destination.
@@ -95,32 +95,32 @@
     first_deadline: UnixMicros,
 }
 
-fn by_destination(survey: &Survey) -> BTreeMap<u32, Owed> {
+fn by_destination(scan: &ScanResult) -> BTreeMap<u32, Owed> {
     let mut all: BTreeMap<u32, Owed> = BTreeMap::new();
-    for (_, kept) in survey.ledger.iter() {
-        let at = all.entry(kept.handed.dest).or_insert(Owed {
+    for (_, journaled) in scan.index.iter() {
+        let at = all.entry(journaled.message.destination).or_insert(Owed {
             oldest: UnixMicros::MAX,
             first_deadline: UnixMicros::MAX,
             ..Owed::default()
         });
-        at.messages += u64::from(kept.notice.is_none());
-        at.notices += u64::from(kept.notice.is_some());
-        at.may_have_run += u64::from(kept.may_have_run.or(kept.out).is_some());
-        at.bytes += kept.size();
-        at.oldest = at.oldest.min(kept.handed.taken);
-        at.first_deadline = at.first_deadline.min(kept.handed.deadline);
+        at.messages += u64::from(journaled.notice.is_none());
+        at.notices += u64::from(journaled.notice.is_some());
+        at.may_have_run += u64::from(journaled.may_have_run.or(journaled.in_flight).is_some());
+        at.bytes += journaled.size();
+        at.oldest = at.oldest.min(journaled.message.accepted_at);
+        at.first_deadline = at.first_deadline.min(journaled.message.deadline);
     }
     all
 }
 
 /// Lines about damage, the torn tail and files that are not the journal's.
-fn problems(survey: &Survey) -> Vec<String> {
+fn problems(scan: &ScanResult) -> Vec<String> {
     let mut lines: Vec<String> =
-        survey.recovery.damage.iter().map(|damage| format!("{DAMAGED}{damage}")).collect();
-    if survey.recovery.torn > 0 {
+        scan.recovery.damage.iter().map(|damage| format!("{DAMAGE_PREFIX}{damage}")).collect();
+    if scan.recovery.torn_bytes > 0 {
         lines.push(format!(
             "torn: {} bytes of a last write that was cut short: it never happened",
-            survey.recovery.torn
+            scan.recovery.torn_bytes
         ));
     }
     lines
@@ -131,18 +131,18 @@
 /// # Errors
 /// Where the folder holds no journal that can be read.
 pub fn show(folder: &Path, now: UnixMicros) -> Result<String, InspectError> {
-    let survey = read(folder, &mut |_, _, _| ())?;
+    let scan = read(folder, &mut |_, _, _| ())?;
     let mut text = String::new();
-    let owed = by_destination(&survey);
+    let owed = by_destination(&scan);
     let sum = |of: fn(&Owed) -> u64| owed.values().map(of).sum::<u64>();
-    let bytes: u64 = survey.segments.values().map(|segment| blocks(segment.on_file)).sum();
-    let live: u64 = survey.segments.keys().map(|segment| survey.ledger.weight(*segment)).sum();
+    let bytes: u64 = scan.segments.values().map(|segment| blocks(segment.bytes_on_disk)).sum();
+    let live: u64 = scan.segments.keys().map(|segment| scan.index.weight(*segment)).sum();
     // Writing to a string does not fail.
     let _ = writeln!(
         text,
         "journal {:032x}: {} segments, {bytes} bytes, {live} live",
-        survey.identity.unwrap_or_default(),
-        survey.segments.len()
+        scan.identity.unwrap_or_default(),
+        scan.segments.len()
     );
     let _ = writeln!(
         text,
@@ -158,11 +158,11 @@
             "\ndestination  messages  notices  may have run       bytes  oldest taken                 age s  first deadline"
         );
     }
-    for (dest, owed) in &owed {
+    for (destination, owed) in &owed {
         let age = now.saturating_sub(owed.oldest) as f64 / 1e6;
         let _ = writeln!(
             text,
-            "{dest:>11}  {:>8}  {:>7}  {:>12}  {:>10}  {:<27}  {age:>8.1}  {}",
+            "{destination:>11}  {:>8}  {:>7}  {:>12}  {:>10}  {:<27}  {age:>8.1}  {}",
             owed.messages,
             owed.notices,
             owed.may_have_run,
@@ -171,27 +171,27 @@
             when(owed.first_deadline)
         );
     }
-    let out: Vec<String> = survey.ledger.outages().iter().map(u32::to_string).collect();
+    let out: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
     if !out.is_empty() {
         let _ = writeln!(text, "\nout or cold: {}", out.join(", "));
     }
     let _ = writeln!(text, "\n         segment       bytes        live  share  records  begun");
-    for (number, segment) in &survey.segments {
-        let live = survey.ledger.weight(*number);
+    for (number, segment) in &scan.segments {
+        let live = scan.index.weight(*number);
         let share = live as f64 / segment.length.max(1) as f64;
         let _ = writeln!(
             text,
             "{number:016x}  {:>10}  {live:>10}  {share:>5.2}  {:>7}  {}",
-            segment.on_file,
+            segment.bytes_on_disk,
             segment.records,
             when(segment.created)
         );
     }
-    for line in problems(&survey) {
+    for line in problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
-    if survey.foreign > 0 {
-        let _ = writeln!(text, "other files: {} bytes, which count against the budget", survey.foreign);
+    if scan.foreign > 0 {
+        let _ = writeln!(text, "other files: {} bytes, which count against the budget", scan.foreign);
     }
     Ok(text)
 }
@@ -201,24 +201,24 @@
 /// # Errors
 /// Where the folder holds no journal that can be read.
 pub fn verify(folder: &Path) -> Result<(bool, String), InspectError> {
-    let survey = read(folder, &mut |_, _, _| ())?;
+    let scan = read(folder, &mut |_, _, _| ())?;
     let mut text = String::new();
-    for line in problems(&survey) {
+    for line in problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
-    let records: u64 = survey.segments.values().map(|segment| segment.records).sum();
-    let sound = survey.recovery.damage.is_empty();
+    let records: u64 = scan.segments.values().map(|segment| segment.records).sum();
+    let sound = scan.recovery.damage.is_empty();
     let _ = writeln!(
         text,
         "{} segments, {records} records, {} messages: {}",
-        survey.segments.len(),
-        survey.ledger.len(),
+        scan.segments.len(),
+        scan.index.len(),
         if sound { "sound" } else { "damaged" }
     );
     Ok((sound, text))
 }
 
-fn start(start: Option<Start>) -> Value {
+fn start(start: Option<AttemptStart>) -> Value {
     start.map_or(Value::Null, |start| json!({"at": when(start.at), "zone": start.zone}))
 }
 
@@ -232,36 +232,47 @@
     }
 }
 
-fn message(number: u64, kept: &Kept, bodies: bool) -> Value {
-    let handed = &kept.handed;
+fn message(number: u64, journaled: &JournaledMessage, bodies: bool) -> Value {
+    let message = &journaled.message;
     let mut value = json!({
-        "number": number, "id": handed.id, "class": handed.class, "dest": handed.dest,
-        "taken": when(handed.taken), "deadline": when(handed.deadline), "key": handed.key,
-        "attempts": kept.attempts, "may_have_run": start(kept.may_have_run), "out": start(kept.out),
-        "notice": notice(kept.notice), "body_bytes": handed.body.len(),
+        "number": number, "id": message.id, "class": message.class, "dest": message.destination,
+        "taken": when(message.accepted_at), "deadline": when(message.deadline), "key": message.key,
+        "attempts": journaled.attempts, "may_have_run": start(journaled.may_have_run), "out": start(journaled.in_flight),
+        "notice": notice(journaled.notice), "body_bytes": message.body.len(),
     });
-    if let Some((name, share)) = &handed.customer {
-        (value["customer"], value["over_share"]) = (name.as_str().into(), share.over.into());
+    if let Some((name, share)) = &message.tenant {
+        (value["customer"], value["over_share"]) = (name.as_str().into(), share.exceeded.into());
     }
     if bodies {
-        value["body_base64"] = STANDARD.encode(&handed.body).into();
+        value["body_base64"] = STANDARD.encode(&message.body).into();
     }
     value
 }
 
 fn record(segment: u64, offset: u64, record: &Record, bodies: bool) -> Value {
     let mut value = match record {
-        Record::Taken { number, id, class, dest, taken, deadline, key, customer, body, progress } => {
-            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class, "dest": dest,
-                "taken": when(*taken), "deadline": when(*deadline), "key": key, "body_bytes": body.len()});
-            if let Some((name, share)) = customer {
-                (value["customer"], value["over_share"]) = ((*name).into(), share.over.into());
-                value["share_left"] = (f64::from(share.left) / 1000.0).into();
+        Record::Taken {
+            number,
+            id,
+            class,
+            destination,
+            accepted_at,
+            deadline,
+            key,
+            tenant,
+            body,
+            progress,
+        } => {
+            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class, "dest": destination,
+                "taken": when(*accepted_at), "deadline": when(*deadline), "key": key, "body_bytes": body.len()});
+            if let Some((name, share)) = tenant {
+                (value["customer"], value["over_share"]) = ((*name).into(), share.exceeded.into());
+                value["share_left"] = (f64::from(share.remaining_thousandths) / 1000.0).into();
             }
             if let Some(progress) = progress {
                 value["attempts"] = progress.attempts.into();
                 value["may_have_run"] = start(progress.may_have_run);
-                value["out"] = start(progress.out);
+                value["out"] = start(progress.in_flight);
                 value["notice"] = notice(progress.notice);
             }
             if bodies {
@@ -281,13 +292,17 @@
         Record::Over { number, base } => json!({"record": "over", "number": number, "base": base}),
         Record::Progress { number, progress } => json!({"record": "progress", "number": number,
             "attempts": progress.attempts, "may_have_run": start(progress.may_have_run),
-            "out": start(progress.out), "notice": notice(progress.notice)}),
-        Record::Outage { dest, out } => json!({"record": "outage", "dest": dest, "out": out}),
-        Record::Opening { sealed, outages, next, levels } => {
+            "out": start(progress.in_flight), "notice": notice(progress.notice)}),
+        Record::Outage { destination, ongoing } => {
+            json!({"record": "outage", "dest": destination, "out": ongoing})
+        }
+        Record::Opening { sealed, outages, next, quota_levels } => {
             let sealed: Vec<Value> = sealed.iter().map(|s| json!([s.segment, s.length])).collect();
-            let levels = levels.iter().map(|l| json!([l.customer, f64::from(l.left) / 1000.0, when(l.at)]));
-            let levels: Vec<Value> = levels.collect();
-            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next, "levels": levels})
+            let quota_levels = quota_levels
+                .iter()
+                .map(|l| json!([l.tenant, f64::from(l.remaining_thousandths) / 1000.0, when(l.at)]));
+            let quota_levels: Vec<Value> = quota_levels.collect();
+            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next, "levels": quota_levels})
         }
         Record::Taken1 { .. } | Record::Opening1 { .. } => json!({"record": "of version 1"}),
         Record::Removed { segment } => json!({"record": "removed", "removed": segment}),
@@ -302,9 +317,9 @@
 /// # Errors
 /// Where the folder holds no journal that can be read, or `out` can't be written.
 pub fn dump(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
-    let survey = read(folder, &mut |_, _, _| ())?;
-    for (number, kept) in survey.ledger.iter() {
-        writeln!(out, "{}", message(number, kept, bodies))?;
+    let scan = read(folder, &mut |_, _, _| ())?;
+    for (number, journaled) in scan.index.iter() {
+        writeln!(out, "{}", message(number, journaled, bodies))?;
     }
     Ok(())
 }
@@ -326,11 +341,11 @@
 
 /// What a repair found and wrote.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Repaired {
+pub struct RepairReport {
     /// Messages that stand in the new journal.
     pub messages: usize,
     /// Those of them that count as ones that may have run since they were taken, because records are lost.
-    pub doubted: usize,
+    pub assumed_run: usize,
     /// What was wrong, a line each.
     pub problems: Vec<String>,
 }
@@ -340,11 +355,11 @@
 ///
 /// # Errors
 /// Where the folder holds no journal that can be read, or the new one is not empty or can't be written.
-pub fn repair(folder: &Path, to: &Path, now: UnixMicros) -> Result<Repaired, InspectError> {
+pub fn repair(folder: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
     let mut found = {
         let files = Disk::new(folder);
         let failed = |error| InspectError::Open { folder: folder.display().to_string(), error };
-        survey(&files, 0).map_err(failed)?
+        scan(&files, 0).map_err(failed)?
     };
     if found.old.is_some() {
         return Err(InspectError::Old(folder.display().to_string()));
@@ -357,18 +372,21 @@
     if !files.list()?.is_empty() {
         return Err(InspectError::Occupied(to.display().to_string()));
     }
-    let doubted = found.ledger.doubted().len();
-    found.ledger.settle();
+    let assumed_run = found.index.assumed_run().len();
+    found.index.settle();
     let options = Options {
-        limits: Limits::of(u64::MAX),
+        limits: Limits::for_budget(u64::MAX),
         durability: Durability::Always,
-        now: now.max(found.recovery.latest),
+        now: now.max(found.recovery.latest_timestamp),
         identity,
-        ends: 0,
+        remembered_outcomes: 0,
     };
     let failed = |error| InspectError::Open { folder: to.display().to_string(), error };
     let (mut journal, _) = Journal::recover(files, options).map_err(failed)?;
-    let messages = found.ledger.iter().map(|(number, kept)| (number, kept.handed.clone(), kept.progress()));
-    journal.adopt(found.ledger.outages().iter().copied(), messages)?;
-    Ok(Repaired { messages: found.ledger.len(), doubted, problems: problems(&found) })
+    let messages = found
+        .index
+        .iter()
+        .map(|(number, journaled)| (number, journaled.message.clone(), journaled.progress()));
+    journal.adopt(found.index.outages().iter().copied(), messages)?;
+    Ok(RepairReport { messages: found.index.len(), assumed_run, problems: problems(&found) })
 }
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,12 +1,12 @@
 //! The thin shell: segments on a file system, a ledger in memory, and steps that keep the two together.
 
-use crate::ended::{End, Ended};
+use crate::compaction::{self, Admission, Limits, Usage, blocks};
 use crate::files::{Disk, Files};
-use crate::format::{self, Handed, Header, Notice, Progress, Record, Start, UnixMicros};
-use crate::ledger::{self, Fact, Kept, Ledger};
+use crate::format::{self, AcceptedMessage, AttemptStart, Header, Notice, Progress, Record, UnixMicros};
+use crate::index::{self, Fact, JournaledMessage, MessageIndex};
 use crate::old;
-use crate::plan::{self, Admission, Limits, Stock, blocks};
-use crate::survey::{Segment, Survey, survey};
+use crate::recent_outcomes::{FinalOutcome, RecentOutcomes};
+use crate::scan::{ScanResult, Segment, scan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::path::Path;
@@ -36,7 +36,7 @@
     pub identity: u128,
     /// Messages that are over and are remembered as such, against one that is handed in again: so many of this life,
     /// and of earlier ones those whose records are still there.
-    pub ends: usize,
+    pub remembered_outcomes: usize,
 }
 
 /// Why a journal can't be opened. Nothing was changed.
@@ -101,28 +101,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
     /// Bytes at the end of the last segment that are no whole record: one that never happened.
-    pub torn: u64,
+    pub torn_bytes: u64,
     /// All else that is wrong.
     pub damage: Vec<Damage>,
     /// Messages that were carried over from the old format.
-    pub carried: Option<usize>,
+    pub migrated_messages: Option<usize>,
     /// The latest time that any record tells: the clock may have gone back since.
-    pub latest: UnixMicros,
+    pub latest_timestamp: UnixMicros,
 }
 
 /// Sums since the journal was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct Counters {
     /// Bytes written, copies among them.
-    pub written: u64,
+    pub bytes_written: u64,
     /// Bytes of copies.
-    pub copied: u64,
+    pub bytes_copied: u64,
     /// Segments that were removed.
-    pub removed: u64,
+    pub segments_removed: u64,
     /// Messages that were refused for want of room.
-    pub refused: u64,
+    pub rejected_messages: u64,
     /// Calls of the file system that failed.
-    pub failed: u64,
+    pub failed_calls: u64,
 }
 
 struct Head<H> {
@@ -133,7 +133,7 @@
     /// Bytes that count.
     length: u64,
     /// Bytes on file.
-    on_file: u64,
+    bytes_on_disk: u64,
     /// There may be bytes beyond `length` that could not be cut off: nothing more goes here.
     broken: bool,
     /// Something was written since it was last synced.
@@ -143,7 +143,7 @@
 #[derive(Clone, Copy)]
 struct Sealed {
     length: u64,
-    on_file: u64,
+    bytes_on_disk: u64,
 }
 
 /// What happened and could not be written so far: it is all in the ledger.
@@ -169,7 +169,7 @@
     limits: Limits,
     durability: Durability,
     identity: u128,
-    ledger: Ledger,
+    index: MessageIndex,
     sealed: BTreeMap<u64, Sealed>,
     head: Option<Head<F::Handle>>,
     /// The next segment's number.
@@ -180,7 +180,7 @@
     /// Files that are not ours, in bytes.
     foreign: u64,
     started: UnixMicros,
-    counts: Counts,
+    counters: Counters,
     buffer: Vec<u8>,
 }
 
@@ -211,13 +211,13 @@
     /// # Errors
     /// See [`OpenError`].
     pub fn recover(files: F, options: Options) -> Result<(Journal<F>, Recovery), OpenError> {
-        let Options { limits, durability, now, identity, ends } = options;
+        let Options { limits, durability, now, identity, remembered_outcomes } = options;
         let mut journal = Journal {
             files,
             limits,
             durability,
             identity,
-            ledger: Ledger::new(ends),
+            index: MessageIndex::new(remembered_outcomes),
             sealed: BTreeMap::new(),
             head: None,
             next: 1,
@@ -225,11 +225,11 @@
             unwritten: Unwritten::default(),
             foreign: 0,
             started: now,
-            counts: Counts::default(),
+            counters: Counters::default(),
             buffer: Vec::new(),
         };
-        let survey = survey(&journal.files, ends)?;
-        let Survey { identity, segments, ledger, recovery, foreign, remove, next, old } = survey;
+        let scan = scan(&journal.files, remembered_outcomes)?;
+        let ScanResult { identity, segments, index, recovery, foreign, remove, next, old } = scan;
         (journal.identity, journal.foreign, journal.next) =
             (identity.unwrap_or(journal.identity), foreign, next);
         let mut recovery = recovery;
@@ -238,18 +238,18 @@
         }
         if let Some(old) = old {
             journal.carry_over(old)?;
-            recovery.latest = journal.ledger.latest();
+            recovery.latest_timestamp = journal.index.latest_timestamp();
             return Ok((journal, recovery));
         }
-        journal.ledger = ledger;
+        journal.index = index;
         journal.sealed = segments
             .into_iter()
-            .map(|(number, Segment { length, on_file, .. })| (number, Sealed { length, on_file }))
+            .map(|(number, Segment { length, bytes_on_disk, .. })| (number, Sealed { length, bytes_on_disk }))
             .collect();
-        journal.ledger.settle();
+        journal.index.settle();
         journal.begin_segment()?;
-        for number in journal.ledger.doubted() {
-            let Some(progress) = journal.ledger.get(number).map(Kept::progress) else { continue };
+        for number in journal.index.assumed_run() {
+            let Some(progress) = journal.index.get(number).map(JournaledMessage::progress) else { continue };
             journal.append_noted(&[Record::Progress { number, progress }])?;
         }
         Ok((journal, recovery))
@@ -259,27 +259,27 @@
     fn carry_over(&mut self, old: old::Old) -> io::Result<()> {
         self.begin_segment()?;
         let messages =
-            old.messages.into_iter().map(|(number, (handed, progress))| (number, handed, progress));
+            old.messages.into_iter().map(|(number, (message, progress))| (number, message, progress));
         self.adopt(old.outages.into_iter(), messages)?;
         self.files.remove(old::NEXT_FILE)?;
         self.files.remove(old::FILE)?;
-        self.ledger.settle();
+        self.index.settle();
         Ok(())
     }
 
     /// Writes down what another journal told; when this returns it outlasts the machine.
     pub(crate) fn adopt(
         &mut self, outages: impl Iterator<Item = u32>,
-        messages: impl Iterator<Item = (u64, Handed, Progress)>,
+        messages: impl Iterator<Item = (u64, AcceptedMessage, Progress)>,
     ) -> io::Result<()> {
-        for dest in outages {
-            let record = Record::Outage { dest, out: true };
+        for destination in outages {
+            let record = Record::Outage { destination, ongoing: true };
             self.append(std::slice::from_ref(&record))?;
-            self.ledger.happened(&record);
+            self.index.happened(&record);
         }
-        for (number, handed, progress) in messages {
-            let segment = self.append(&[ledger::taken(number, &handed, Some(progress))])?;
-            self.ledger.insert(segment, number, handed, Some(progress));
+        for (number, message, progress) in messages {
+            let segment = self.append(&[index::accepted_record(number, &message, Some(progress))])?;
+            self.index.insert(segment, number, message, Some(progress));
         }
         if let Some(head) = &self.head {
             self.files.sync(&head.handle)?;
@@ -288,116 +288,119 @@
     }
 
     /// A message that is not over.
-    pub fn get(&self, number: u64) -> Option<&Kept> {
-        self.ledger.get(number)
+    pub fn get(&self, number: u64) -> Option<&JournaledMessage> {
+        self.index.get(number)
     }
 
     /// The number of the message with an id.
-    pub fn number(&self, id: &str) -> Option<u64> {
-        self.ledger.number(id)
+    pub fn number_by_id(&self, id: &str) -> Option<u64> {
+        self.index.number(id)
     }
 
     /// The ends that are remembered, for the process that takes over.
-    pub fn ended_ids(&self) -> &Ended {
-        self.ledger.ended()
+    pub fn recent_outcomes(&self) -> &RecentOutcomes {
+        self.index.ended()
     }
 
     /// Remembers what the process remembered that handed this journal over.
-    pub fn recall(&mut self, ended: Ended) {
-        self.ledger.recall(ended);
+    pub fn restore_recent_outcomes(&mut self, ended: RecentOutcomes) {
+        self.index.restore_recent_outcomes(ended);
     }
 
     /// How a message ended that is handed in again, where that is remembered.
-    pub fn end_of(&self, handed: &Handed) -> Option<End> {
-        self.ledger.end_of(handed)
+    pub fn final_outcome_of(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
+        self.index.final_outcome_of(message)
     }
 
     /// All messages that are not over, in the order taken.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &Kept)> {
-        self.ledger.iter()
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &JournaledMessage)> {
+        self.index.iter()
     }
 
     /// Destinations that were out, or back and cold, when this was last known.
     pub fn outages(&self) -> impl Iterator<Item = u32> {
-        self.ledger.outages().iter().copied()
+        self.index.outages().iter().copied()
     }
 
     /// Where customers stood with their shares when they last handed something in.
-    pub fn levels(&self) -> impl Iterator<Item = format::Level> {
-        self.ledger.levels()
+    pub fn quota_levels(&self) -> impl Iterator<Item = format::QuotaLevel> {
+        self.index.quota_levels()
     }
 
     /// Messages that are neither delivered nor ended.
     pub fn open_messages(&self) -> usize {
-        self.ledger.len() - self.ledger.owed().len()
+        self.index.len() - self.index.owed().len()
     }
 
     /// The first notices that are owed.
-    pub fn owed(&self, most: usize) -> Vec<(u64, String, Notice)> {
-        self.owed_at(UnixMicros::MAX, most)
+    pub fn pending_notices(&self, most: usize) -> Vec<(u64, String, Notice)> {
+        self.due_notices(UnixMicros::MAX, most)
     }
 
     /// The notices that may go out now: those on record, and those of messages whose time is up, which no later life
     /// would send any more.
-    pub fn owed_at(&self, now: UnixMicros, most: usize) -> Vec<(u64, String, Notice)> {
-        let kept = self.ledger.owed().iter().filter_map(|number| Some((*number, self.ledger.get(*number)?)));
-        let due = kept.filter(|(number, kept)| {
-            kept.handed.deadline <= now || !self.unwritten.messages.contains(number)
+    pub fn due_notices(&self, now: UnixMicros, most: usize) -> Vec<(u64, String, Notice)> {
+        let journaled =
+            self.index.owed().iter().filter_map(|number| Some((*number, self.index.get(*number)?)));
+        let due = journaled.filter(|(number, journaled)| {
+            journaled.message.deadline <= now || !self.unwritten.messages.contains(number)
+        });
+        let owed = due.filter_map(|(number, journaled)| {
+            Some((number, journaled.message.id.clone(), journaled.notice?))
         });
-        let owed = due.filter_map(|(number, kept)| Some((number, kept.handed.id.clone(), kept.notice?)));
         owed.take(most).collect()
     }
 
     /// Sums since the journal was opened.
-    pub fn counts(&self) -> Counts {
-        self.counts
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// Segments that are there, with the one that is written to: number, bytes, and bytes of those that count.
     pub fn segments(&self) -> Vec<(u64, u64, u64)> {
         let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length));
         let head = self.head.iter().map(|head| (head.segment, head.length));
-        sealed.chain(head).map(|(segment, length)| (segment, length, self.ledger.weight(segment))).collect()
+        sealed.chain(head).map(|(segment, length)| (segment, length, self.index.weight(segment))).collect()
     }
 
     /// Bytes of all files, in whole blocks.
-    pub fn on_file(&self) -> u64 {
-        let sealed: u64 = self.sealed.values().map(|s| blocks(s.on_file)).sum();
-        sealed + self.head.iter().map(|head| blocks(head.on_file)).sum::<u64>() + self.foreign
+    pub fn bytes_on_disk(&self) -> u64 {
+        let sealed: u64 = self.sealed.values().map(|s| blocks(s.bytes_on_disk)).sum();
+        sealed + self.head.iter().map(|head| blocks(head.bytes_on_disk)).sum::<u64>() + self.foreign
     }
 
     /// Whether all that happened is on file.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_written(&self) -> bool {
         self.unwritten.is_empty()
     }
 
-    fn stock(&self) -> Stock {
-        Stock { on_file: self.on_file(), owed: self.ledger.size() + self.foreign }
+    fn stock(&self) -> Usage {
+        Usage { bytes_on_disk: self.bytes_on_disk(), owed: self.index.size() + self.foreign }
     }
 
     /// Takes a message on; none where there is no room for it.
     ///
     /// # Errors
     /// Where its record is not on file: it was not taken.
-    pub fn take(&mut self, handed: &Handed) -> io::Result<Option<u64>> {
-        self.catch_up()?;
-        let size = ledger::size(handed);
-        let fits = match plan::admit(&self.limits, self.stock(), size, size) {
+    pub fn accept(&mut self, message: &AcceptedMessage) -> io::Result<Option<u64>> {
+        self.flush_pending()?;
+        let size = index::size(message);
+        let fits = match compaction::admit(&self.limits, self.stock(), size, size) {
             Admission::Fits => true,
             // A step may win enough; more than one would hold up everybody else.
             Admission::Later => {
-                self.step()?;
-                plan::admit(&self.limits, self.stock(), size, size) == Admission::Fits
+                self.compact_step()?;
+                compaction::admit(&self.limits, self.stock(), size, size) == Admission::Fits
             }
             Admission::Full => false,
         };
         if !fits {
-            self.counts.refused += 1;
+            self.counters.rejected_messages += 1;
             return Ok(None);
         }
-        let number = self.ledger.next();
-        let segment = self.append(&[ledger::taken(number, handed, None)])?;
-        self.ledger.insert(segment, number, handed.clone(), None);
+        let number = self.index.next();
+        let segment = self.append(&[index::accepted_record(number, message, None)])?;
+        self.index.insert(segment, number, message.clone(), None);
         Ok(Some(number))
     }
 
@@ -405,24 +408,24 @@
     ///
     /// # Errors
     /// Where the record is not on file: the call must not go out, and counts as never begun.
-    pub fn started(&mut self, number: u64, start: Start) -> io::Result<()> {
+    pub fn attempt_started(&mut self, number: u64, start: AttemptStart) -> io::Result<()> {
         self.reclaim_reserve();
         // First: it would write this message's progress as if the call had begun.
-        self.catch_up()?;
-        let before = self.ledger.get(number).map(Kept::progress);
+        self.flush_pending()?;
+        let before = self.index.get(number).map(JournaledMessage::progress);
         let record = Record::Started { number, start };
-        self.ledger.happened(&record);
+        self.index.happened(&record);
         let written = self.write_progress(&record);
         if let Some(before) = before.filter(|_| written.is_err()) {
-            self.ledger.happened(&Record::Progress { number, progress: before });
+            self.index.happened(&Record::Progress { number, progress: before });
         }
         written
     }
 
     /// A call goes out though its record could not be written: that it is made once more does no harm. The record is
     /// written before any other.
-    pub fn started_without_record(&mut self, number: u64, start: Start) {
-        self.ledger.happened(&Record::Started { number, start });
+    pub fn attempt_started_unrecorded(&mut self, number: u64, start: AttemptStart) {
+        self.index.happened(&Record::Started { number, start });
         self.unwritten.messages.insert(number);
     }
 
@@ -430,7 +433,7 @@
     ///
     /// # Errors
     /// Where the record is not on file yet; it will be before any other.
-    pub fn ended(&mut self, number: u64, may_have_run: bool) -> io::Result<()> {
+    pub fn attempt_ended(&mut self, number: u64, may_have_run: bool) -> io::Result<()> {
         self.write(Record::Ended { number, may_have_run })
     }
 
@@ -438,7 +441,7 @@
     ///
     /// # Errors
     /// As for [`ended`](Journal::ended).
-    pub fn owe(&mut self, number: u64, notice: Notice) -> io::Result<()> {
+    pub fn notice_due(&mut self, number: u64, notice: Notice) -> io::Result<()> {
         self.write(Record::Owed { number, notice })
     }
 
@@ -446,8 +449,8 @@
     ///
     /// # Errors
     /// As for [`ended`](Journal::ended).
-    pub fn over(&mut self, number: u64) -> io::Result<()> {
-        let Some(base) = self.ledger.base(number) else { return Ok(()) };
+    pub fn close(&mut self, number: u64) -> io::Result<()> {
+        let Some(base) = self.index.base(number) else { return Ok(()) };
         self.write(Record::Over { number, base })
     }
 
@@ -455,20 +458,20 @@
     ///
     /// # Errors
     /// As for [`ended`](Journal::ended).
-    pub fn outage(&mut self, dest: u32, out: bool) -> io::Result<()> {
-        self.write(Record::Outage { dest, out })
+    pub fn set_outage(&mut self, destination: u32, ongoing: bool) -> io::Result<()> {
+        self.write(Record::Outage { destination, ongoing })
     }
 
     /// What happened is true even where it can't be written: memory follows in any case, and what it tells is
     /// written before anything else.
     fn write(&mut self, record: Record<'static>) -> io::Result<()> {
         self.reclaim_reserve();
-        self.ledger.happened(&record);
-        let written = self.catch_up().and_then(|()| self.write_progress(&record));
+        self.index.happened(&record);
+        let written = self.flush_pending().and_then(|()| self.write_progress(&record));
         if written.is_err() {
             match record {
                 Record::Over { number, base } => self.unwritten.overs.push((number, base)),
-                Record::Outage { dest, .. } => _ = self.unwritten.outages.insert(dest),
+                Record::Outage { destination, .. } => _ = self.unwritten.outages.insert(destination),
                 Record::Started { number, .. }
                 | Record::Ended { number, .. }
                 | Record::Owed { number, .. } => {
@@ -483,20 +486,20 @@
     /// Where the reserve is in use, what ends messages pays for room as it goes. Two segments are left then: one that
     /// is being emptied costs another one's room until it goes.
     fn reclaim_reserve(&mut self) {
-        if self.on_file() + 2 * self.limits.segment > self.limits.budget {
-            let _ = self.step();
+        if self.bytes_on_disk() + 2 * self.limits.segment_bytes > self.limits.budget_bytes {
+            let _ = self.compact_step();
         }
     }
 
     fn write_progress(&mut self, record: &Record) -> io::Result<()> {
-        let segment = self.room_for(ledger::record_size(record))?;
+        let segment = self.room_for(index::record_size(record))?;
         let (Record::Started { number, .. } | Record::Ended { number, .. } | Record::Owed { number, .. }) =
             *record
         else {
             return self.append_noted(std::slice::from_ref(record));
         };
-        match self.ledger.get(number).map(Kept::progress) {
-            Some(progress) if self.ledger.needs_copy(segment, number) => {
+        match self.index.get(number).map(JournaledMessage::progress) {
+            Some(progress) if self.index.needs_copy(segment, number) => {
                 self.append_noted(&[Record::Progress { number, progress }])
             }
             _ => self.append_noted(std::slice::from_ref(record)),
@@ -505,7 +508,7 @@
 
     fn append_noted(&mut self, records: &[Record]) -> io::Result<()> {
         let segment = self.append(records)?;
-        records.iter().for_each(|record| self.ledger.stands(segment, record));
+        records.iter().for_each(|record| self.index.stands(segment, record));
         Ok(())
     }
 
@@ -513,18 +516,23 @@
     ///
     /// # Errors
     /// Where it can't be written still.
-    pub fn catch_up(&mut self) -> io::Result<()> {
+    pub fn flush_pending(&mut self) -> io::Result<()> {
         if self.unwritten.is_empty() {
             return Ok(());
         }
         let Unwritten { messages, overs, outages } = std::mem::take(&mut self.unwritten);
-        let known = |number: &u64| Some((*number, self.ledger.get(*number)?.progress()));
+        let known = |number: &u64| Some((*number, self.index.get(*number)?.progress()));
         let progress = messages.iter().filter_map(known);
         let mut records: Vec<Record> =
             progress.map(|(number, progress)| Record::Progress { number, progress }).collect();
         records.extend(overs.iter().map(|(number, base)| Record::Over { number: *number, base: *base }));
-        let is_out = |dest: &u32| self.ledger.outages().contains(dest);
-        records.extend(outages.iter().map(|dest| Record::Outage { dest: *dest, out: is_out(dest) }));
+        let is_out = |destination: &u32| self.index.outages().contains(destination);
+        records.extend(
+            outages.iter().map(|destination| Record::Outage {
+                destination: *destination,
+                ongoing: is_out(destination),
+            }),
+        );
         let written = self.append_noted(&records);
         if written.is_err() {
             self.unwritten = Unwritten { messages, overs, outages };
@@ -537,8 +545,8 @@
     ///
     /// # Errors
     /// Where a call of the file system failed; the step may be asked for again.
-    pub fn step(&mut self) -> io::Result<bool> {
-        self.catch_up()?;
+    pub fn compact_step(&mut self) -> io::Result<bool> {
+        self.flush_pending()?;
         if self.head.as_ref().is_none_or(|head| head.broken) {
             self.begin_segment()?;
         }
@@ -546,31 +554,32 @@
         let emptying = match self.emptying {
             Some(emptying) => emptying,
             None => {
-                let sealed = self.sealed.iter().map(|(segment, s)| plan::Segment {
+                let sealed = self.sealed.iter().map(|(segment, s)| compaction::Segment {
                     segment: *segment,
-                    length: s.on_file,
-                    weight: self.ledger.weight(*segment),
+                    length: s.bytes_on_disk,
+                    weight: self.index.weight(*segment),
                 });
-                let next = self.ledger.unfinished().or_else(|| plan::next(&self.limits, stock, sealed));
+                let next = self.index.unfinished().or_else(|| compaction::next(&self.limits, stock, sealed));
                 let Some(next) = next else { return Ok(false) };
                 (next, false)
             }
         };
         let segment = emptying.0;
         self.emptying = Some(emptying);
-        let most = plan::step(&self.limits, stock);
-        if self.ledger.facts(segment).next().is_some() {
+        let most = compaction::step(&self.limits, stock);
+        if self.index.facts(segment).next().is_some() {
             let target = self.room_for(most)?;
             let (mut facts, mut buffer) = (Vec::new(), std::mem::take(&mut self.buffer));
             buffer.clear();
-            for fact in self.ledger.facts(segment) {
-                let kept = |number: u64| self.ledger.get(number).map(|kept| (kept, kept.progress()));
+            for fact in self.index.facts(segment) {
+                let journaled =
+                    |number: u64| self.index.get(number).map(|journaled| (journaled, journaled.progress()));
                 let record = match fact {
                     Fact::Message(number) => {
-                        kept(number).map(|(k, progress)| k.record(number, Some(progress)))
+                        journaled(number).map(|(k, progress)| k.record(number, Some(progress)))
                     }
                     Fact::Progress(number) => {
-                        kept(number).map(|(_, progress)| Record::Progress { number, progress })
+                        journaled(number).map(|(_, progress)| Record::Progress { number, progress })
                     }
                     Fact::Over { number, base } => Some(Record::Over { number, base }),
                 };
@@ -582,25 +591,25 @@
                 }
             }
             let written = self.put(&buffer);
-            self.counts.copied += buffer.len() as u64 * u64::from(written.is_ok());
+            self.counters.bytes_copied += buffer.len() as u64 * u64::from(written.is_ok());
             self.buffer = buffer;
             written?;
             for fact in facts {
                 match fact {
-                    Fact::Message(number) => self.ledger.moved(target, number),
+                    Fact::Message(number) => self.index.moved(target, number),
                     Fact::Progress(number) => {
-                        if let Some(progress) = self.ledger.get(number).map(Kept::progress) {
-                            self.ledger.stands(target, &Record::Progress { number, progress });
+                        if let Some(progress) = self.index.get(number).map(JournaledMessage::progress) {
+                            self.index.stands(target, &Record::Progress { number, progress });
                         }
                     }
                     Fact::Over { number, base } => {
-                        self.ledger.tomb_moved(segment, number, base);
-                        self.ledger.stands(target, &Record::Over { number, base });
+                        self.index.tomb_moved(segment, number, base);
+                        self.index.stands(target, &Record::Over { number, base });
                     }
                 }
             }
         }
-        if self.ledger.facts(segment).next().is_none() {
+        if self.index.facts(segment).next().is_none() {
             self.finish(emptying)?;
         }
         Ok(true)
@@ -619,8 +628,8 @@
         let removed = self.files.remove(&file_name(segment));
         self.note(removed)?;
         self.sealed.remove(&segment);
-        self.ledger.remove_segment(segment);
-        self.counts.removed += 1;
+        self.index.remove_segment(segment);
+        self.counters.segments_removed += 1;
         self.emptying = None;
         Ok(())
     }
@@ -636,19 +645,19 @@
         if synced.is_err() {
             // Nobody can say which of its bytes are there: all that counts is written once more, elsewhere.
             head.broken = true;
-            self.ledger.rewrite(head.segment);
+            self.index.rewrite(head.segment);
         }
         self.note(synced)
     }
 
     fn note<T>(&mut self, done: io::Result<T>) -> io::Result<T> {
-        self.counts.failed += u64::from(done.is_err());
+        self.counters.failed_calls += u64::from(done.is_err());
         done
     }
 
     /// Appends records in one write; tells which segment they stand in.
     fn append(&mut self, records: &[Record]) -> io::Result<u64> {
-        let size: u64 = records.iter().map(ledger::record_size).sum();
+        let size: u64 = records.iter().map(index::record_size).sum();
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
         let result = (|| {
@@ -665,7 +674,7 @@
 
     /// The segment to write to, after a new one was begun if that is due.
     fn room_for(&mut self, bytes: u64) -> io::Result<u64> {
-        let most = self.limits.segment;
+        let most = self.limits.segment_bytes;
         let due = self.head.as_ref().is_none_or(|head| {
             // A record that is longer than a segment gets one of its own.
             head.broken || (head.length + bytes > most && head.length > head.first)
@@ -692,18 +701,18 @@
             }
         }
         if result.is_err() {
-            self.counts.failed += 1;
+            self.counters.failed_calls += 1;
             // Half a record would hide all that comes after it.
             if self.files.truncate(&mut head.handle, head.length).is_err() {
-                self.counts.failed += 1;
-                (head.broken, head.on_file) = (true, head.length + written as u64);
+                self.counters.failed_calls += 1;
+                (head.broken, head.bytes_on_disk) = (true, head.length + written as u64);
             }
             return result;
         }
         head.length += bytes.len() as u64;
-        head.on_file = head.length;
+        head.bytes_on_disk = head.length;
         head.unsynced = true;
-        self.counts.written += bytes.len() as u64;
+        self.counters.bytes_written += bytes.len() as u64;
         Ok(())
     }
 
@@ -716,10 +725,10 @@
         let head = self.head.iter().map(|head| (head.segment, head.length));
         let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length)).chain(head);
         let opening = Record::Opening {
-            sealed: ledger::sealed(sealed),
-            outages: self.ledger.outages().iter().copied().collect(),
-            next: self.ledger.next(),
-            levels: self.ledger.levels().collect(),
+            sealed: index::sealed(sealed),
+            outages: self.index.outages().iter().copied().collect(),
+            next: self.index.next(),
+            quota_levels: self.index.quota_levels().collect(),
         };
         let header = Header { identity: self.identity, segment, created: self.started };
         let mut bytes = header.bytes().to_vec();
@@ -729,7 +738,7 @@
         let handle = self.note(created)?;
         self.next = segment + 1;
         let (first, broken) = (bytes.len() as u64, false);
-        let begun = Head { segment, handle, first, length: 0, on_file: 0, broken, unsynced: false };
+        let begun = Head { segment, handle, first, length: 0, bytes_on_disk: 0, broken, unsynced: false };
         let before = self.head.replace(begun);
         let whole = self.put(&bytes);
         if let Err(error) = whole {
@@ -741,9 +750,10 @@
         }
         // From here on it counts: what stands in it holds for all before it.
         if let Some(head) = before {
-            self.sealed.insert(head.segment, Sealed { length: head.length, on_file: head.on_file });
+            self.sealed
+                .insert(head.segment, Sealed { length: head.length, bytes_on_disk: head.bytes_on_disk });
         }
-        self.ledger.open(segment);
+        self.index.open(segment);
         if self.durability != Durability::None {
             self.sync()?;
             let synced = self.files.sync_folder();
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -6,26 +6,26 @@
 //! with what is held.
 //!
 //! - [`format`](mod@format): the bytes, described in `docs/journal-format.md`; no I/O.
-//! - [`ledger`]: what the records say, and which segment each fact stands in; no I/O.
+//! - [`index`]: what the records say, and which segment each fact stands in; no I/O.
 //! - [`ended`]: messages that are over, for as long as that is remembered; no I/O.
-//! - [`plan`]: which segment to empty next, how much at a step, what still fits; no I/O.
-//! - [`survey`](mod@survey): reads a folder and changes nothing: what recovery begins with.
+//! - [`compaction`]: which segment to empty next, how much at a step, what still fits; no I/O.
+//! - [`scan`](mod@survey): reads a folder and changes nothing: what recovery begins with.
 //! - [`inspect`]: what operators ask of a journal.
 //! - [`files`]: the seam to the file system.
 //! - [`journal`]: the thin shell that puts them together.
 
-pub mod ended;
+pub mod compaction;
 pub mod files;
 pub mod format;
+pub mod index;
 pub mod inspect;
 pub mod journal;
-pub mod ledger;
 mod old;
-pub mod plan;
-pub mod survey;
+pub mod recent_outcomes;
+pub mod scan;
 
-pub use ended::End;
 pub use files::{Disk, Files};
-pub use format::{Handed, Level, Notice, Share, Start, UNKNOWN_ZONE, UnixMicros};
+pub use format::{AcceptedMessage, AttemptStart, Notice, QuotaLevel, QuotaStatus, UNKNOWN_ZONE, UnixMicros};
+pub use index::JournaledMessage;
 pub use journal::{Damage, Durability, Journal, OpenError, Options, Recovery};
-pub use ledger::Kept;
+pub use recent_outcomes::FinalOutcome;
--- a/crates/journal/src/old.rs
+++ b/crates/journal/src/old.rs
@@ -1,6 +1,6 @@
 //! The format before this one: one file of framed records, written anew as a whole. Read, never written.
 
-use crate::format::{Handed, Notice, Progress, Start, UnixMicros};
+use crate::format::{AcceptedMessage, AttemptStart, Notice, Progress, UnixMicros};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,8 +18,8 @@
         number: u64,
         id: &'a str,
         class: &'a str,
-        dest: u32,
-        taken: UnixMicros,
+        destination: u32,
+        accepted_at: UnixMicros,
         deadline: UnixMicros,
         key: Option<&'a str>,
         body: &'a [u8],
@@ -27,11 +27,11 @@
     Past {
         number: u64,
         attempts: u32,
-        may_have_run: Option<Start>,
+        may_have_run: Option<AttemptStart>,
     },
     Started {
         number: u64,
-        start: Start,
+        start: AttemptStart,
     },
     Ended {
         number: u64,
@@ -45,18 +45,18 @@
         number: u64,
     },
     Outage {
-        dest: u32,
-        out: bool,
+        destination: u32,
+        ongoing: bool,
     },
 }
 
 /// What an old file tells.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct Old {
-    pub(crate) messages: BTreeMap<u64, (Handed, Progress)>,
+    pub(crate) messages: BTreeMap<u64, (AcceptedMessage, Progress)>,
     pub(crate) outages: BTreeSet<u32>,
     /// Bytes at the end that are no whole record: one that never happened.
-    pub(crate) torn: usize,
+    pub(crate) torn_bytes: usize,
 }
 
 fn unframe(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
@@ -79,18 +79,18 @@
     while let Some((record, length)) = unframe(bytes) {
         bytes = &bytes[length..];
         match record {
-            Record::Taken { number, id, class, dest, taken, deadline, key, body } => {
-                let handed = Handed {
+            Record::Taken { number, id, class, destination, accepted_at, deadline, key, body } => {
+                let message = AcceptedMessage {
                     id: id.into(),
                     class: class.into(),
-                    dest,
-                    taken,
+                    destination,
+                    accepted_at,
                     deadline,
                     key: key.map(Into::into),
-                    customer: None,
+                    tenant: None,
                     body: Bytes::copy_from_slice(body),
                 };
-                old.messages.insert(number, (handed, Progress::default()));
+                old.messages.insert(number, (message, Progress::default()));
             }
             Record::Past { number, attempts, may_have_run } => {
                 if let Some((_, progress)) = old.messages.get_mut(&number) {
@@ -99,25 +99,26 @@
             }
             Record::Started { number, start } => {
                 if let Some((_, progress)) = old.messages.get_mut(&number) {
-                    (progress.attempts, progress.out) = (progress.attempts.saturating_add(1), Some(start));
+                    (progress.attempts, progress.in_flight) =
+                        (progress.attempts.saturating_add(1), Some(start));
                 }
             }
             Record::Ended { number, may_have_run } => {
                 if let Some((_, progress)) = old.messages.get_mut(&number) {
-                    let out = progress.out.take().filter(|_| may_have_run);
-                    progress.may_have_run = progress.may_have_run.or(out);
+                    let in_flight = progress.in_flight.take().filter(|_| may_have_run);
+                    progress.may_have_run = progress.may_have_run.or(in_flight);
                 }
             }
             Record::Owed { number, notice } => {
-                if let Some((handed, progress)) = old.messages.get_mut(&number) {
-                    (progress.notice, handed.body) = (Some(notice), Bytes::new());
+                if let Some((message, progress)) = old.messages.get_mut(&number) {
+                    (progress.notice, message.body) = (Some(notice), Bytes::new());
                 }
             }
             Record::Over { number } => _ = old.messages.remove(&number),
-            Record::Outage { dest, out: true } => _ = old.outages.insert(dest),
-            Record::Outage { dest, out: false } => _ = old.outages.remove(&dest),
+            Record::Outage { destination, ongoing: true } => _ = old.outages.insert(destination),
+            Record::Outage { destination, ongoing: false } => _ = old.outages.remove(&destination),
         }
     }
-    old.torn = bytes.len();
+    old.torn_bytes = bytes.len();
     old
 }
--- a/crates/journal/src/survey.rs
+++ b/crates/journal/src/scan.rs
@@ -1,12 +1,12 @@
 //! Reads a folder of segments and changes nothing: what is owed, what is damaged, which files are of no account.
 //! Recovery begins with it, and so do the operators' commands. One segment is in memory at a time.
 
+use crate::compaction::blocks;
 use crate::files::Files;
 use crate::format::{self, FRAME, HEADER, Header, HeaderError, RECORD_MOST, Record, Sealed, UnixMicros};
+use crate::index::MessageIndex;
 use crate::journal::{Damage, OpenError, Recovery, file_name, file_number};
-use crate::ledger::Ledger;
 use crate::old;
-use crate::plan::blocks;
 use std::collections::BTreeMap;
 
 /// A segment that counts.
@@ -15,7 +15,7 @@
     /// How many of its bytes count.
     pub length: u64,
     /// Its length on file.
-    pub on_file: u64,
+    pub bytes_on_disk: u64,
     /// When it was begun.
     pub created: UnixMicros,
     /// Sound records in it.
@@ -24,13 +24,13 @@
 
 /// What a folder holds.
 #[derive(Debug)]
-pub struct Survey {
+pub struct ScanResult {
     /// Whose journal it is; none where there is none of this format.
     pub identity: Option<u128>,
     /// Its segments that count, by number.
     pub segments: BTreeMap<u64, Segment>,
     /// What they say; calls without an end are out in it still.
-    pub ledger: Ledger,
+    pub index: MessageIndex,
     /// What was found wrong.
     pub recovery: Recovery,
     /// Files that are not the journal's, in bytes of whole blocks.
@@ -58,29 +58,29 @@
 /// # Errors
 /// Where a file was written by a newer program, where journals of two formats stand side by side, or where a file
 /// can't be read. [`OpenError`].
-pub fn survey<F: Files>(files: &F, ends: usize) -> Result<Survey, OpenError> {
-    visit(files, ends, &mut |_, _, _| ())
+pub fn scan<F: Files>(files: &F, ends: usize) -> Result<ScanResult, OpenError> {
+    scan_records(files, ends, &mut |_, _, _| ())
 }
 
 /// Surveys the files of a folder, and shows each sound record with its segment and offset as it is read.
 ///
 /// # Errors
-/// As for [`survey`].
-pub fn visit<F: Files>(
+/// As for [`scan`].
+pub fn scan_records<F: Files>(
     files: &F, ends: usize, seen: &mut dyn FnMut(u64, u64, &Record),
-) -> Result<Survey, OpenError> {
-    let mut survey = Survey {
+) -> Result<ScanResult, OpenError> {
+    let mut scan = ScanResult {
         identity: None,
         segments: BTreeMap::new(),
-        ledger: Ledger::new(ends),
+        index: MessageIndex::new(ends),
         recovery: Recovery::default(),
         foreign: 0,
         remove: Vec::new(),
         next: 1,
         old: None,
     };
-    let Headers { mut found, unfinished, is_old } = survey.headers(files)?;
-    survey.remove = unfinished;
+    let Headers { mut found, unfinished, is_old } = scan.headers(files)?;
+    scan.remove = unfinished;
     if is_old {
         // It is removed last: what else is there are copies of it that were not finished. They bear the mark of
         // that file; others are a journal that an older program did not see.
@@ -90,46 +90,46 @@
             return Err(OpenError::Both);
         }
         let old = old::read(&bytes);
-        survey.identity = Some(identity);
-        survey.remove.extend(found.keys().map(|segment| file_name(*segment)));
-        survey.recovery.torn = old.torn as u64;
-        survey.recovery.carried = Some(old.messages.len());
-        survey.old = Some(old);
-        return Ok(survey);
+        scan.identity = Some(identity);
+        scan.remove.extend(found.keys().map(|segment| file_name(*segment)));
+        scan.recovery.torn_bytes = old.torn_bytes as u64;
+        scan.recovery.migrated_messages = Some(old.messages.len());
+        scan.old = Some(old);
+        return Ok(scan);
     }
-    survey.remove.push(old::NEXT_FILE.into());
-    let Some((newest, listed)) = survey.newest(files, &mut found)? else { return Ok(survey) };
+    scan.remove.push(old::NEXT_FILE.into());
+    let Some((newest, listed)) = scan.newest(files, &mut found)? else { return Ok(scan) };
     for segment in found.keys() {
-        survey.ledger.open(*segment);
+        scan.index.open(*segment);
     }
     let mut removed = Vec::new();
     for (segment, (header, _)) in &found {
         let listed = listed.as_ref().and_then(|listed| listed.get(segment)).copied();
         let bytes = files.read(&file_name(*segment), 0, usize::MAX)?;
-        survey.segment(*segment, header, &bytes, (listed, *segment == newest), &mut removed, seen);
+        scan.segment(*segment, header, &bytes, (listed, *segment == newest), &mut removed, seen);
     }
     let mut missing: Vec<u64> =
         listed.iter().flatten().map(|(segment, _)| *segment).filter(|s| !found.contains_key(s)).collect();
     for segment in removed {
         missing.retain(|other| *other != segment);
         // All that counted of it stands in later segments. Its file is back after a power cut, or never went.
-        if survey.segments.remove(&segment).is_some() {
-            survey.remove.push(file_name(segment));
+        if scan.segments.remove(&segment).is_some() {
+            scan.remove.push(file_name(segment));
         }
     }
     for segment in missing {
-        survey.recovery.damage.push(Damage::Missing { segment });
-        survey.ledger.doubt(segment);
+        scan.recovery.damage.push(Damage::Missing { segment });
+        scan.index.assume_run(segment);
     }
-    survey.recovery.latest = survey.recovery.latest.max(survey.ledger.latest());
-    Ok(survey)
+    scan.recovery.latest_timestamp = scan.recovery.latest_timestamp.max(scan.index.latest_timestamp());
+    Ok(scan)
 }
 
-impl Survey {
+impl ScanResult {
     /// Whether the last life ended while it won room back: a segment is half emptied, or emptied and there still, or
     /// one was being begun.
-    pub fn compacting(&self) -> bool {
-        self.ledger.unfinished().is_some() || self.remove.iter().any(|name| file_number(name).is_some())
+    pub fn interrupted_compaction(&self) -> bool {
+        self.index.unfinished().is_some() || self.remove.iter().any(|name| file_number(name).is_some())
     }
 
     fn headers<F: Files>(&mut self, files: &F) -> Result<Headers, OpenError> {
@@ -200,12 +200,12 @@
         });
         found.retain(|segment, _| {
             // What is not listed is of no account: its removal failed, or it never was whole.
-            let counts =
+            let counters =
                 *segment == newest || listed.as_ref().is_none_or(|listed| listed.contains_key(segment));
-            if !counts {
+            if !counters {
                 self.remove.push(file_name(*segment));
             }
-            counts
+            counters
         });
         Ok(Some((newest, listed)))
     }
@@ -216,12 +216,12 @@
         &mut self, segment: u64, header: &Header, bytes: &[u8], (listed, last): (Option<u64>, bool),
         removed: &mut Vec<u64>, seen: &mut dyn FnMut(u64, u64, &Record),
     ) {
-        let on_file = bytes.len() as u64;
-        let listed = listed.unwrap_or(on_file);
-        if on_file < listed {
-            self.recovery.damage.push(Damage::Cut { segment, length: on_file, listed });
+        let bytes_on_disk = bytes.len() as u64;
+        let listed = listed.unwrap_or(bytes_on_disk);
+        if bytes_on_disk < listed {
+            self.recovery.damage.push(Damage::Cut { segment, length: bytes_on_disk, listed });
         }
-        let bytes = &bytes[..listed.min(on_file) as usize];
+        let bytes = &bytes[..listed.min(bytes_on_disk) as usize];
         let (mut at, mut records) = (HEADER.min(bytes.len()), 0);
         while at < bytes.len() {
             if let Some((record, length)) = format::unframe(segment, &bytes[at..]) {
@@ -229,26 +229,26 @@
                     removed.push(segment);
                 }
                 seen(segment, at as u64, &record);
-                self.ledger.replay(segment, &record);
+                self.index.replay(segment, &record);
                 (at, records) = (at + length, records + 1);
                 continue;
             }
             let next = format::next_sound(segment, bytes, at + 1);
             if next.is_none() && last {
-                self.recovery.torn = (bytes.len() - at) as u64;
+                self.recovery.torn_bytes = (bytes.len() - at) as u64;
                 break;
             }
             let end = next.unwrap_or(bytes.len());
             let (offset, length) = (at as u64, (end - at) as u64);
             self.recovery.damage.push(Damage::Bad { segment, offset, length });
-            self.ledger.doubt(segment);
+            self.index.assume_run(segment);
             at = end;
         }
-        if on_file < listed {
-            self.ledger.doubt(segment);
+        if bytes_on_disk < listed {
+            self.index.assume_run(segment);
         }
-        self.recovery.latest = self.recovery.latest.max(header.created);
+        self.recovery.latest_timestamp = self.recovery.latest_timestamp.max(header.created);
         self.segments
-            .insert(segment, Segment { length: at as u64, on_file, created: header.created, records });
+            .insert(segment, Segment { length: at as u64, bytes_on_disk, created: header.created, records });
     }
 }
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -137,7 +137,7 @@
         self.0.borrow_mut().files.remove(name);
     }
 
-    pub fn on_file(&self) -> u64 {
+    pub fn bytes_on_disk(&self) -> u64 {
         self.0.borrow().files.values().map(|entry| (entry.bytes.len() as u64).div_ceil(512) * 512).sum()
     }
 
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -82,7 +82,7 @@
     for (_, kept) in older {
         all += 1;
         // Sent since it was taken, to a zone that nobody knows; unless an earlier call is on record.
-        let doubt = kept.may_have_run.filter(|start| start.at == kept.handed.taken);
+        let doubt = kept.may_have_run.filter(|start| start.at == kept.message.accepted_at);
         doubted += usize::from(doubt.is_some_and(|start| start.zone == UNKNOWN_ZONE));
     }
     assert!(all > 0 && doubted > 0, "{doubted} of {all}");
@@ -194,7 +194,7 @@
             if let Ok((mut journal, _)) = Journal::recover(files.clone(), options(Durability::None)) {
                 let before = Model::of(&journal);
                 for _ in 0..50 {
-                    prop_assert!(journal.step().is_ok());
+                    prop_assert!(journal.compact_step().is_ok());
                 }
                 prop_assert_eq!(&before, &Model::of(&journal));
                 let (again, _) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -5,7 +5,7 @@
 
 use common::model::*;
 use common::*;
-use fawnspoke_journal::{Durability, Handed, Journal};
+use fawnspoke_journal::{AcceptedMessage, Durability, Journal};
 
 /// Plays on whatever fails; the model goes by what the journal answered.
 fn play(
@@ -24,7 +24,7 @@
 
 fn caught_up(journal: &mut Journal<Memory>, what: &str) {
     for _ in 0..3 {
-        if journal.catch_up().is_ok() && journal.is_whole() {
+        if journal.flush_pending().is_ok() && journal.is_fully_written() {
             return;
         }
     }
@@ -59,7 +59,10 @@
             let files = Memory::new(seed);
             let (mut journal, _) = Journal::recover(files.clone(), options(durability)).unwrap();
             play(&mut journal, &mut Model::default(), &mut fastrand::Rng::with_seed(seed), 0..200);
-            assert!(journal.counts().removed > 0, "seed {seed}: no segment was emptied, this shows nothing");
+            assert!(
+                journal.counters().segments_removed > 0,
+                "seed {seed}: no segment was emptied, this shows nothing"
+            );
             for call in (1 + seed..=files.calls()).step_by(5) {
                 for fault in
                     [Fault::Fails(EIO), Fault::Fails(ENOSPC), Fault::Short, Fault::ShortThenFails(ENOSPC)]
@@ -91,7 +94,7 @@
             play(&mut journal, &mut model, &mut rng, 150..300);
             if kind == "append" {
                 assert!(model.messages.len() <= held, "{what}: something was taken that is not on file");
-                assert!(!journal.is_whole(), "{what}: nothing waits, this shows nothing");
+                assert!(!journal.is_fully_written(), "{what}: nothing waits, this shows nothing");
             }
             files.failing(None);
             caught_up(&mut journal, &what);
@@ -112,9 +115,12 @@
         let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
         let (mut model, mut rng) = (Model::default(), fastrand::Rng::with_seed(seed));
         play(&mut journal, &mut model, &mut rng, 0..120);
-        files.space(Some(files.on_file() + 300));
+        files.space(Some(files.bytes_on_disk() + 300));
         play(&mut journal, &mut model, &mut rng, 120..240);
-        assert!(journal.counts().failed > 0, "seed {seed}: the disk was never full, this shows nothing");
+        assert!(
+            journal.counters().failed_calls > 0,
+            "seed {seed}: the disk was never full, this shows nothing"
+        );
         files.space(None);
         caught_up(&mut journal, "room again");
         let before = model.messages.keys().last().copied();
@@ -142,23 +148,27 @@
                 assert!(well, "seed {seed}: {op:?} failed");
                 model.apply(&op, taken);
                 refused += u32::from(taken.is_none());
-                assert!(files.on_file() <= LIMITS.budget, "seed {seed}, round {round}: {}", files.on_file());
+                assert!(
+                    files.bytes_on_disk() <= LIMITS.budget_bytes,
+                    "seed {seed}, round {round}: {}",
+                    files.bytes_on_disk()
+                );
             }
-            assert!(journal.counts().refused >= 20);
+            assert!(journal.counters().rejected_messages >= 20);
             // ... with much that goes on while it is, and nothing that ends.
             let numbers: Vec<u64> = model.messages.keys().copied().collect();
             for _ in 0..10 {
                 for number in &numbers {
                     for op in [
-                        Op::Started(*number, fawnspoke_journal::Start { at: 5, zone: 0 }),
+                        Op::Started(*number, fawnspoke_journal::AttemptStart { at: 5, zone: 0 }),
                         Op::Ended(*number, true),
                     ] {
                         assert!(act(&mut journal, &op).1, "seed {seed}: {op:?} failed");
                         model.apply(&op, None);
                         assert!(
-                            files.on_file() <= LIMITS.budget,
+                            files.bytes_on_disk() <= LIMITS.budget_bytes,
                             "seed {seed}, round {round}: {}",
-                            files.on_file()
+                            files.bytes_on_disk()
                         );
                     }
                 }
@@ -171,9 +181,9 @@
                     assert!(act(&mut journal, &op).1, "seed {seed}: {op:?} failed");
                     model.apply(&op, None);
                     assert!(
-                        files.on_file() <= LIMITS.budget,
+                        files.bytes_on_disk() <= LIMITS.budget_bytes,
                         "seed {seed}, round {round}: {}",
-                        files.on_file()
+                        files.bytes_on_disk()
                     );
                 }
             }
@@ -203,17 +213,29 @@
         }
         let body = vec![7; 100].into();
         let (id, class) = (format!("m{i:03}"), "safe".into());
-        let op =
-            Op::Take(Handed { id, class, dest: 1, taken: 1, deadline: 2, key: None, customer: None, body });
+        let op = Op::Take(AcceptedMessage {
+            id,
+            class,
+            destination: 1,
+            accepted_at: 1,
+            deadline: 2,
+            key: None,
+            tenant: None,
+            body,
+        });
         let (taken, _) = act(&mut journal, &op);
         assert!(taken.is_some());
         model.apply(&op, taken);
     }
-    let (copied, removed) = (journal.counts().copied, journal.counts().removed);
-    while journal.counts().copied == copied {
-        assert!(journal.step().unwrap(), "there is nothing to empty, this shows nothing");
+    let (copied, removed) = (journal.counters().bytes_copied, journal.counters().segments_removed);
+    while journal.counters().bytes_copied == copied {
+        assert!(journal.compact_step().unwrap(), "there is nothing to empty, this shows nothing");
     }
-    assert_eq!(journal.counts().removed, removed, "it was emptied at one step, this shows nothing");
+    assert_eq!(
+        journal.counters().segments_removed,
+        removed,
+        "it was emptied at one step, this shows nothing"
+    );
     let files = files.revived();
     let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     // Now all that was copied ends, and whatever may go goes, step by step.
@@ -225,8 +247,16 @@
     for i in 0..40 {
         let body = vec![7; 100].into();
         let (id, class) = (format!("n{i:03}"), "safe".into());
-        let op =
-            Op::Take(Handed { id, class, dest: 1, taken: 1, deadline: 2, key: None, customer: None, body });
+        let op = Op::Take(AcceptedMessage {
+            id,
+            class,
+            destination: 1,
+            accepted_at: 1,
+            deadline: 2,
+            key: None,
+            tenant: None,
+            body,
+        });
         let (taken, _) = act(&mut journal, &op);
         model.apply(&op, taken);
         end(&mut journal, &mut model, taken.unwrap());
@@ -235,7 +265,7 @@
         let (after, recovery) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
         assert!(recovery.damage.is_empty(), "{recovery:?}");
         assert_eq!(Model::of(&after), model.settled(), "something that was over is back");
-        if !journal.step().unwrap() {
+        if !journal.compact_step().unwrap() {
             break;
         }
     }
--- a/crates/journal/tests/model.rs
+++ b/crates/journal/tests/model.rs
@@ -4,21 +4,21 @@
 
 use common::model::*;
 use common::*;
-use fawnspoke_journal::journal::Counts;
+use fawnspoke_journal::journal::Counters;
 use fawnspoke_journal::{Durability, Journal};
 
 /// What may be found after a stop: the state before the last operation, or after it.
 struct Run {
     before: Model,
     after: Model,
-    counts: Counts,
+    counts: Counters,
 }
 
 /// Plays a workload until the file system stops, or to its end.
 fn play(files: &Memory, seed: u64, ops: u64, durability: Durability) -> Run {
     let mut rng = fastrand::Rng::with_seed(seed);
     let Ok((mut journal, _)) = Journal::recover(files.clone(), options(durability)) else {
-        return Run { before: Model::default(), after: Model::default(), counts: Counts::default() };
+        return Run { before: Model::default(), after: Model::default(), counts: Counters::default() };
     };
     // An earlier life's, where there was one.
     let mut model = Model::of(&journal);
@@ -33,19 +33,19 @@
             let mut after = before.clone();
             // The number that it would have got is the next one; it is looked up by its id below.
             after.apply(&op, taken.or(Some(u64::MAX)));
-            return Run { before, after, counts: journal.counts() };
+            return Run { before, after, counts: journal.counters() };
         }
         model.apply(&op, taken);
         assert_eq!(Model::of(&journal), model, "seed {seed}, after {op:?}");
     }
-    Run { before: model.clone(), after: model, counts: journal.counts() }
+    Run { before: model.clone(), after: model, counts: journal.counters() }
 }
 
 /// Whether what was recovered is the model; a message that was being taken may have any number.
 fn is(found: &Model, model: &Model) -> bool {
     let mut model = model.settled();
     if let Some(new) = model.messages.remove(&u64::MAX) {
-        let Some((number, _)) = found.messages.iter().find(|(_, (handed, _))| handed.id == new.0.id) else {
+        let Some((number, _)) = found.messages.iter().find(|(_, (message, _))| message.id == new.0.id) else {
             return false;
         };
         model.messages.insert(*number, new);
@@ -72,7 +72,8 @@
 /// Stops a workload at each of its calls, `each`-th by `each`-th; returns how many stops there were.
 fn every_stop(seed: u64, ops: u64, durability: Durability, each: usize) -> u64 {
     let files = Memory::new(seed);
-    let Counts { removed, copied, .. } = play(&files, seed, ops, durability).counts;
+    let Counters { segments_removed: removed, bytes_copied: copied, .. } =
+        play(&files, seed, ops, durability).counts;
     assert!(removed > 0 && copied > 0, "seed {seed}: no segment was emptied, this shows nothing");
     let calls = files.calls();
     let mut stops = 0;
--- a/crates/journal/tests/old_format.rs
+++ b/crates/journal/tests/old_format.rs
@@ -6,7 +6,7 @@
 use common::model::*;
 use common::*;
 use fawnspoke_journal::format::{Header, Record, frame as frame_of};
-use fawnspoke_journal::{Durability, Handed, Journal, Notice, OpenError, Share, Start};
+use fawnspoke_journal::{AcceptedMessage, AttemptStart, Durability, Journal, Notice, OpenError, QuotaStatus};
 use serde::Serialize;
 
 /// The records of the format before.
@@ -16,8 +16,8 @@
         number: u64,
         id: &'a str,
         class: &'a str,
-        dest: u32,
-        taken: u64,
+        destination: u32,
+        accepted_at: u64,
         deadline: u64,
         key: Option<&'a str>,
         body: &'a [u8],
@@ -25,11 +25,11 @@
     Past {
         number: u64,
         attempts: u32,
-        may_have_run: Option<Start>,
+        may_have_run: Option<AttemptStart>,
     },
     Started {
         number: u64,
-        start: Start,
+        start: AttemptStart,
     },
     Ended {
         number: u64,
@@ -43,8 +43,8 @@
         number: u64,
     },
     Outage {
-        dest: u32,
-        out: bool,
+        destination: u32,
+        ongoing: bool,
     },
 }
 
@@ -64,27 +64,29 @@
         let (id, body) = (id.as_str(), &body[..]);
         frame(
             &mut bytes,
-            &Old::Taken { number, id, class: "c", dest: 3, taken: 10, deadline: 99, key, body },
+            &Old::Taken { number, id, class: "c", destination: 3, accepted_at: 10, deadline: 99, key, body },
         );
     }
-    let start = Start { at: 20, zone: 1 };
+    let start = AttemptStart { at: 20, zone: 1 };
     frame(&mut bytes, &Old::Past { number: 1, attempts: 2, may_have_run: Some(start) });
     frame(&mut bytes, &Old::Started { number: 2, start });
     frame(&mut bytes, &Old::Started { number: 3, start });
     frame(&mut bytes, &Old::Ended { number: 3, may_have_run: false });
     frame(&mut bytes, &Old::Owed { number: 4, notice: Notice::GivenUp });
     frame(&mut bytes, &Old::Over { number: 5 });
-    frame(&mut bytes, &Old::Outage { dest: 3, out: true });
-    frame(&mut bytes, &Old::Outage { dest: 4, out: true });
-    frame(&mut bytes, &Old::Outage { dest: 4, out: false });
+    frame(&mut bytes, &Old::Outage { destination: 3, ongoing: true });
+    frame(&mut bytes, &Old::Outage { destination: 4, ongoing: true });
+    frame(&mut bytes, &Old::Outage { destination: 4, ongoing: false });
     bytes.extend_from_slice(&[200, 0, 0, 0, 1, 2]);
     bytes
 }
 
 fn check(journal: &Journal<Memory>) {
-    let start = Some(Start { at: 20, zone: 1 });
-    let about: Vec<_> =
-        journal.iter().map(|(number, k)| (number, k.attempts, k.may_have_run, k.out, k.notice)).collect();
+    let start = Some(AttemptStart { at: 20, zone: 1 });
+    let about: Vec<_> = journal
+        .iter()
+        .map(|(number, k)| (number, k.attempts, k.may_have_run, k.in_flight, k.notice))
+        .collect();
     let expected = [
         (1, 2, start, None, None),
         (2, 1, start, None, None),
@@ -93,7 +95,7 @@
     ];
     assert_eq!(about, expected);
     assert_eq!(journal.outages().collect::<Vec<_>>(), [3]);
-    let second = &journal.get(2).unwrap().handed;
+    let second = &journal.get(2).unwrap().message;
     assert_eq!((second.id.as_str(), second.key.as_deref(), second.body.len()), ("m2", Some("key"), 300));
 }
 
@@ -103,15 +105,15 @@
     files.put("journal", file());
     files.put("journal.next", b"half of one that was written anew".to_vec());
     let (mut journal, recovery) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
-    assert_eq!((recovery.carried, recovery.torn, recovery.damage.len()), (Some(4), 6, 0));
+    assert_eq!((recovery.migrated_messages, recovery.torn_bytes, recovery.damage.len()), (Some(4), 6, 0));
     check(&journal);
     assert!(files.names().iter().all(|name| name.ends_with(".journal")), "{:?}", files.names());
     // Numbers go on behind the old ones.
-    let mut handed = journal.get(2).unwrap().handed.clone();
-    handed.id = "new".into();
-    assert_eq!(journal.take(&handed).unwrap(), Some(5));
+    let mut message = journal.get(2).unwrap().message.clone();
+    message.id = "new".into();
+    assert_eq!(journal.accept(&message).unwrap(), Some(5));
     let (again, recovery) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
-    assert_eq!(recovery.carried, None);
+    assert_eq!(recovery.migrated_messages, None);
     assert_eq!(again.iter().count(), 5);
 }
 
@@ -162,8 +164,8 @@
         number,
         id,
         class: "c",
-        dest: 3,
-        taken: 10,
+        destination: 3,
+        accepted_at: 10,
         deadline: 99,
         key: None,
         body: b"body",
@@ -174,7 +176,7 @@
         taken(1, "m1"),
         taken(2, "m2"),
         Record::Over { number: 1, base: 1 },
-        Record::Started { number: 2, start: Start { at: 20, zone: 1 } },
+        Record::Started { number: 2, start: AttemptStart { at: 20, zone: 1 } },
     ];
     records.iter().for_each(|record| _ = frame_of(&mut bytes, 1, record).unwrap());
     bytes
@@ -185,22 +187,23 @@
     let files = Memory::new(4);
     files.put("0000000000000001.journal", version_1());
     let (mut journal, recovery) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
-    assert_eq!((recovery.damage.len(), recovery.torn), (0, 0));
-    let kept: Vec<_> = journal.iter().map(|(number, k)| (number, k.handed.customer.clone())).collect();
+    assert_eq!((recovery.damage.len(), recovery.torn_bytes), (0, 0));
+    let kept: Vec<_> = journal.iter().map(|(number, k)| (number, k.message.tenant.clone())).collect();
     assert_eq!(kept, [(2, None)]);
-    assert_eq!(journal.get(2).unwrap().may_have_run, Some(Start { at: 20, zone: 1 }));
+    assert_eq!(journal.get(2).unwrap().may_have_run, Some(AttemptStart { at: 20, zone: 1 }));
     assert_eq!(journal.outages().collect::<Vec<_>>(), [4]);
-    let mut handed = journal.get(2).unwrap().handed.clone();
-    (handed.id, handed.taken) = ("m3".into(), 30);
-    handed.customer = Some(("kilima".into(), Share { over: true, left: 250 }));
-    assert_eq!(journal.take(&handed).unwrap(), Some(3));
+    let mut message = journal.get(2).unwrap().message.clone();
+    (message.id, message.accepted_at) = ("m3".into(), 30);
+    message.tenant = Some(("kilima".into(), QuotaStatus { exceeded: true, remaining_thousandths: 250 }));
+    assert_eq!(journal.accept(&message).unwrap(), Some(3));
     // Segments of both versions stand side by side, and the next life reads them.
     let (next, recovery) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
     assert!(recovery.damage.is_empty(), "{:?}", recovery.damage);
     assert_eq!(next.iter().count(), 2);
-    assert_eq!(next.get(3).unwrap().handed, handed);
-    let levels: Vec<_> = next.levels().map(|level| (level.customer, level.left, level.at)).collect();
-    assert_eq!(levels, [("kilima".to_string(), 250, 30)]);
+    assert_eq!(next.get(3).unwrap().message, message);
+    let quota_levels: Vec<_> =
+        next.quota_levels().map(|level| (level.tenant, level.remaining_thousandths, level.at)).collect();
+    assert_eq!(quota_levels, [("kilima".to_string(), 250, 30)]);
 }
 
 /// What a customer had left outlasts the message that told it, and one that is copied later tells nothing new.
@@ -208,58 +211,65 @@
 fn what_is_left_of_a_share_outlasts_its_messages() {
     let files = Memory::new(5);
     let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
-    let mut handed = Handed {
+    let mut message = AcceptedMessage {
         id: "a".into(),
         class: "c".into(),
-        dest: 1,
-        taken: 10,
+        destination: 1,
+        accepted_at: 10,
         deadline: 99,
         key: None,
-        customer: Some(("kilima".into(), Share { over: false, left: 9000 })),
+        tenant: Some(("kilima".into(), QuotaStatus { exceeded: false, remaining_thousandths: 9000 })),
         body: vec![1; 300].into(),
     };
-    journal.take(&handed).unwrap();
-    (handed.id, handed.taken) = ("b".into(), 20);
-    handed.customer = Some(("kilima".into(), Share { over: true, left: 400 }));
-    let last = journal.take(&handed).unwrap().unwrap();
-    journal.over(last).unwrap();
+    journal.accept(&message).unwrap();
+    (message.id, message.accepted_at) = ("b".into(), 20);
+    message.tenant = Some(("kilima".into(), QuotaStatus { exceeded: true, remaining_thousandths: 400 }));
+    let last = journal.accept(&message).unwrap().unwrap();
+    journal.close(last).unwrap();
     for life in 0..3 {
         // Segments fill and are emptied: the records of both are copied or go.
-        handed.customer = None;
+        message.tenant = None;
         for i in 0..60 {
-            handed.id = format!("{life}-{i}");
-            let number = journal.take(&handed).unwrap().unwrap();
-            journal.over(number).unwrap();
-            journal.step().unwrap();
+            message.id = format!("{life}-{i}");
+            let number = journal.accept(&message).unwrap().unwrap();
+            journal.close(number).unwrap();
+            journal.compact_step().unwrap();
         }
-        let levels: Vec<_> = journal.levels().map(|level| (level.left, level.at)).collect();
-        assert_eq!(levels, [(400, 20)], "life {life}");
+        let quota_levels: Vec<_> =
+            journal.quota_levels().map(|level| (level.remaining_thousandths, level.at)).collect();
+        assert_eq!(quota_levels, [(400, 20)], "life {life}");
         journal = Journal::recover(files.revived(), options(Durability::None)).unwrap().0;
     }
-    assert!(journal.counts().removed > 0 || !files.names().contains(&"0000000000000001.journal".to_string()));
+    assert!(
+        journal.counters().segments_removed > 0
+            || !files.names().contains(&"0000000000000001.journal".to_string())
+    );
 }
 
 #[test]
 fn names_of_customers_without_end_are_bounded() {
     let files = Memory::new(6);
     let mut limits = options(Durability::None);
-    limits.limits = fawnspoke_journal::plan::Limits::of(10_000_000);
+    limits.limits = fawnspoke_journal::compaction::Limits::for_budget(10_000_000);
     let (mut journal, _) = Journal::recover(files, limits).unwrap();
     for i in 0..3000u64 {
-        let handed = Handed {
+        let message = AcceptedMessage {
             id: i.to_string(),
             class: "c".into(),
-            dest: 1,
-            taken: i,
+            destination: 1,
+            accepted_at: i,
             deadline: 99_999,
             key: None,
-            customer: Some((format!("customer {i}"), Share { over: false, left: 1 })),
+            tenant: Some((
+                format!("customer {i}"),
+                QuotaStatus { exceeded: false, remaining_thousandths: 1 },
+            )),
             body: Bytes::new(),
         };
-        let number = journal.take(&handed).unwrap().unwrap();
-        journal.over(number).unwrap();
+        let number = journal.accept(&message).unwrap().unwrap();
+        journal.close(number).unwrap();
     }
-    let levels: Vec<_> = journal.levels().collect();
-    assert_eq!(levels.len(), 1024);
-    assert!(levels.iter().all(|level| level.at >= 3000 - 1024), "the latest stay");
+    let quota_levels: Vec<_> = journal.quota_levels().collect();
+    assert_eq!(quota_levels.len(), 1024);
+    assert!(quota_levels.iter().all(|level| level.at >= 3000 - 1024), "the latest stay");
 }
--- a/crates/lab/src/killer.rs
+++ b/crates/lab/src/killer.rs
@@ -5,7 +5,7 @@
 use crate::record::Sig;
 use crate::scenario::Killer;
 use fawnspoke_journal::Disk;
-use fawnspoke_journal::survey::survey;
+use fawnspoke_journal::scan::scan;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
@@ -59,7 +59,7 @@
         while Instant::now() < until {
             // Held still, so that what is seen is what the kill meets.
             process.signal(Sig::Stop);
-            if survey(&Disk::new(&process.state()), 0).is_ok_and(|survey| survey.compacting()) {
+            if scan(&Disk::new(&process.state()), 0).is_ok_and(|scan| scan.interrupted_compaction()) {
                 break;
             }
             process.signal(Sig::Cont);
@@ -69,10 +69,10 @@
         process.ended(GONE).await;
         self.count.fetch_add(1, Ordering::SeqCst);
         // A folder that can't be read keeps the next life from starting, which the record tells.
-        if let Ok(survey) = survey(&Disk::new(&process.state()), 0) {
-            self.compacting.fetch_add(usize::from(survey.compacting()), Ordering::SeqCst);
-            self.found.fetch_add(survey.ledger.len(), Ordering::SeqCst);
-            self.damaged.fetch_add(usize::from(!survey.recovery.damage.is_empty()), Ordering::SeqCst);
+        if let Ok(scan) = scan(&Disk::new(&process.state()), 0) {
+            self.compacting.fetch_add(usize::from(scan.interrupted_compaction()), Ordering::SeqCst);
+            self.found.fetch_add(scan.index.len(), Ordering::SeqCst);
+            self.damaged.fetch_add(usize::from(!scan.recovery.damage.is_empty()), Ordering::SeqCst);
         }
         true
     }
--- a/crates/node/src/acts.rs
+++ b/crates/node/src/acts.rs
@@ -23,10 +23,10 @@
         let mut journal = node.journal.borrow_mut();
         for end in &end.ends {
             node.record(match end.closed {
-                true => journal.over(end.number),
+                true => journal.close(end.number),
                 // Its start was never on record: it never began.
-                false if journal.get(end.number).is_none_or(|kept| kept.out.is_none()) => continue,
-                false => journal.ended(end.number, !end.outcome.never_ran()),
+                false if journal.get(end.number).is_none_or(|kept| kept.in_flight.is_none()) => continue,
+                false => journal.attempt_ended(end.number, !end.outcome.never_ran()),
             });
         }
     }
@@ -86,9 +86,9 @@
 impl Calls {
     fn add(&mut self, node: &Node, send: Send) {
         let Send { number, endpoint, attempt, timeout, alone } = send;
-        let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.handed.clone()) else { return };
+        let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.message.clone()) else { return };
         let item = Item { number, attempt, handed };
-        let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.dest);
+        let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.destination);
         let Some(place) = place.filter(|place| node.bounds.may_try(place.dest)) else {
             let ends = vec![calls::End { number, attempt, outcome: Outcome::Moot, closed: false }];
             node.send(Input::Ended { endpoint, sent_at: node.now(), end: CallEnd::bare(ends, false) });
@@ -123,14 +123,15 @@
                 sends.add(node, Send { number, endpoint, attempt, timeout: *timeout, alone: *alone });
             }
             Action::Refuse(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.handed.dest));
+                let dest =
+                    node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.message.destination));
                 dest.inspect(|dest| node.counts.count(dest.0, |count| count.back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.come_back(dest) * 1000.0).ceil() as u64;
                 node.count_end(id.0, End::Throttled);
                 end(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|kept| kept.handed.dest);
+                let dest = node.journal.borrow().get(id.0).map(|kept| kept.message.destination);
                 dest.inspect(|dest| node.counts.count(*dest, |count| count.given_up += 1));
                 node.count_end(id.0, End::Faulted);
                 end(node, id.0, Notice::GivenUp);
@@ -166,7 +167,7 @@
             Action::Subscribe => node.resubscribe.notify_one(),
             Action::Remember { destination, out } => {
                 node.bounds.out(node, destination.0, *out);
-                node.record(node.journal.borrow_mut().outage(destination.0, *out));
+                node.record(node.journal.borrow_mut().set_outage(destination.0, *out));
             }
             Action::Note(text) => log::say(format_args!("{now:.3} {text}")),
         }
@@ -183,6 +184,6 @@
 }
 
 pub fn end(node: &Node, number: u64, notice: Notice) {
-    node.record(node.journal.borrow_mut().owe(number, notice));
+    node.record(node.journal.borrow_mut().notice_due(number, notice));
     node.notices.notify_one();
 }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::wire::{Head, Unread, Wire};
 use crate::{Node, log};
 use fawnspoke_control::figures::Figures;
-use fawnspoke_journal::Handed;
+use fawnspoke_journal::AcceptedMessage;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -278,7 +278,7 @@
 pub struct Item {
     pub number: u64,
     pub attempt: u32,
-    pub handed: Handed,
+    pub handed: AcceptedMessage,
 }
 
 /// One call with one message or several.
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -217,10 +217,10 @@
     let mut at_once = NOTICES;
     let mut patience = NOTICE_ANSWER;
     loop {
-        let owed = node.journal.borrow().owed_at(node.unix_now(), at_once);
+        let owed = node.journal.borrow().due_notices(node.unix_now(), at_once);
         if owed.is_empty() {
             // One that is not on record yet may go out a little later: a kill would forget it.
-            let waits = !node.journal.borrow().owed(1).is_empty();
+            let waits = !node.journal.borrow().pending_notices(1).is_empty();
             if waits {
                 sleep(UNRECORDED_PAUSE).await;
             } else {
@@ -242,7 +242,7 @@
             Ok(StatusCode::NO_CONTENT) => {
                 (backoff, at_once, patience) = (BACKOFF, NOTICES, NOTICE_ANSWER);
                 for (number, ..) in owed {
-                    node.record(node.journal.borrow_mut().over(number));
+                    node.record(node.journal.borrow_mut().close(number));
                 }
                 continue;
             }
@@ -253,7 +253,7 @@
             }
             Ok(StatusCode::BAD_REQUEST) => {
                 log::line(format_args!("notice for {}: the platform cannot read it; left out", owed[0].1));
-                node.record(node.journal.borrow_mut().over(owed[0].0));
+                node.record(node.journal.borrow_mut().close(owed[0].0));
                 continue;
             }
             Ok(status) => log::line(format_args!("notices: answered {status}")),
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -18,7 +18,7 @@
 use fawnspoke_handover::lock::{self, Lock};
 use fawnspoke_handover::taker::{self, Taker};
 use fawnspoke_journal::OpenError;
-use fawnspoke_journal::ended::Ended;
+use fawnspoke_journal::recent_outcomes::RecentOutcomes;
 use rustix::time::{ClockId, clock_gettime};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
@@ -55,7 +55,7 @@
     /// The list.
     pub directory: Directory,
     /// Messages that have ended.
-    pub ended: Ended,
+    pub ended: RecentOutcomes,
 }
 
 /// The same, where it is.
@@ -64,7 +64,7 @@
     started: f64,
     decisions: &'a Dispatcher,
     directory: &'a Directory,
-    ended: &'a Ended,
+    ended: &'a RecentOutcomes,
 }
 
 /// The system's monotonic clock, which both processes read, in seconds.
@@ -320,7 +320,7 @@
 /// Opens the journal anew; the messages that ended in this life are remembered.
 fn reopen(node: &Node) -> Result<(), OpenError> {
     let (mut journal, _) = open_journal(&node.config)?;
-    journal.recall(node.journal.borrow().ended_ids().clone());
+    journal.restore_recent_outcomes(node.journal.borrow().recent_outcomes().clone());
     node.journal.replace(journal);
     Ok(())
 }
@@ -332,7 +332,7 @@
         let (decisions, directory, journal) =
             (node.dispatcher.borrow(), node.directory.borrow(), node.journal.borrow());
         let started = monotonic() - node.now();
-        let (decisions, directory, ended) = (&*decisions, &*directory, journal.ended_ids());
+        let (decisions, directory, ended) = (&*decisions, &*directory, journal.recent_outcomes());
         ciborium::into_writer(&Known { started, decisions, directory, ended }, &mut state)?;
     }
     for piece in state.chunks(CHUNK) {
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -5,7 +5,7 @@
 use crate::sizes::BODY_MOST;
 use crate::wire::Unread;
 use fawnspoke_control::figures;
-use fawnspoke_journal::{End, Handed, UnixMicros};
+use fawnspoke_journal::{AcceptedMessage, FinalOutcome, UnixMicros};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
@@ -21,7 +21,7 @@
 /// The client was gone before it could hear that its message was taken: nothing is owed.
 pub fn withdraw(node: &Node, number: u64) {
     node.unheard.borrow_mut().remove(&number);
-    node.record(node.journal.borrow_mut().over(number));
+    node.record(node.journal.borrow_mut().close(number));
 }
 
 type Answer = Response<Full<Bytes>>;
@@ -79,8 +79,8 @@
     let Some(body) = client.body(length).filter(|_| behind != Unread::Bytes) else {
         return plain(StatusCode::BAD_REQUEST, "one request at a time, as long as it says\n");
     };
-    let handed = Handed { body, ..handed };
-    let dest = DestinationId(handed.dest);
+    let handed = AcceptedMessage { body, ..handed };
+    let dest = DestinationId(handed.destination);
     // It may have left, and then handed the message in elsewhere; if it listens still, it may come again.
     if behind == Unread::End {
         return refuse(node, class, dest);
@@ -90,11 +90,11 @@
         return refuse(node, class, dest);
     }
     let mut journal = node.journal.borrow_mut();
-    match journal.number(&handed.id) {
+    match journal.number_by_id(&handed.id) {
         // Still to be heard on another connection, which may yet fail.
         Some(number) if node.unheard.borrow().contains(&number) => return refuse(node, class, dest),
         // The same message once more: it is owed already.
-        Some(number) if journal.get(number).is_some_and(|kept| kept.is(&handed)) => {
+        Some(number) if journal.get(number).is_some_and(|kept| kept.matches(&handed)) => {
             return plain(StatusCode::ACCEPTED, "taken\n");
         }
         // Another one under an id that is in use would never be delivered.
@@ -102,11 +102,11 @@
         None => {}
     }
     // Once more after its end.
-    match journal.end_of(&handed) {
+    match journal.final_outcome_of(&handed) {
         // Nothing more is owed, and it may not run again.
-        Some(End::Delivered) => return plain(StatusCode::ACCEPTED, "taken\n"),
-        Some(End::GivenUp) => return plain(StatusCode::CONFLICT, "it failed, and may have run\n"),
-        Some(End::HandedBack) | None => {}
+        Some(FinalOutcome::Delivered) => return plain(StatusCode::ACCEPTED, "taken\n"),
+        Some(FinalOutcome::GivenUp) => return plain(StatusCode::CONFLICT, "it failed, and may have run\n"),
+        Some(FinalOutcome::HandedBack) | None => {}
     }
     if journal.open_messages() >= node.config.settings.room {
         return refuse(node, class, dest);
@@ -127,10 +127,13 @@
     let share = tenant.and_then(|tenant| Some((tenant, node.dispatcher.borrow().share(now, tenant)?)));
     let customer = share.map(|(tenant, Share { over, left })| {
         let left = (left * 1000.0) as u32;
-        (node.config.tenants[tenant].clone(), fawnspoke_journal::Share { over, left })
+        (
+            node.config.tenants[tenant].clone(),
+            fawnspoke_journal::QuotaStatus { exceeded: over, remaining_thousandths: left },
+        )
     });
-    let handed = Handed { customer, ..handed };
-    match journal.take(&handed) {
+    let handed = AcceptedMessage { tenant: customer, ..handed };
+    match journal.accept(&handed) {
         Ok(Some(number)) => {
             node.record(Ok(()));
             if let Some((tenant, Share { left, .. })) = share {
@@ -161,7 +164,7 @@
 
 fn read_head(
     node: &Node, class: usize, headers: &HeaderMap, received: UnixMicros,
-) -> Result<Handed, &'static str> {
+) -> Result<AcceptedMessage, &'static str> {
     // Of a header that stands twice, nobody can say which one holds.
     let names =
         ["Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "X-Consignee", "Tenant"];
@@ -192,14 +195,14 @@
     }
     let parts = text("X-Consignee").unwrap_or_default().split([',', ';', ' ']);
     let dest = parts.filter_map(|part| part.strip_prefix("dest=")).find_map(|dest| dest.parse().ok());
-    Ok(Handed {
+    Ok(AcceptedMessage {
         id: id.into(),
         class: name.clone(),
-        dest: dest.ok_or("X-Consignee: dest=NUMBER expected")?,
-        taken: received,
+        destination: dest.ok_or("X-Consignee: dest=NUMBER expected")?,
+        accepted_at: received,
         deadline: received + u64::from(span) * 1000,
         key,
-        customer: None,
+        tenant: None,
         body: Bytes::new(),
     })
 }
--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -3,7 +3,7 @@
 use crate::calls::Item;
 use crate::{Node, log};
 use fawnspoke_control::figures::End;
-use fawnspoke_journal::{Level, Start, UNKNOWN_ZONE};
+use fawnspoke_journal::{AttemptStart, QuotaLevel, UNKNOWN_ZONE};
 use std::time::Instant;
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, Outcome, Seconds};
 
@@ -44,15 +44,15 @@
     /// # Errors
     /// [`Outcome::NotRecorded`], where the call must not begin.
     pub fn record_start(&self, items: &[Item], zone: u16) -> Result<(), Outcome> {
-        let start = Start { at: self.unix_now(), zone };
+        let start = AttemptStart { at: self.unix_now(), zone };
         let mut journal = self.journal.borrow_mut();
         for item in items {
-            let Err(error) = journal.started(item.number, start) else { continue };
+            let Err(error) = journal.attempt_started(item.number, start) else { continue };
             self.record(Err(error));
             if self.effect(&item.handed.class) != Some(Effect::Safe) {
                 return Err(Outcome::NotRecorded);
             }
-            journal.started_without_record(item.number, start);
+            journal.attempt_started_unrecorded(item.number, start);
         }
         Ok(())
     }
@@ -61,7 +61,7 @@
     pub fn count_end(&self, number: u64, end: End) {
         let journal = self.journal.borrow();
         let Some(kept) = journal.get(number) else { return };
-        if let Some(class) = self.config.classes.iter().position(|class| *class == kept.handed.class) {
+        if let Some(class) = self.config.classes.iter().position(|class| *class == kept.message.class) {
             self.figures.ended(class, end);
         }
     }
@@ -73,24 +73,24 @@
 
     pub fn message(&self, number: u64) -> Option<Message> {
         let journal = self.journal.borrow();
-        let handed = &journal.get(number)?.handed;
+        let handed = &journal.get(number)?.message;
         // A class that is no longer configured is one that the decisions do not know either.
         let class = self.config.classes.iter().position(|class| *class == handed.class);
-        let customer = handed.customer.as_ref();
+        let customer = handed.tenant.as_ref();
         Some(Message {
             id: MessageId(number),
             class: class.unwrap_or(usize::MAX),
-            destination: DestinationId(handed.dest),
+            destination: DestinationId(handed.destination),
             deadline: self.seconds(handed.deadline),
             key: None,
             tenant: customer.and_then(|(name, _)| self.tenant(name)).unwrap_or(NO_TENANT),
-            over_share: Some(customer.is_some_and(|(_, share)| share.over)),
+            over_share: Some(customer.is_some_and(|(_, share)| share.exceeded)),
         })
     }
 
     /// When and where a call was sent that may have run. Where keys are kept by zone and nobody knows the zone any
     /// more, no endpoint can be trusted to know the key: it is as if its time were over.
-    pub fn first_run(&self, class: usize, start: Start) -> (Seconds, u16) {
+    pub fn first_run(&self, class: usize, start: AttemptStart) -> (Seconds, u16) {
         let effect = self.config.settings.classes.get(class).map(|class| class.effect);
         let lost = start.zone == UNKNOWN_ZONE && matches!(effect, Some(Effect::Keyed { by_zone: true, .. }));
         (if lost { f64::NEG_INFINITY } else { self.seconds(start.at) }, start.zone)
@@ -103,7 +103,7 @@
         log::say(format_args!(
             "journal: {} messages and {} notices taken up",
             open.len(),
-            journal.owed(usize::MAX).len()
+            journal.pending_notices(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted) {
             self.tell(Event::Remembered(DestinationId(destination)));
@@ -111,7 +111,9 @@
         for destination in journal.outages() {
             self.bounds.out(self, destination, true);
         }
-        for Level { customer, left, at } in journal.levels().filter(|_| !self.adopted) {
+        for QuotaLevel { tenant: customer, remaining_thousandths: left, at } in
+            journal.quota_levels().filter(|_| !self.adopted)
+        {
             let Some(tenant) = self.tenant(&customer) else { continue };
             self.tell(Event::Counted { tenant, left: f64::from(left) / 1000.0, at: self.seconds(at) });
         }
@@ -123,7 +125,7 @@
             let Some(message) = self.message(number) else { continue };
             self.tell(Event::Resumed {
                 message,
-                taken: self.seconds(kept.handed.taken),
+                taken: self.seconds(kept.message.accepted_at),
                 attempts: kept.attempts,
                 may_have_run: kept.may_have_run.map(|start| self.first_run(message.class, start)),
             });
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/rounds.rs
@@ -156,7 +156,8 @@
             counted_at = now;
             let journal = node.journal.borrow();
             let open = journal.iter().filter(|(_, kept)| kept.notice.is_none());
-            let ages = open.map(|(_, kept)| (kept.handed.dest, -node.seconds(kept.handed.taken) + now));
+            let ages = open
+                .map(|(_, kept)| (kept.message.destination, -node.seconds(kept.message.accepted_at) + now));
             node.counts.line(now, ages).inspect(|line| log::line(line));
         }
         if now >= sweep_at {
--- a/crates/node/src/space.rs
+++ b/crates/node/src/space.rs
@@ -21,7 +21,7 @@
     pub fn work(&mut self, node: &Node) {
         let begun = Instant::now();
         let mut journal = node.journal.borrow_mut();
-        match journal.step() {
+        match journal.compact_step() {
             Ok(false) => {}
             Ok(true) => {
                 let took = begun.elapsed();
@@ -30,10 +30,10 @@
             }
             Err(error) => node.record(Err(error)),
         }
-        let counts = journal.counts();
+        let counts = journal.counters();
         let since = *self.reported.get_or_insert(begun);
-        if begun - since >= REPORT && self.told != (counts.removed, counts.refused) {
-            (self.reported, self.told) = (Some(begun), (counts.removed, counts.refused));
+        if begun - since >= REPORT && self.told != (counts.segments_removed, counts.rejected_messages) {
+            (self.reported, self.told) = (Some(begun), (counts.segments_removed, counts.rejected_messages));
             let segments = journal.segments();
             let (bytes, live) =
                 segments.iter().fold((0, 0), |(b, l), (_, length, live)| (b + length, l + live));
@@ -41,14 +41,14 @@
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
                  {:.3} ms on average and {:.3} at most; {} removed, {} messages refused for room, {} calls failed",
                 segments.len(),
-                counts.written,
-                counts.copied,
+                counts.bytes_written,
+                counts.bytes_copied,
                 self.steps,
                 self.time.as_secs_f64() * 1e3 / self.steps.max(1) as f64,
                 self.longest.as_secs_f64() * 1e3,
-                counts.removed,
-                counts.refused,
-                counts.failed
+                counts.segments_removed,
+                counts.rejected_messages,
+                counts.failed_calls
             ));
         }
     }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -12,7 +12,7 @@
 use crate::{Node, clock, control, counts, discovery, handover, inherited, log};
 use fawnspoke_control::door;
 use fawnspoke_control::figures::Figures;
-use fawnspoke_journal::plan::{self, Limits};
+use fawnspoke_journal::compaction::{self, Limits};
 use fawnspoke_journal::{Durability, Journal, OpenError, Options, Recovery};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -72,14 +72,15 @@
     let now = known.map_or_else(clock::wall, JournalClock::now);
     let options = Options {
         // The platform's own count may have a block more than ours; the clock's file and its successor have one each.
-        limits: Limits::of(config.limits.journal().saturating_sub(3 * plan::BLOCK)),
+        limits: Limits::for_budget(config.limits.journal().saturating_sub(3 * compaction::BLOCK_BYTES)),
         durability: Durability::None,
         now,
         identity: u128::from(config.seed) << 64 | u128::from(now),
-        ends: ENDS,
+        remembered_outcomes: ENDS,
     };
     let (journal, recovery) = Journal::open(&config.state, options)?;
-    let Recovery { torn, damage, carried, latest } = recovery;
+    let Recovery { torn_bytes: torn, damage, migrated_messages: carried, latest_timestamp: latest } =
+        recovery;
     if torn > 0 {
         log::say(format_args!("journal: {torn} bytes of a torn record left out"));
     }
@@ -145,7 +146,7 @@
     let (started, dispatcher, directory) = match state {
         Some(mut state) => {
             let started = state.started();
-            journal.recall(state.ended);
+            journal.restore_recent_outcomes(state.ended);
             state.decisions.moved();
             (started, state.decisions, state.directory)
         }
