--- a/crates/drill/src/host.rs
+++ b/crates/drill/src/host.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use waydoor::{
-    Action, Allowance, AttemptEnd, DestinationId, Dispatcher, EndpointId, Entry, Event, Listed, Message,
-    MessageId, OrderKey, Outcome,
+    Action, AttemptEnd, DestinationId, Dispatcher, EndpointEntry, EndpointId, EndpointState, Event, Message,
+    MessageId, OrderKey, Outcome, RateLimitReport,
 };
 
 /// One dispatcher and where its reports tell the limit.
@@ -20,19 +20,19 @@
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    rosters: BTreeMap<u16, Vec<Entry>>,
+    rosters: BTreeMap<u16, Vec<EndpointEntry>>,
 }
 
 fn outcome(reader: &mut Reader) -> Result<Outcome, WireError> {
     Ok(match reader.u8()? {
         1 => Outcome::Served,
         2 => Outcome::Error,
-        3 => Outcome::Full,
+        3 => Outcome::Overloaded,
         4 => Outcome::TimedOut,
-        5 => Outcome::NoConnection,
-        6 => Outcome::Reset,
+        5 => Outcome::ConnectFailed,
+        6 => Outcome::ConnectionReset,
         7 => Outcome::Cancelled,
-        8 => Outcome::Moot,
+        8 => Outcome::NotSent,
         other => {
             return Err(reader.fault(format!("an outcome from 1 to 8 expected before here, got {other}")));
         }
@@ -42,25 +42,25 @@
 /// Where a report tells the limit, and what is left of it.
 type Fields = (Option<usize>, Option<usize>);
 
-fn report(reader: &mut Reader, (limit, left): Fields) -> Result<Option<Allowance>, WireError> {
+fn report(reader: &mut Reader, (limit, left): Fields) -> Result<Option<RateLimitReport>, WireError> {
     let n = reader.u8()?;
     let values = (0..n).map(|_| reader.f32().map(f64::from)).collect::<Result<Vec<_>, _>>()?;
     let left = left.and_then(|i| values.get(i)).filter(|left| left.is_finite());
     let left = left.map(|left| left.clamp(0.0, 1.0));
     // A limit that is no number tells nothing.
     let rate = limit.and_then(|i| values.get(i)).filter(|rate| rate.is_finite());
-    Ok(rate.map(|rate| Allowance { rate: *rate, left }))
+    Ok(rate.map(|rate| RateLimitReport { rate: *rate, remaining_share: left }))
 }
 
-fn entries(reader: &mut Reader) -> Result<Vec<Entry>, WireError> {
+fn entries(reader: &mut Reader) -> Result<Vec<EndpointEntry>, WireError> {
     let n = reader.u32()?;
     let mut list = Vec::new();
     for _ in 0..n {
         let endpoint = EndpointId(reader.endpoint()?);
         let listed = match reader.u8()? {
-            2 => Listed::Ready,
-            1 => Listed::Draining,
-            0 => Listed::Gone,
+            2 => EndpointState::Ready,
+            1 => EndpointState::Draining,
+            0 => EndpointState::Removed,
             other => {
                 return Err(
                     reader.fault(format!("a condition from 0 to 2 expected before here, got {other}"))
@@ -71,7 +71,7 @@
         let rate = f64::from(reader.f32()?);
         let destination = DestinationId(reader.u16()?.into());
         reader.f64()?;
-        list.push(Entry { endpoint, destination, kind, zone, rate, listed });
+        list.push(EndpointEntry { endpoint, destination, kind, zone, rate, state: listed });
     }
     Ok(list)
 }
@@ -132,20 +132,20 @@
                 let note = reader.u32()?;
                 let latency = reader.f64()?;
                 let allowance = report(reader, limit)?;
-                let wait = (outcome == Outcome::Full && note > 0).then(|| f64::from(note) / 1000.0);
+                let wait = (outcome == Outcome::Overloaded && note > 0).then(|| f64::from(note) / 1000.0);
                 let kept = outcome.answered();
-                Event::Ended(AttemptEnd {
+                Event::AttemptEnded(AttemptEnd {
                     id,
                     endpoint,
                     attempt,
                     outcome,
-                    wait,
-                    closed,
+                    retry_after: wait,
+                    settled: closed,
                     latency,
-                    allowance,
+                    rate_limit_report: allowance,
                     // The wire does not tell.
-                    reused: false,
-                    kept,
+                    connection_reused: false,
+                    connection_kept: kept,
                 })
             }
             20 => {
@@ -163,14 +163,22 @@
                 reader.bytes(8)?;
                 let tenant = reader.u16()?.into();
                 let over_share = None;
-                Event::Taken(Message { id, class, destination, deadline, key, tenant, over_share })
+                Event::Accepted(Message {
+                    id,
+                    class,
+                    destination,
+                    deadline,
+                    key,
+                    tenant,
+                    over_quota: over_share,
+                })
             }
             70 => {
                 let endpoint = EndpointId(reader.endpoint()?);
                 let outcome = outcome(reader)?;
                 let latency = reader.f64()?;
                 let allowance = report(reader, limit)?;
-                Event::Probed { endpoint, outcome, latency, allowance }
+                Event::ProbeEnded { endpoint, outcome, latency, rate_limit_report: allowance }
             }
             80 => {
                 let kind = reader.u8()?;
@@ -179,15 +187,15 @@
                 let list = || self.rosters.get(&roster).cloned();
                 let missing = || reader.fault(format!("a roster numbered {roster} expected earlier"));
                 match kind {
-                    0 => Event::ListChanged(list().ok_or_else(missing)?),
-                    1 | 2 => Event::ListWhole(list().ok_or_else(missing)?),
+                    0 => Event::ListUpdate(list().ok_or_else(missing)?),
+                    1 | 2 => Event::ListSnapshot(list().ok_or_else(missing)?),
                     3 => Event::ListFailed,
                     other => {
                         return Err(reader.fault(format!("a list kind from 0 to 3 expected, got {other}")));
                     }
                 }
             }
-            90 => Event::Timer(reader.u32()?),
+            90 => Event::TimerFired(reader.u32()?),
             100 => Event::Withdrawn(MessageId(reader.u64()?)),
             _ => {
                 // A note between instances: none is ever sent.
@@ -251,12 +259,12 @@
             put_endpoint(body, endpoint.0);
             body.put_f64(*timeout);
         }
-        Action::Refuse(id) => {
+        Action::Reject(id) => {
             let body = writer.record(20, i);
             body.put_u64(id.0);
             body.put_f64(0.0);
         }
-        Action::BreakOff { id, attempt } => {
+        Action::CancelAttempt { id, attempt } => {
             let body = writer.record(90, i);
             body.put_u64(id.0);
             body.put_u16(*attempt as u16);
@@ -271,7 +279,7 @@
         Action::CloseIdle(endpoint) => put_endpoint(writer.record(100, i), endpoint.0),
         Action::Subscribe => writer.record(110, i).put_u8(1),
         // In the simulation nothing outlasts a dispatcher.
-        Action::Remember { .. } => {}
-        Action::Note(text) => writer.text(80, i, text),
+        Action::RecordOutage { .. } => {}
+        Action::Log(text) => writer.text(80, i, text),
     }
 }
--- a/crates/drill/src/settings.rs
+++ b/crates/drill/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::wire::WireError;
 use std::collections::BTreeMap;
 use std::str::FromStr;
-use waydoor::{Class, Decay, Effect, Kind, Listing, ReturnRule, Settings, Tenant};
+use waydoor::{Class, DestinationKind, DiscoveryMode, Effect, Settings, SlowStart, Tenant, ValueDecay};
 
 struct Text<'a> {
     record: usize,
@@ -60,10 +60,10 @@
             },
         };
         Ok(Class {
-            aim: self.get(&at("goal_time"))?,
+            target_latency: self.get(&at("goal_time"))?,
             deadline: self.get(&at("deadline"))?,
-            worth: self.get(&at("gain"))?,
-            late_share: self.get(&at("late_share"))?,
+            value: self.get(&at("gain"))?,
+            late_value_share: self.get(&at("late_share"))?,
             effect,
             ordered: self.find(&at("serial_by_key"))?.unwrap_or(false),
         })
@@ -83,40 +83,42 @@
     let apart: Vec<bool> = text.list("family_info.kind_apart")?;
     let batch: Vec<usize> = text.list("family_info.kind_batch")?;
     let names: Vec<String> = text.list("kinds")?;
-    let kind = |i: usize| Kind {
-        routes_apart: apart.get(i).copied().unwrap_or(false),
-        batch: batch.get(i).copied().unwrap_or(1),
+    let kind = |i: usize| DestinationKind {
+        independent_endpoints: apart.get(i).copied().unwrap_or(false),
+        max_batch: batch.get(i).copied().unwrap_or(1),
     };
     // A site without customers has an empty list or none.
     let tenants: usize = text.find("orgs.count")?.unwrap_or(0);
     let tenant = |i: usize| text.get(&format!("orgs.{i}.quota_per_s")).map(|quota| Tenant { quota });
     let asked = text.choice("discovery", &[("automatic", false), ("subscribe", true)])?;
     Ok(Settings {
-        dispatchers: text.get("balancers")?,
-        slots: text.get("family_info.call_slots")?,
-        room: text.get("limits.open_cap")?,
-        attempts: text.get("limits.send_cap")?,
+        dispatcher_count: text.get("balancers")?,
+        max_concurrent_calls: text.get("family_info.call_slots")?,
+        max_messages: text.get("limits.open_cap")?,
+        max_attempts: text.get("limits.send_cap")?,
         keepalive: text.find("limits.keepalive")?,
         probes: text.find("limits.probes")?.unwrap_or(false),
         cancel: text.find("limits.cancel")?.unwrap_or(false),
         zone: text.find("zone")?.unwrap_or(0),
         classes,
         kinds: (0..names.len()).map(kind).collect(),
-        decay: text
-            .choice("family_info.loses_worth", &[("even", Decay::Even), ("by_half", Decay::ByHalf)])?,
-        listing: match asked {
-            true => Listing::OnRequest { ask_within: text.get("safety.must_ask_in")? },
-            false => Listing::Pushed,
+        decay: text.choice(
+            "family_info.loses_worth",
+            &[("even", ValueDecay::Linear), ("by_half", ValueDecay::Exponential)],
+        )?,
+        discovery_mode: match asked {
+            true => DiscoveryMode::Subscription { max_renewal_interval: text.get("safety.must_ask_in")? },
+            false => DiscoveryMode::Pushed,
         },
-        rates_listed: text.find::<String>("weights")?.is_some_and(|word| word != "off"),
-        returning: ReturnRule {
-            cold_share: text.get("safety.cold_share")?,
-            cold_time: text.get("safety.cold")?,
-            multiple: text.get("safety.tip_multiple")?,
-            window: text.get("safety.fall")?,
+        use_listed_rates: text.find::<String>("weights")?.is_some_and(|word| word != "off"),
+        slow_start: SlowStart {
+            cold_capacity_share: text.get("safety.cold_share")?,
+            warm_up_time: text.get("safety.cold")?,
+            overload_multiple: text.get("safety.tip_multiple")?,
+            overload_window: text.get("safety.fall")?,
         },
         tenants: (0..tenants).map(tenant).collect::<Result<_, _>>()?,
-        over_share_worth: text.find("over_share_worth")?.unwrap_or(1.0),
-        key_rest: text.find("safety.key_rest")?.unwrap_or(0.0),
+        over_quota_value: text.find("over_share_worth")?.unwrap_or(1.0),
+        order_key_cooldown: text.find("safety.key_rest")?.unwrap_or(0.0),
     })
 }
--- a/crates/node/src/acts.rs
+++ b/crates/node/src/acts.rs
@@ -48,7 +48,7 @@
     let (mut end, cut) = tokio::select! {
         end = calls::call(&node, &call) => (end, false),
         () = broken_off.notified() => (ended(Outcome::Cancelled), false),
-        () = node.cut.notified() => (ended(Outcome::Reset), true),
+        () = node.cut.notified() => (ended(Outcome::ConnectionReset), true),
     };
     node.calls_open.set(node.calls_open.get() - 1);
     one.inspect(|number| drop(node.breaks.borrow_mut().remove(number)));
@@ -90,12 +90,12 @@
         let item = Item { number, attempt, handed };
         let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.dest);
         let Some(place) = place.filter(|place| node.bounds.may_try(place.dest)) else {
-            let ends = vec![calls::End { number, attempt, outcome: Outcome::Moot, closed: false }];
+            let ends = vec![calls::End { number, attempt, outcome: Outcome::NotSent, closed: false }];
             node.send(Input::Ended { endpoint, sent_at: node.now(), end: CallEnd::bare(ends, false) });
             return;
         };
         let effect = node.effect(&item.handed.class);
-        let batch = node.config.settings.kinds.get(place.kind).map_or(1, |kind| kind.batch);
+        let batch = node.config.settings.kinds.get(place.kind).map_or(1, |kind| kind.max_batch);
         let alike = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
             && let Some(call) = self.open.get(&alike).and_then(|at| self.calls.get_mut(*at))
@@ -118,11 +118,11 @@
     let mut sends = Calls::default();
     for action in actions {
         match action {
-            Action::Send { id, endpoint, attempt, timeout, alone } => {
+            Action::Send { id, endpoint, attempt, timeout, unbatched: alone } => {
                 let (number, endpoint, attempt) = (id.0, *endpoint, *attempt);
                 sends.add(node, Send { number, endpoint, attempt, timeout: *timeout, alone: *alone });
             }
-            Action::Refuse(id) => {
+            Action::Reject(id) => {
                 let dest = node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.handed.dest));
                 dest.inspect(|dest| node.counts.count(dest.0, |count| count.back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.come_back(dest) * 1000.0).ceil() as u64;
@@ -136,7 +136,7 @@
                 end(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
-            Action::BreakOff { id, .. } => {
+            Action::CancelAttempt { id, .. } => {
                 if let Some(out) = node.breaks.borrow().get(&id.0) {
                     out.notify_one();
                 }
@@ -155,7 +155,12 @@
                         }
                         _ => {
                             dest.inspect(|dest| node.bounds.ended(*dest, [outcome]));
-                            node.tell(Event::Probed { endpoint, outcome, latency, allowance });
+                            node.tell(Event::ProbeEnded {
+                                endpoint,
+                                outcome,
+                                latency,
+                                rate_limit_report: allowance,
+                            });
                         }
                     }
                 });
@@ -164,11 +169,11 @@
                 node.pool.close(*endpoint);
             }
             Action::Subscribe => node.resubscribe.notify_one(),
-            Action::Remember { destination, out } => {
+            Action::RecordOutage { destination, ongoing: out } => {
                 node.bounds.out(node, destination.0, *out);
                 node.record(node.journal.borrow_mut().outage(destination.0, *out));
             }
-            Action::Note(text) => log::say(format_args!("{now:.3} {text}")),
+            Action::Log(text) => log::say(format_args!("{now:.3} {text}")),
         }
     }
     for call in sends.calls {
--- a/crates/node/src/bounds.rs
+++ b/crates/node/src/bounds.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use waydoor::{Entry, Event, Outcome};
+use waydoor::{EndpointEntry, Event, Outcome};
 
 /// The thread answers an operator by then, or the answer is no.
 const SHOW_TIME: Duration = Duration::from_millis(500);
@@ -120,7 +120,7 @@
         for outcome in outcomes {
             match outcome {
                 Outcome::Served => self.tell(Fact::Tries(Of::Served(destination))),
-                Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset => {
+                Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
                     self.tell(Fact::Tries(Of::Failed(destination)));
                 }
                 _ => {}
@@ -135,8 +135,10 @@
             return;
         }
         let endpoint = node.directory.borrow().endpoint_of(destination);
-        let (outcome, latency, allowance) = (Outcome::Reset, 0.0, None);
-        endpoint.inspect(|at| node.tell(Event::Probed { endpoint: *at, outcome, latency, allowance }));
+        let (outcome, latency, allowance) = (Outcome::ConnectionReset, 0.0, None);
+        endpoint.inspect(|at| {
+            node.tell(Event::ProbeEnded { endpoint: *at, outcome, latency, rate_limit_report: allowance })
+        });
     }
 
     /// Discovery's watch has ended.
@@ -194,12 +196,12 @@
         let due: BTreeSet<u32> =
             self.out.borrow().iter().filter(|(_, b)| held(b)).map(|(number, _)| *number).collect();
         if *self.back.borrow() != due {
-            self.hold_back(node, due).into_iter().for_each(|entries| node.tell(Event::ListChanged(entries)));
+            self.hold_back(node, due).into_iter().for_each(|entries| node.tell(Event::ListUpdate(entries)));
         }
     }
 
     /// Holds back these destinations and no others; what that changes in the list.
-    fn hold_back(&self, node: &Node, due: BTreeSet<u32>) -> Vec<Vec<Entry>> {
+    fn hold_back(&self, node: &Node, due: BTreeSet<u32>) -> Vec<Vec<EndpointEntry>> {
         let before = self.back.replace(due.clone());
         let mut directory = node.directory.borrow_mut();
         let changed = before.symmetric_difference(&due);
@@ -213,12 +215,12 @@
             member.stop();
         }
         for entries in self.lift(node) {
-            node.dispatcher.borrow_mut().handle(node.now(), Event::ListChanged(entries));
+            node.dispatcher.borrow_mut().handle(node.now(), Event::ListUpdate(entries));
         }
     }
 
     /// No bound is in force any more; what that changes in the list.
-    fn lift(&self, node: &Node) -> Vec<Vec<Entry>> {
+    fn lift(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
         self.out.borrow_mut().clear();
         self.pace.set(Pace::Own);
         self.hold_back(node, BTreeSet::new())
@@ -236,7 +238,7 @@
         let member = self.member.take();
         if let Some(member) = member {
             member.leave().await;
-            self.lift(node).into_iter().for_each(|entries| node.tell(Event::ListChanged(entries)));
+            self.lift(node).into_iter().for_each(|entries| node.tell(Event::ListUpdate(entries)));
         }
     }
 
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -26,7 +26,7 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
-use waydoor::{Allowance, EndpointId, Event, MessageId, Outcome, Seconds};
+use waydoor::{EndpointId, Event, MessageId, Outcome, RateLimitReport, Seconds};
 
 /// What is read of an answer: twice the longest body, since a call may hold several messages' ends.
 const ANSWER_MOST: usize = 128 * 1024;
@@ -307,7 +307,7 @@
 pub struct CallEnd {
     pub ends: Vec<End>,
     pub wait: Option<Seconds>,
-    pub allowance: Option<Allowance>,
+    pub allowance: Option<RateLimitReport>,
     /// Its connection had been idle.
     pub reused: bool,
     /// Its connection is idle now.
@@ -360,7 +360,7 @@
         // A first line with 200 is true of the one message that it answers; of several it tells nothing, and
         // nothing else that stands in such an answer is believed.
         let one = answer.status == StatusCode::OK && items.len() == 1;
-        let ends = all(if one { Outcome::Served } else { Outcome::Spoilt }, one);
+        let ends = all(if one { Outcome::Served } else { Outcome::MalformedResponse }, one);
         // A wait runs from when its answer is written; heeding one that was not meant costs time alone.
         return CallEnd { wait: wait(&answer.headers), ..CallEnd::bare(ends, used.reused) };
     };
@@ -368,15 +368,15 @@
         StatusCode::OK if items.len() > 1 => many_ends(items, body),
         StatusCode::OK => all(Outcome::Served, true),
         StatusCode::SERVICE_UNAVAILABLE if answer.headers.get("X-Line-Busy").is_some_and(|v| v == "1") => {
-            all(Outcome::Moot, false)
+            all(Outcome::NotSent, false)
         }
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Full, false),
-        StatusCode::GATEWAY_TIMEOUT => all(Outcome::Moot, false),
-        StatusCode::GONE => all(Outcome::Moot, true),
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Overloaded, false),
+        StatusCode::GATEWAY_TIMEOUT => all(Outcome::NotSent, false),
+        StatusCode::GONE => all(Outcome::NotSent, true),
         StatusCode::INTERNAL_SERVER_ERROR => all(Outcome::Error, false),
         status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) => {
             log::line(format_args!("call to {at}: {} messages answered {status}", items.len()));
-            all(Outcome::Rejected, false)
+            all(Outcome::InvalidRequest, false)
         }
         other => {
             log::line(format_args!("call to {at}: answered {other}"));
@@ -388,24 +388,24 @@
 }
 
 /// Asks an endpoint whether it runs.
-pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<Allowance>) {
-    let Some(place) = node.directory.borrow().place(endpoint) else { return (Outcome::Moot, None) };
+pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<RateLimitReport>) {
+    let Some(place) = node.directory.borrow().place(endpoint) else { return (Outcome::NotSent, None) };
     let until = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
     let request = Request::get("/health/live").header("Host", place.dial.to_string()).body(Full::default());
-    let Ok(request) = request else { return (Outcome::Moot, None) };
+    let Ok(request) = request else { return (Outcome::NotSent, None) };
     let open = || node.directory.borrow().open(endpoint, place.dial, place.dest);
     let none = (&[][..], place.zone);
     match exchange(node, (endpoint, place.dial), request, until, &open, none, &mut Used::default()).await {
         Err(outcome) => (outcome, None),
-        Ok(answer) if answer.body.is_none() => (Outcome::Spoilt, None),
+        Ok(answer) if answer.body.is_none() => (Outcome::MalformedResponse, None),
         Ok(answer) => {
             let told = node.config.report_fields.and_then(|fields| allowance(&answer.headers, fields));
             if let Some(wait) = wait(&answer.headers) {
-                node.tell(Event::WaitTold { endpoint, wait });
+                node.tell(Event::RetryAfter { endpoint, delay: wait });
             }
             match answer.status {
                 StatusCode::OK => (Outcome::Served, told),
-                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full, told),
+                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Overloaded, told),
                 _ => (Outcome::Error, told),
             }
         }
@@ -440,24 +440,24 @@
                 match timeout_at(until, timeout(limit, connect(at))).await {
                     Ok(Ok(Ok(link))) => (link, false),
                     // Nothing was sent: a connection that does not come up in time is no time-out.
-                    _ => return Err(Outcome::NoConnection),
+                    _ => return Err(Outcome::ConnectFailed),
                 }
             }
         };
         match timeout_at(until, link.sender.ready()).await {
             Ok(Ok(())) => {}
             _ if used.reused => continue,
-            _ => return Err(Outcome::NoConnection),
+            _ => return Err(Outcome::ConnectFailed),
         }
         // Connecting takes time: what is drained or gone by now gets nothing new, and no more does a process begin
         // that hands over.
         if !open() || node.gate.phase() != Phase::Serving {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         // The decisions may have learned meanwhile what forbids it. The connection is as good as new.
-        if !node.dispatcher.borrow().may_begin(node.now(), endpoint, &messages) {
+        if !node.dispatcher.borrow().may_start_call(node.now(), endpoint, &messages) {
             used.kept = node.pool.put_back(endpoint, link);
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         if !std::mem::replace(&mut recorded, true)
             && let Err(outcome) = node.record_start(items, zone)
@@ -490,10 +490,10 @@
                     request = unsent;
                     continue;
                 }
-                Some(_) => return Err(Outcome::NoConnection),
+                Some(_) => return Err(Outcome::ConnectFailed),
                 // It broke before the last byte was written: an endpoint begins a call only then.
-                None if heard.unwritten.get() => Outcome::NoConnection,
-                None => Outcome::Reset,
+                None if heard.unwritten.get() => Outcome::ConnectFailed,
+                None => Outcome::ConnectionReset,
             },
             Err(_) => Outcome::TimedOut,
         };
@@ -504,7 +504,7 @@
         }
         // A process that dies while it answers leaves half an answer, too, but its connection ends.
         if begun && !heard.ended.get() {
-            return Err(Outcome::Spoilt);
+            return Err(Outcome::MalformedResponse);
         }
         // A machine that vanished leaves all connections open and silent; one that closes those that are idle
         // closes the older ones first.
@@ -529,7 +529,7 @@
     if body.is_err() {
         // A wait runs from when it was written, and the rest may take its time.
         if let Some(wait) = wait(&head.headers) {
-            node.tell(Event::WaitTold { endpoint, wait });
+            node.tell(Event::RetryAfter { endpoint, delay: wait });
         }
         body = timeout_at(until, collected).await;
     }
@@ -571,19 +571,19 @@
         let (outcome, closed) = match told.get(&*item.handed.id).map(|word| word.trim()) {
             Some("delivered") => (Outcome::Served, true),
             Some("failed") => (Outcome::Error, false),
-            Some("refused") => (Outcome::Full, false),
-            Some("over") => (Outcome::Moot, true),
-            Some("spent") => (Outcome::Moot, false),
-            _ => (Outcome::Reset, false),
+            Some("refused") => (Outcome::Overloaded, false),
+            Some("over") => (Outcome::NotSent, true),
+            Some("spent") => (Outcome::NotSent, false),
+            _ => (Outcome::ConnectionReset, false),
         };
         End { number: item.number, attempt: item.attempt, outcome, closed }
     };
     let mut ends: Vec<End> = items.iter().map(end).collect();
     // The end that comes last stands for the call: what was not sent tells nothing, a refusal most.
     ends.sort_by_key(|end| match end.outcome {
-        Outcome::Moot => 0,
+        Outcome::NotSent => 0,
         Outcome::Served => 1,
-        Outcome::Full => 3,
+        Outcome::Overloaded => 3,
         _ => 2,
     });
     ends
@@ -594,11 +594,11 @@
     Some(seconds).filter(|s| s.is_finite() && *s > 0.0)
 }
 
-fn allowance(headers: &HeaderMap, (rate, left): (&str, Option<&str>)) -> Option<Allowance> {
+fn allowance(headers: &HeaderMap, (rate, left): (&str, Option<&str>)) -> Option<RateLimitReport> {
     let report: serde_json::Value = serde_json::from_slice(headers.get("Server-Load")?.as_bytes()).ok()?;
     let rate = report.get(rate)?.as_f64().filter(|rate| rate.is_finite() && *rate >= 0.0)?;
     let left = left.and_then(|left| report.get(left)?.as_f64()).filter(|left| left.is_finite());
-    Some(Allowance { rate, left: left.map(|left| left.clamp(0.0, 1.0)) })
+    Some(RateLimitReport { rate, remaining_share: left.map(|left| left.clamp(0.0, 1.0)) })
 }
 
 #[cfg(test)]
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use waydoor::{Class, Decay, Effect, Kind, Listing, ReturnRule, Settings, Tenant};
+use waydoor::{Class, DestinationKind, DiscoveryMode, Effect, Settings, SlowStart, Tenant, ValueDecay};
 
 /// All that this dispatcher is told.
 #[derive(Clone, Debug)]
@@ -293,24 +293,24 @@
             };
             let (aim, deadline, worth) = (class.goal_time, class.deadline, class.gain);
             classes.push(Class {
-                aim,
+                target_latency: aim,
                 deadline,
-                worth,
-                late_share: class.late_share,
+                value: worth,
+                late_value_share: class.late_share,
                 effect,
                 ordered: false,
             });
         }
         let family = &given.family_info;
-        let kind = |i: usize| Kind {
-            routes_apart: family.kind_apart.get(i).copied().unwrap_or(false),
-            batch: family.kind_batch.get(i).copied().unwrap_or(1),
+        let kind = |i: usize| DestinationKind {
+            independent_endpoints: family.kind_apart.get(i).copied().unwrap_or(false),
+            max_batch: family.kind_batch.get(i).copied().unwrap_or(1),
         };
         let settings = Settings {
-            dispatchers: given.balancers,
-            slots: family.call_slots.min(raw.limits.calls()),
-            room: given.limits.open_cap,
-            attempts: u32::try_from(given.limits.send_cap)
+            dispatcher_count: given.balancers,
+            max_concurrent_calls: family.call_slots.min(raw.limits.calls()),
+            max_messages: given.limits.open_cap,
+            max_attempts: u32::try_from(given.limits.send_cap)
                 .map_err(|_| "settings.limits.send_cap: too large")?,
             keepalive: given.limits.keepalive,
             probes: given.limits.probes,
@@ -319,25 +319,28 @@
             classes,
             kinds: (0..given.kinds.len()).map(kind).collect(),
             decay: match family.loses_worth {
-                RawDecay::Even => Decay::Even,
-                RawDecay::ByHalf => Decay::ByHalf,
+                RawDecay::Even => ValueDecay::Linear,
+                RawDecay::ByHalf => ValueDecay::Exponential,
             },
-            listing: match given.discovery {
-                RawListing::Automatic => Listing::Pushed,
-                RawListing::Subscribe => Listing::OnRequest {
-                    ask_within: given.safety.must_ask_in.ok_or("settings.safety.must_ask_in: missing")?,
+            discovery_mode: match given.discovery {
+                RawListing::Automatic => DiscoveryMode::Pushed,
+                RawListing::Subscribe => DiscoveryMode::Subscription {
+                    max_renewal_interval: given
+                        .safety
+                        .must_ask_in
+                        .ok_or("settings.safety.must_ask_in: missing")?,
                 },
             },
-            rates_listed: given.weights != "off",
-            returning: ReturnRule {
-                cold_share: given.safety.cold_share,
-                cold_time: given.safety.cold,
-                multiple: given.safety.tip_multiple,
-                window: given.safety.fall,
+            use_listed_rates: given.weights != "off",
+            slow_start: SlowStart {
+                cold_capacity_share: given.safety.cold_share,
+                warm_up_time: given.safety.cold,
+                overload_multiple: given.safety.tip_multiple,
+                overload_window: given.safety.fall,
             },
             tenants: given.orgs.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
-            over_share_worth: given.over_share_worth.unwrap_or(1.0),
-            key_rest: 0.0,
+            over_quota_value: given.over_share_worth.unwrap_or(1.0),
+            order_key_cooldown: 0.0,
         };
         waydoor::Dispatcher::new(settings.clone(), seed).map_err(|error| {
             let key = KEYS.iter().find(|(name, _)| *name == error.name).map_or(&*error.name, |(_, key)| key);
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -113,7 +113,7 @@
         Step::Changes(change) => {
             let entry = node.directory.borrow_mut().hold(id, change == Change::Began);
             if let Some(entry) = entry {
-                node.tell(Event::ListChanged(vec![entry]));
+                node.tell(Event::ListUpdate(vec![entry]));
                 if change == Change::Began {
                     node.pool.close(entry.endpoint);
                 }
@@ -144,7 +144,7 @@
     let directory = node.directory.borrow();
     node.control.cold.borrow_mut().retain(|id| {
         let serving = directory.serving(id);
-        serving.inspect(|endpoint| node.tell(Event::Restarted(*endpoint)));
+        serving.inspect(|endpoint| node.tell(Event::EndpointRestored(*endpoint)));
         serving.is_none()
     });
 }
@@ -156,7 +156,7 @@
     let (mut listed, mut avoided) = (0, 0);
     for (endpoint, ready) in directory.listed() {
         listed += 1;
-        avoided += u64::from(!ready || dispatcher.avoids(now, endpoint));
+        avoided += u64::from(!ready || dispatcher.is_unavailable(now, endpoint));
     }
     Gauges { open: node.journal.borrow().open_messages() as u64, listed, avoided }
 }
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/counts.rs
@@ -5,7 +5,7 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::Write;
-use waydoor::{Allowance, Outcome, Seconds};
+use waydoor::{Outcome, RateLimitReport, Seconds};
 
 /// Destinations in one line; the others of that second are summed up as `rest`.
 const PLACES: usize = 64;
@@ -141,21 +141,21 @@
         let last = end.ends.last().map(|end| end.outcome);
         self.count(dest, |count| {
             count.served += served;
-            if let Some(Allowance { rate, left }) = end.allowance {
+            if let Some(RateLimitReport { rate, remaining_share: left }) = end.allowance {
                 count.limit = rate as u64;
                 count.reports += u64::from(left.is_some());
                 count.left_pct += (left.unwrap_or(0.0) * 100.0) as u64;
             }
-            count.connects += u64::from(!end.reused && last != Some(Outcome::NoConnection));
+            count.connects += u64::from(!end.reused && last != Some(Outcome::ConnectFailed));
             match last {
-                Some(Outcome::Full) => {
-                    let left = end.allowance.and_then(|told| told.left);
+                Some(Outcome::Overloaded) => {
+                    let left = end.allowance.and_then(|told| told.remaining_share);
                     count.full += 1;
                     count.full_used += u64::from(left.is_some_and(|left| left < LEFT_NONE));
                     count.full_shut += u64::from(left.is_some_and(|left| left >= LEFT_MOST));
                 }
-                Some(Outcome::NoConnection) => count.unconnected += 1,
-                Some(Outcome::Served | Outcome::Moot) | None => {}
+                Some(Outcome::ConnectFailed) => count.unconnected += 1,
+                Some(Outcome::Served | Outcome::NotSent) | None => {}
                 Some(_) => count.lost += 1,
             }
         });
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
-use waydoor::{DestinationId, EndpointId, Entry, Event, Listed};
+use waydoor::{DestinationId, EndpointEntry, EndpointId, EndpointState, Event};
 
 /// Where an endpoint is and what may go there.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
@@ -97,8 +97,8 @@
     }
 
     /// The entry that tells the decisions.
-    fn entry(&self, endpoint: EndpointId) -> Entry {
-        let listed = if self.ready { Listed::Ready } else { Listed::Draining };
+    fn entry(&self, endpoint: EndpointId) -> EndpointEntry {
+        let listed = if self.ready { EndpointState::Ready } else { EndpointState::Draining };
         entry(endpoint, *self, self.rate, listed)
     }
 }
@@ -136,7 +136,7 @@
 
     /// An endpoint is out by hand from now on, or no more. The entry tells the decisions, where that changes what
     /// may go there.
-    pub fn hold(&mut self, host: &str, held: bool) -> Option<Entry> {
+    pub fn hold(&mut self, host: &str, held: bool) -> Option<EndpointEntry> {
         let endpoint = *self.hosts.get(host)?;
         let place = self.places.get_mut(&endpoint)?;
         place.held = held;
@@ -144,7 +144,7 @@
     }
 
     /// Nothing goes to a destination from now on, or that is no more so. The entries tell the decisions.
-    pub fn hold_back(&mut self, destination: u32, back: bool) -> Vec<Entry> {
+    pub fn hold_back(&mut self, destination: u32, back: bool) -> Vec<EndpointEntry> {
         if back {
             self.back.insert(destination);
         } else {
@@ -164,7 +164,7 @@
     pub fn routes_apart(&self, config: &Config, destination: u32) -> bool {
         let place = self.places.values().find(|place| place.dest == destination);
         let kind = place.and_then(|place| config.settings.kinds.get(place.kind));
-        kind.is_some_and(|kind| kind.routes_apart)
+        kind.is_some_and(|kind| kind.independent_endpoints)
     }
 
     /// The version of the list.
@@ -222,7 +222,7 @@
             if gone {
                 entries.extend(self.leave(endpoint));
             } else {
-                let listed = if ready { Listed::Ready } else { Listed::Draining };
+                let listed = if ready { EndpointState::Ready } else { EndpointState::Draining };
                 entries.push(entry(endpoint, place, rate, listed));
             }
         }
@@ -236,21 +236,21 @@
         self.seq = list.seq;
         let left = before.iter().filter(|(id, place)| self.ready_at(**id) != Some(place.dial));
         let left = left.map(|(id, _)| *id).collect();
-        let event = if list.whole { Event::ListWhole(entries) } else { Event::ListChanged(entries) };
+        let event = if list.whole { Event::ListSnapshot(entries) } else { Event::ListUpdate(entries) };
         (event, left)
     }
 
     /// Forgets an endpoint; the entry tells the decisions.
-    fn leave(&mut self, endpoint: EndpointId) -> Option<Entry> {
+    fn leave(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
         self.hosts.retain(|_, id| *id != endpoint);
         let place = self.places.remove(&endpoint)?;
-        Some(entry(endpoint, place, f64::NAN, Listed::Gone))
+        Some(entry(endpoint, place, f64::NAN, EndpointState::Removed))
     }
 }
 
-fn entry(endpoint: EndpointId, place: Place, rate: f64, listed: Listed) -> Entry {
+fn entry(endpoint: EndpointId, place: Place, rate: f64, listed: EndpointState) -> EndpointEntry {
     let Place { dest, kind, zone, .. } = place;
-    Entry { endpoint, destination: DestinationId(dest), kind, zone, rate, listed }
+    EndpointEntry { endpoint, destination: DestinationId(dest), kind, zone, rate, state: listed }
 }
 
 #[cfg(test)]
@@ -300,9 +300,9 @@
         let (directory, events) =
             directory(&[(true, &[("one", 1, 7, "up")]), (false, &[("one", 1, 8, "up")])]);
         assert_eq!(ready(&directory), [(1, 8)]);
-        let Event::ListChanged(entries) = &events[1] else { panic!("{events:?}") };
-        let told: Vec<_> = entries.iter().map(|e| (e.endpoint.0, e.destination.0, e.listed)).collect();
-        assert_eq!(told, [(1, 7, Listed::Gone), (2, 8, Listed::Ready)]);
+        let Event::ListUpdate(entries) = &events[1] else { panic!("{events:?}") };
+        let told: Vec<_> = entries.iter().map(|e| (e.endpoint.0, e.destination.0, e.state)).collect();
+        assert_eq!(told, [(1, 7, EndpointState::Removed), (2, 8, EndpointState::Ready)]);
     }
 
     #[test]
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
-use waydoor::{Event, Listing};
+use waydoor::{DiscoveryMode, Event};
 
 /// A watch that is silent for two heartbeats and more is broken, though its connection may look well.
 const SILENCE: Duration = Duration::from_millis(4500);
@@ -108,7 +108,7 @@
 
 /// Whether the list must be asked for, at one discovery for all dispatchers.
 fn asked(node: &Node) -> bool {
-    node.config.settings.listing != Listing::Pushed
+    node.config.settings.discovery_mode != DiscoveryMode::Pushed
 }
 
 /// What ends a watch, or a request.
@@ -135,7 +135,7 @@
         let Some(frame) = frame else { return Ok("closed".into()) };
         let Ok(data) = frame?.into_data() else { continue };
         if !stream.add(&data, |value| list(node, value))? {
-            node.tell(Event::ListAlive);
+            node.tell(Event::ListKeepAlive);
             node.bounds.list_alive(node.directory.borrow().seq());
         }
     }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -34,7 +34,7 @@
 use tokio::sync::{Semaphore, oneshot};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
-use waydoor::{Dispatcher, EndpointId, Event as Happened, Outcome, Outstanding};
+use waydoor::{Dispatcher, EndpointId, Event as Happened, InFlightAttempt, Outcome};
 
 /// How often the giver looks at the time while it hands over.
 const LOOK: Duration = Duration::from_millis(10);
@@ -558,9 +558,9 @@
 /// Tells the giver that this process owns, and takes the rest: connections, and how the calls end that are out there.
 pub async fn own(node: Rc<Node>, taken: Taken) {
     let link = taken.link;
-    let mut out: HashMap<(u64, u32), Outstanding> = HashMap::new();
+    let mut out: HashMap<(u64, u32), InFlightAttempt> = HashMap::new();
     if node.adopted {
-        let outstanding = node.dispatcher.borrow().outstanding();
+        let outstanding = node.dispatcher.borrow().in_flight();
         out.extend(outstanding.into_iter().map(|one| ((one.id.0, one.attempt), one)));
     }
     let mine = frames::packet(&FromTaker::Mine);
@@ -581,7 +581,8 @@
         log::line(format_args!("handover: the process before ended with {} messages out", out.len()));
     }
     for one in out.into_values() {
-        let end = End { number: one.id.0, attempt: one.attempt, outcome: Outcome::Reset, closed: false };
+        let end =
+            End { number: one.id.0, attempt: one.attempt, outcome: Outcome::ConnectionReset, closed: false };
         let dest = node.directory.borrow().place(one.endpoint).map_or(0, |place| place.dest);
         call_ended(&node, one.endpoint, dest, one.sent_at, CallEnd::bare(vec![end], false));
     }
@@ -589,7 +590,7 @@
 
 async fn take(
     node: &Rc<Node>, link: &Link, frame: FromGiver, descriptor: Option<OwnedFd>,
-    out: &mut HashMap<(u64, u32), Outstanding>,
+    out: &mut HashMap<(u64, u32), InFlightAttempt>,
 ) {
     let stream =
         descriptor.and_then(|descriptor| TcpStream::from_std(std::net::TcpStream::from(descriptor)).ok());
@@ -618,7 +619,12 @@
                 }
             }
             Ok(Told::Probe { endpoint, outcome, latency, allowance }) => {
-                node.tell(Happened::Probed { endpoint: EndpointId(endpoint), outcome, latency, allowance });
+                node.tell(Happened::ProbeEnded {
+                    endpoint: EndpointId(endpoint),
+                    outcome,
+                    latency,
+                    rate_limit_report: allowance,
+                });
             }
             Err(error) => log::line(format_args!("handover: {error}")),
         },
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -11,7 +11,7 @@
 use hyper::header::{CONNECTION, HeaderMap, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Method, Request, Response, StatusCode};
 use std::convert::Infallible;
-use waydoor::{DestinationId, Effect, Event, Message, MessageId, Share};
+use waydoor::{DestinationId, Effect, Event, Message, MessageId, QuotaStatus};
 
 /// A body that is too long is read so far, or the client would not hear the answer.
 const DISCARD_MOST: usize = 1 << 20;
@@ -86,7 +86,7 @@
         return refuse(node, class, dest);
     }
     // What no list has named may be a slip, or come with a later list.
-    if !node.dispatcher.borrow().knows(dest) {
+    if !node.dispatcher.borrow().is_listed(dest) {
         return refuse(node, class, dest);
     }
     let mut journal = node.journal.borrow_mut();
@@ -108,7 +108,7 @@
         Some(End::GivenUp) => return plain(StatusCode::CONFLICT, "it failed, and may have run\n"),
         Some(End::HandedBack) | None => {}
     }
-    if journal.open_messages() >= node.config.settings.room {
+    if journal.open_messages() >= node.config.settings.max_messages {
         return refuse(node, class, dest);
     }
     let now = node.now();
@@ -119,13 +119,13 @@
         deadline: node.seconds(handed.deadline),
         key: None,
         tenant: tenant.unwrap_or(usize::MAX),
-        over_share: None,
+        over_quota: None,
     };
-    if !node.dispatcher.borrow().takes(now, message) {
+    if !node.dispatcher.borrow().can_accept(now, message) {
         return refuse(node, class, dest);
     }
-    let share = tenant.and_then(|tenant| Some((tenant, node.dispatcher.borrow().share(now, tenant)?)));
-    let customer = share.map(|(tenant, Share { over, left })| {
+    let share = tenant.and_then(|tenant| Some((tenant, node.dispatcher.borrow().quota_status(now, tenant)?)));
+    let customer = share.map(|(tenant, QuotaStatus { over, remaining: left })| {
         let left = (left * 1000.0) as u32;
         (node.config.tenants[tenant].clone(), fawnspoke_journal::Share { over, left })
     });
@@ -133,8 +133,8 @@
     match journal.take(&handed) {
         Ok(Some(number)) => {
             node.record(Ok(()));
-            if let Some((tenant, Share { left, .. })) = share {
-                let counted = Event::Counted { tenant, left, at: now };
+            if let Some((tenant, QuotaStatus { remaining: left, .. })) = share {
+                let counted = Event::QuotaRecovered { tenant, remaining: left, at: now };
                 node.dispatcher.borrow_mut().handle(now, counted);
             }
             node.unheard.borrow_mut().insert(number);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -150,7 +150,7 @@
     }
 
     fn come_back(&self, destination: DestinationId) -> Seconds {
-        let at = self.dispatcher.borrow().come_back(self.now(), destination);
+        let at = self.dispatcher.borrow().retry_after(self.now(), destination);
         at.min(self.config.max_retry_after)
     }
 }
@@ -214,7 +214,7 @@
         config.name,
         config.classes.len(),
         config.kinds.len(),
-        config.settings.slots,
-        config.settings.room
+        config.settings.max_concurrent_calls,
+        config.settings.max_messages
     ))
 }
--- a/crates/node/src/records.rs
+++ b/crates/node/src/records.rs
@@ -84,7 +84,7 @@
             deadline: self.seconds(handed.deadline),
             key: None,
             tenant: customer.and_then(|(name, _)| self.tenant(name)).unwrap_or(NO_TENANT),
-            over_share: Some(customer.is_some_and(|(_, share)| share.over)),
+            over_quota: Some(customer.is_some_and(|(_, share)| share.over)),
         })
     }
 
@@ -106,24 +106,28 @@
             journal.owed(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted) {
-            self.tell(Event::Remembered(DestinationId(destination)));
+            self.tell(Event::OutageRecovered(DestinationId(destination)));
         }
         for destination in journal.outages() {
             self.bounds.out(self, destination, true);
         }
         for Level { customer, left, at } in journal.levels().filter(|_| !self.adopted) {
             let Some(tenant) = self.tenant(&customer) else { continue };
-            self.tell(Event::Counted { tenant, left: f64::from(left) / 1000.0, at: self.seconds(at) });
+            self.tell(Event::QuotaRecovered {
+                tenant,
+                remaining: f64::from(left) / 1000.0,
+                at: self.seconds(at),
+            });
         }
         for (number, kept) in open {
             // What came with the decisions' state is known there.
-            if self.dispatcher.borrow().holds(MessageId(number)) {
+            if self.dispatcher.borrow().is_active(MessageId(number)) {
                 continue;
             }
             let Some(message) = self.message(number) else { continue };
-            self.tell(Event::Resumed {
+            self.tell(Event::Recovered {
                 message,
-                taken: self.seconds(kept.handed.taken),
+                accepted_at: self.seconds(kept.handed.taken),
                 attempts: kept.attempts,
                 may_have_run: kept.may_have_run.map(|start| self.first_run(message.class, start)),
             });
--- a/crates/node/src/rest.rs
+++ b/crates/node/src/rest.rs
@@ -4,7 +4,7 @@
 use crate::wire::Wire;
 use fawnspoke_control::door::Order;
 use serde::{Deserialize, Serialize};
-use waydoor::{Allowance, EndpointId, Outcome, Seconds};
+use waydoor::{EndpointId, Outcome, RateLimitReport, Seconds};
 
 /// What is handed over once the other process owns, and what is told it then.
 pub enum Rest {
@@ -24,5 +24,5 @@
     /// A call.
     Call { endpoint: u64, dest: u32, sent_at: Seconds, end: CallEnd },
     /// A probe.
-    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<Allowance> },
+    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<RateLimitReport> },
 }
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/rounds.rs
@@ -48,7 +48,7 @@
         Input::Taken { number } => {
             if let Some(message) = node.message(number) {
                 node.counts.count(message.destination.0, |count| count.taken += 1);
-                dispatcher.handle(now, Event::Taken(message));
+                dispatcher.handle(now, Event::Accepted(message));
             }
         }
         Input::Ended { endpoint, sent_at, end } => {
@@ -59,17 +59,17 @@
                 let id = MessageId(number);
                 dispatcher.handle(
                     now,
-                    Event::Ended(AttemptEnd {
+                    Event::AttemptEnded(AttemptEnd {
                         id,
                         endpoint,
                         attempt,
                         outcome,
-                        wait,
-                        closed,
+                        retry_after: wait,
+                        settled: closed,
                         latency,
-                        allowance,
-                        reused,
-                        kept,
+                        rate_limit_report: allowance,
+                        connection_reused: reused,
+                        connection_kept: kept,
                     }),
                 );
             }
@@ -140,12 +140,12 @@
             let leaving = node.clone();
             spawn_local(async move { leaving.bounds.leave(&leaving).await });
             node.figures.set_ready(false);
-            node.dispatcher.borrow_mut().handle(now, Event::Closing(now + CALLS_END));
+            node.dispatcher.borrow_mut().handle(now, Event::ShutdownAt(now + CALLS_END));
         }
         let rest = std::iter::from_fn(|| inbox.try_recv().ok());
         first.into_iter().chain(rest).for_each(|input| hear(&node, now, input));
         if let Some((token, _)) = timer.take_if(|(_, at)| *at <= now) {
-            node.dispatcher.borrow_mut().handle(now, Event::Timer(token));
+            node.dispatcher.borrow_mut().handle(now, Event::TimerFired(token));
         }
         actions.clear();
         node.dispatcher.borrow_mut().decide(now, &mut actions);
@@ -162,7 +162,10 @@
         if now >= sweep_at {
             sweep_at = now + if told_at.is_some() { 0.05 } else { 0.5 };
             node.control.catch_up();
-            node.pool.sweep(calls::keepalive(&node), node.config.limits.idle(node.config.settings.slots));
+            node.pool.sweep(
+                calls::keepalive(&node),
+                node.config.limits.idle(node.config.settings.max_concurrent_calls),
+            );
         }
         if let Some(told_at) = told_at {
             if now - told_at >= CLOSE_KEPT {
--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -146,7 +146,7 @@
         Some(mut state) => {
             let started = state.started();
             journal.recall(state.ended);
-            state.decisions.moved();
+            state.decisions.resume_in_new_process();
             (started, state.decisions, state.directory)
         }
         None => {
--- a/crates/waydoor/src/choice.rs
+++ b/crates/waydoor/src/choice.rs
@@ -44,8 +44,8 @@
             (self.stalled_at, self.timer) = (now, None);
         }
         match event {
-            Event::Taken(message) => self.take(now, message, true),
-            Event::Resumed { message, taken, attempts, may_have_run } => {
+            Event::Accepted(message) => self.take(now, message, true),
+            Event::Recovered { message, accepted_at: taken, attempts, may_have_run } => {
                 // What a repeat does is not known where its class is not: its refusal would promise too much.
                 if may_have_run.is_some() && message.class >= self.settings.classes.len() {
                     return self.decided.push(Action::Fail(message.id));
@@ -54,27 +54,27 @@
                 self.recalled(message.id, taken, attempts, may_have_run);
                 self.pace_backlog(now, message.destination);
             }
-            Event::Remembered(destination) => {
+            Event::OutageRecovered(destination) => {
                 self.recalled.insert(destination);
                 self.recall(now, destination);
             }
-            Event::Restarted(endpoint) => self.restarted(now, endpoint),
-            Event::Counted { tenant, left, at } => self.counted(now, tenant, left, at),
-            Event::Closing(at) => (self.closing_at, self.answer_at) = (at, now),
-            Event::Ended(end) => self.attempt_ended(now, end),
-            Event::WaitTold { endpoint, wait } => self.heed(now, endpoint, wait),
+            Event::EndpointRestored(endpoint) => self.restarted(now, endpoint),
+            Event::QuotaRecovered { tenant, remaining: left, at } => self.counted(now, tenant, left, at),
+            Event::ShutdownAt(at) => (self.closing_at, self.answer_at) = (at, now),
+            Event::AttemptEnded(end) => self.attempt_ended(now, end),
+            Event::RetryAfter { endpoint, delay: wait } => self.heed(now, endpoint, wait),
             Event::Withdrawn(id) => self.withdrawn(id, ENDED_KEPT),
-            Event::ListChanged(entries) => self.list(now, entries, false),
-            Event::ListWhole(entries) => self.list(now, entries, true),
+            Event::ListUpdate(entries) => self.list(now, entries, false),
+            Event::ListSnapshot(entries) => self.list(now, entries, true),
             Event::ListFailed => {
                 (self.asks, self.asked) = (self.asks + 1, false);
                 let wait = (ASK * 2f64.powi(self.asks.min(8) as i32 - 1))
-                    .min(ASK_MOST * self.settings.listing.ask_within());
+                    .min(ASK_MOST * self.settings.discovery_mode.ask_within());
                 self.ask_at = now + wait * (0.5 + self.rng.f64()) + self.ask_turn();
             }
-            Event::ListAlive => self.subscribed(now),
-            Event::Timer(token) => self.timer = self.timer.filter(|(set, _)| *set != token),
-            Event::Probed { endpoint, outcome, latency, allowance } => {
+            Event::ListKeepAlive => self.subscribed(now),
+            Event::TimerFired(token) => self.timer = self.timer.filter(|(set, _)| *set != token),
+            Event::ProbeEnded { endpoint, outcome, latency, rate_limit_report: allowance } => {
                 self.observe(now, endpoint, outcome, latency, allowance, true);
             }
         }
@@ -86,7 +86,7 @@
             return;
         }
         let Some(class) = self.settings.classes.get(message.class) else {
-            self.decided.push(Action::Refuse(message.id));
+            self.decided.push(Action::Reject(message.id));
             return;
         };
         if let Some(key) = message.key.filter(|_| class.ordered) {
@@ -98,7 +98,7 @@
         }
         self.refresh(now, message.destination);
         self.all_lanes(message.destination, |lane, rule, rng| lane.chance(now, rule, rng));
-        let over_share = message.over_share.unwrap_or_else(|| new && self.counts_over(now, message.tenant));
+        let over_share = message.over_quota.unwrap_or_else(|| new && self.counts_over(now, message.tenant));
         self.parcels.insert(message.id, Parcel::new(message, now, over_share));
         self.hold(&message);
     }
@@ -107,14 +107,14 @@
     #[allow(clippy::too_many_arguments)]
     fn observe(
         &mut self, now: Seconds, id: EndpointId, outcome: Outcome, latency: f64,
-        allowance: Option<Allowance>, probe: bool,
+        allowance: Option<RateLimitReport>, probe: bool,
     ) {
         if let Some(endpoint) = self.endpoints.get(&id) {
             self.refresh(now, endpoint.destination);
         }
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         let Some(destination) = self.destinations.get_mut(&endpoint.destination) else { return };
-        let rule = &self.settings.returning;
+        let rule = &self.settings.slow_start;
         // What was found after an own stall is as old as the stall: its time tells nothing.
         let late = self.stalled_at == now && outcome == Outcome::Served;
         let latency = if late { latency.min(destination.lane.service.latency(now)) } else { latency };
@@ -133,14 +133,15 @@
         // Short of connections: the connect failed while other calls were out. Guards against taking a full
         // table for an outage. Harm: after a crash it may seem so for a while.
         let busy = endpoint.lane.out > 0 && endpoint.lane.outage.fails == 0 && !probe;
-        if outcome == Outcome::NoConnection && busy {
+        if outcome == Outcome::ConnectFailed && busy {
             endpoint.lane.refusals.pause_until = now + FULL_PAUSE;
             return;
         }
         let before = (endpoint.lane.outage.health, destination.lane.outage.health);
         endpoint.lane.learn(now, outcome, latency, apart, rule, &mut self.rng);
         // One bad endpoint among good ones is not an outage of the destination.
-        let known_bad = before.0 != Health::Healthy && outcome != Outcome::Served && outcome != Outcome::Full;
+        let known_bad =
+            before.0 != Health::Healthy && outcome != Outcome::Served && outcome != Outcome::Overloaded;
         if !(known_bad && destination.endpoints.len() > 1 && before.1 == Health::Healthy) {
             destination.lane.learn(now, outcome, latency, !apart, rule, &mut self.rng);
         }
@@ -163,7 +164,7 @@
         self.keep_room(now, actions);
         self.close_idle(now, actions, &mut wake);
         self.lines.retain(|_, line| !line.queue.is_empty() || line.rest_until > now);
-        actions.extend(self.notes.drain(..).map(Action::Note));
+        actions.extend(self.notes.drain(..).map(Action::Log));
         wake = wake.min(self.silent_at).min(self.answer_at);
         actions.extend(self.wake_at(now, wake));
     }
@@ -171,13 +172,13 @@
     /// The own part of a destination's capacity, by the own demand. A return ends with its cold time.
     fn refresh(&mut self, now: Seconds, number: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        let even = 1.0 / f64::from(self.settings.dispatchers);
+        let even = 1.0 / f64::from(self.settings.dispatcher_count);
         // A young measure of demand lacks what came before it.
         let young = (-(now - *self.started.get_or_insert(now)) / DEMAND_TIME).exp();
         let calls = destination.demand.now(now, DEMAND_TIME) / destination.batch as f64;
         let own = destination.lane.pace.capacity.map(|c| calls / c);
         let part = own.map_or(even, |own| own + young * even).clamp(PART_LEAST * even, 0.5 + 0.5 * even);
-        let (rule, rng) = (&self.settings.returning, &mut self.rng);
+        let (rule, rng) = (&self.settings.slow_start, &mut self.rng);
         let mut renew = |lane: &mut Lane, limited: bool| {
             let new = limited && lane.pace.even != even;
             (lane.pace.part, lane.pace.even, lane.pace.limited) = (part, even, limited);
@@ -185,7 +186,7 @@
                 lane.pace.phase(now, rng);
             }
             let warm =
-                matches!(lane.outage.health, Health::Returning(since) if now - since >= rule.cold_time);
+                matches!(lane.outage.health, Health::Returning(since) if now - since >= rule.warm_up_time);
             if warm && !lane.may_be_cold(now, rule) {
                 lane.outage.health = Health::Healthy;
             }
--- a/crates/waydoor/src/choice/answers.rs
+++ b/crates/waydoor/src/choice/answers.rs
@@ -23,7 +23,7 @@
             let last = self.before_end((parcel.message.deadline - usual).min(self.key_ends(parcel)));
             let effect = self.settings.classes[parcel.message.class].effect;
             let lost = effect == Effect::Unsafe && parcel.may_have_run.is_some();
-            if now >= last || lost || parcel.unusable || parcel.attempts >= self.settings.attempts {
+            if now >= last || lost || parcel.unusable || parcel.attempts >= self.settings.max_attempts {
                 self.end(id, actions);
             } else {
                 self.answer_at = self.answer_at.min(last);
@@ -32,10 +32,10 @@
     }
 
     /// When a client should come again: once the destination is open and has served what it holds.
-    pub fn come_back(&self, now: Seconds, destination: DestinationId) -> Seconds {
+    pub fn retry_after(&self, now: Seconds, destination: DestinationId) -> Seconds {
         let Some(destination) = self.destinations.get(&destination) else { return TRIAL };
         let lane = &destination.lane;
-        let closed = match lane.gate(now, &self.settings.returning) {
+        let closed = match lane.gate(now, &self.settings.slow_start) {
             Gate::Closed(until) if until.is_finite() => until - now,
             _ => 0.0,
         };
@@ -49,7 +49,7 @@
         let repeats = matches!(effect, Effect::Safe | Effect::Keyed { by_zone: false, .. });
         // What is unusable would fare no better another time.
         let harmless = !parcel.unusable && (repeats || parcel.may_have_run.is_none());
-        actions.push(if harmless { Action::Refuse(id) } else { Action::Fail(id) });
+        actions.push(if harmless { Action::Reject(id) } else { Action::Fail(id) });
         parcel.over = true;
         self.settle(id, ENDED_KEPT);
     }
--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/choice/attempts.rs
@@ -34,18 +34,18 @@
         }
         let (sent_at, messages) =
             self.calls.get(&flight.call).map_or((now, 1), |call| (call.sent_at, call.messages));
-        if end.outcome == Outcome::Rejected {
+        if end.outcome == Outcome::InvalidRequest {
             // One bad message turns away its whole call.
             (parcel.alone, parcel.unusable) = (true, messages == 1);
         } else if !end.outcome.never_ran() {
             let zone = self.endpoints.get(&flight.endpoint).map_or(0, |e| e.zone);
             parcel.may_have_run.get_or_insert((sent_at, zone));
         }
-        parcel.over |= end.closed || end.outcome == Outcome::Served;
-        if matches!(end.outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
+        parcel.over |= end.settled || end.outcome == Outcome::Served;
+        if matches!(end.outcome, Outcome::TimedOut | Outcome::ConnectionReset | Outcome::Cancelled)
             && let Some(line) = parcel.message.key.and_then(|key| self.lines.get_mut(&key))
         {
-            line.rest_until = line.rest_until.max(now + self.settings.key_rest);
+            line.rest_until = line.rest_until.max(now + self.settings.order_key_cooldown);
         }
         let (over, message) = (parcel.over, parcel.message);
         if over {
@@ -53,31 +53,35 @@
         } else {
             self.hold(&message)
         }
-        self.heed(now, flight.endpoint, end.wait.unwrap_or(0.0));
+        self.heed(now, flight.endpoint, end.retry_after.unwrap_or(0.0));
         let Some(Call { idle, cut, .. }) = self.landed(flight) else { return };
         if end.outcome == Outcome::Served && self.stalled_at != now {
             self.usual_latency += SAMPLE * (end.latency - self.usual_latency) * 0.5;
         }
         // An endpoint may close what is idle. Guards against taking closed connections for an outage.
-        let closed_idle = end.reused && end.outcome == Outcome::Reset;
-        let unsent = matches!(end.outcome, Outcome::NoConnection | Outcome::Moot | Outcome::NotRecorded);
+        let closed_idle = end.connection_reused && end.outcome == Outcome::ConnectionReset;
+        let unsent = matches!(end.outcome, Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotRecorded);
         if closed_idle || unsent {
             self.each_lane(flight.endpoint, |lane, rule, _| lane.unbook(now, rule));
         }
-        if end.outcome == Outcome::Moot && end.closed || end.outcome == Outcome::NotRecorded {
+        if end.outcome == Outcome::NotSent && end.settled || end.outcome == Outcome::NotRecorded {
             self.each_lane(flight.endpoint, |lane, _, _| lane.try_again(now));
         }
         // What its message's time cut off was not given the time that the place is due. Harm: others tell.
         let outcome = if cut && end.outcome == Outcome::TimedOut { Outcome::Cancelled } else { end.outcome };
-        if self.judge_connection(now, flight.endpoint, end.outcome, idle, end.kept) && !closed_idle {
-            self.observe(now, flight.endpoint, outcome, end.latency, end.allowance, false);
+        if self.judge_connection(now, flight.endpoint, end.outcome, idle, end.connection_kept) && !closed_idle
+        {
+            self.observe(now, flight.endpoint, outcome, end.latency, end.rate_limit_report, false);
         }
         self.forget(flight.endpoint);
     }
 
     /// A call that later ones overtook is broken off for its slot. Harm: what was only slow goes twice.
     pub(super) fn break_off(&mut self, now: Seconds, actions: &mut Vec<Action>) {
-        if !self.settings.cancel || self.calls.len() < self.settings.slots || self.waiting.is_empty() {
+        if !self.settings.cancel
+            || self.calls.len() < self.settings.max_concurrent_calls
+            || self.waiting.is_empty()
+        {
             return;
         }
         for (id, attempt, call, Lane { service, outage, .. }) in self.sole_calls() {
@@ -85,7 +89,7 @@
             let passed = outage.overtook_at - call.sent_at;
             let overtaken = now - call.sent_at >= long && passed >= long / 2.0;
             if overtaken && !call.risky && !std::mem::replace(&mut call.broken_off, true) {
-                actions.push(Action::BreakOff { id, attempt });
+                actions.push(Action::CancelAttempt { id, attempt });
             }
         }
     }
@@ -97,7 +101,7 @@
         let busy = match self.settings.classes[class].effect {
             // Its time-out would be its end, and an answer may come while it lives. Harm: a slot is kept.
             Effect::Unsafe => return self.settings.classes[class].deadline,
-            _ if self.calls.len() >= self.settings.slots => TIMEOUT_BUSY,
+            _ if self.calls.len() >= self.settings.max_concurrent_calls => TIMEOUT_BUSY,
             _ => 1.0,
         };
         let stretch = 2f64.powi(fails.min(TIMEOUT_DOUBLES) as i32);
@@ -119,7 +123,7 @@
             call.cut |= left < timeout;
         }
         let (timeout, alone) = (timeout.min(left), parcel.alone);
-        actions.push(Action::Send { id, endpoint, attempt, timeout, alone });
+        actions.push(Action::Send { id, endpoint, attempt, timeout, unbatched: alone });
     }
 
     pub(super) fn open_call(
@@ -150,7 +154,7 @@
     pub(super) fn place(
         &self, now: Seconds, parcel: &Parcel,
     ) -> Result<(EndpointId, bool), (Seconds, Option<EndpointId>)> {
-        let rule = &self.settings.returning;
+        let rule = &self.settings.slow_start;
         let destination = self.destinations.get(&parcel.message.destination);
         let Some(destination) = destination else { return Err((f64::INFINITY, None)) };
         let risky = self.settings.classes[parcel.message.class].effect == Effect::Unsafe;
@@ -219,11 +223,15 @@
     /// From when on an unsafe message is a trial after all, where nothing else opens a place. Harm: its loss.
     fn tried_alone_at(&self, parcel: &Parcel, destination: &Destination) -> Seconds {
         let only = !self.settings.probes && destination.risky == destination.held.len();
-        if only { parcel.taken + self.settings.classes[parcel.message.class].aim } else { f64::INFINITY }
+        if only {
+            parcel.taken + self.settings.classes[parcel.message.class].target_latency
+        } else {
+            f64::INFINITY
+        }
     }
 
     /// Whether a call may begin now that its connection is up. Guards waits, ends, times that came meanwhile.
-    pub fn may_begin(&self, now: Seconds, endpoint: EndpointId, ids: &[MessageId]) -> bool {
+    pub fn may_start_call(&self, now: Seconds, endpoint: EndpointId, ids: &[MessageId]) -> bool {
         let waits = self.limited_lane(endpoint).is_some_and(|lane| lane.refusals.wait_until > now);
         let in_time = |p: &Parcel| !p.over && now < p.message.deadline.min(self.key_ends(p));
         !waits && ids.iter().all(|id| self.parcels.get(id).is_some_and(in_time))
--- a/crates/waydoor/src/choice/connections.rs
+++ b/crates/waydoor/src/choice/connections.rs
@@ -29,14 +29,14 @@
         let most = self.settings.keepalive.unwrap_or(f64::INFINITY);
         let hold = self.holds.entry(destination.kind).or_insert((most, now, 0));
         let known = (hold.0 * 2f64.powf((now - hold.1) / IDLE_FORGET)).min(most);
-        let broke = matches!(outcome, Outcome::Reset | Outcome::TimedOut);
+        let broke = matches!(outcome, Outcome::ConnectionReset | Outcome::TimedOut);
         let drops = match idle > IDLE_LEAST {
             true if broke => hold.2 + 1,
             true if outcome == Outcome::Served => 0,
             _ => hold.2,
         };
         let stale = broke && idle > IDLE_LEAST && drops >= DROPS_TO_TELL;
-        let crowd = outcome == Outcome::NoConnection && endpoint.lane.pace.crowded();
+        let crowd = outcome == Outcome::ConnectFailed && endpoint.lane.pace.crowded();
         let keep = if crowd { known.min(IDLE_MOST) / 2.0 } else { known };
         let keep = if stale { keep.min(idle / 2.0) } else { keep };
         *hold = (keep, now, drops);
--- a/crates/waydoor/src/choice/listing.rs
+++ b/crates/waydoor/src/choice/listing.rs
@@ -16,7 +16,7 @@
 const DESTINATION_KEPT: f64 = 120.0;
 
 impl Dispatcher {
-    pub(super) fn list(&mut self, now: Seconds, entries: Vec<Entry>, whole: bool) {
+    pub(super) fn list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, whole: bool) {
         // The saved list of an earlier life is no subscription.
         if self.asked {
             self.subscribed(now);
@@ -32,7 +32,7 @@
 
     /// The list: subscribe where it must be asked for, again after each failure.
     pub(super) fn keep_list(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
-        if self.settings.listing == Listing::Pushed {
+        if self.settings.discovery_mode == DiscoveryMode::Pushed {
             return;
         }
         if self.ask_at == f64::NEG_INFINITY {
@@ -40,22 +40,22 @@
         }
         if now >= self.ask_at {
             actions.push(Action::Subscribe);
-            (self.ask_at, self.asked) = (now + ASK_MOST * self.settings.listing.ask_within(), true);
+            (self.ask_at, self.asked) = (now + ASK_MOST * self.settings.discovery_mode.ask_within(), true);
         }
         *wake = wake.min(self.ask_at);
     }
 
     /// When it is the own turn to ask, by seeded chance: a line that outlasts all patience serves nobody.
     pub(super) fn ask_turn(&mut self) -> Seconds {
-        let crowd = (1.0 - FEW / f64::from(self.settings.dispatchers)).max(0.0);
+        let crowd = (1.0 - FEW / f64::from(self.settings.dispatcher_count)).max(0.0);
         if crowd > 0.0 {
-            crowd * ASK_SPREAD * self.settings.listing.ask_within() * self.rng.f64()
+            crowd * ASK_SPREAD * self.settings.discovery_mode.ask_within() * self.rng.f64()
         } else {
             0.0
         }
     }
 
     pub(super) fn subscribed(&mut self, now: Seconds) {
-        (self.ask_at, self.asks) = (now + ASK_AGAIN * self.settings.listing.ask_within(), 0);
+        (self.ask_at, self.asks) = (now + ASK_AGAIN * self.settings.discovery_mode.ask_within(), 0);
     }
 }
--- a/crates/waydoor/src/choice/order.rs
+++ b/crates/waydoor/src/choice/order.rs
@@ -49,14 +49,14 @@
     fn rank(&self, now: Seconds, parcel: &Parcel, rate: f64) -> f64 {
         let Some(class) = self.settings.classes.get(parcel.message.class) else { return 0.0 };
         let decay = match self.settings.decay {
-            Decay::ByHalf => std::f64::consts::LN_2 / class.aim,
-            Decay::Even => {
-                std::f64::consts::LN_2 * (1.0 - class.late_share)
-                    / (class.deadline - class.aim).max(class.aim)
+            ValueDecay::Exponential => std::f64::consts::LN_2 / class.target_latency,
+            ValueDecay::Linear => {
+                std::f64::consts::LN_2 * (1.0 - class.late_value_share)
+                    / (class.deadline - class.target_latency).max(class.target_latency)
             }
         };
         let life = parcel.message.deadline - parcel.taken;
-        let worth = class.worth * if parcel.over_share { self.settings.over_share_worth } else { 1.0 };
+        let worth = class.value * if parcel.over_share { self.settings.over_quota_value } else { 1.0 };
         worth * (-decay.max(std::f64::consts::LN_2 / life) * (now - parcel.taken)).exp() * rate
     }
 
@@ -67,14 +67,14 @@
 
     /// Gives free slots to the held messages of highest rank that may go.
     pub(super) fn release(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
-        if self.calls.len() >= self.settings.slots {
+        if self.calls.len() >= self.settings.max_concurrent_calls {
             return;
         }
         let (mut held, mut open) = (Vec::new(), 0);
         for number in self.waiting.clone() {
             self.refresh(now, number);
             let Some(destination) = self.destinations.get(&number) else { continue };
-            let gate = destination.lane.gate(now, &self.settings.returning);
+            let gate = destination.lane.gate(now, &self.settings.slow_start);
             if let Gate::Closed(until) = gate
                 && !destination.apart
             {
@@ -92,7 +92,8 @@
         }
         // With slots to spare limits hold them; where worth falls evenly all lose alike by waiting: the first
         // to run out goes first. Harm: where a place stays small, all are late.
-        let spare = self.calls.len() + open < self.settings.slots && self.settings.decay == Decay::Even;
+        let spare = self.calls.len() + open < self.settings.max_concurrent_calls
+            && self.settings.decay == ValueDecay::Linear;
         // What may hardly end in time goes last, what a restart found untried first: fresh ones outrank it.
         held.sort_by(|(rank, taken, last, message), (other, then, least, than)| {
             let first = last.cmp(least).then(message.deadline.total_cmp(&than.deadline));
@@ -124,7 +125,9 @@
             });
             let (endpoint, call) = if let Some(((endpoint, _), call)) = joined {
                 (*endpoint, *call)
-            } else if self.calls.len() >= self.settings.slots || self.over_share(now, destination) {
+            } else if self.calls.len() >= self.settings.max_concurrent_calls
+                || self.over_share(now, destination)
+            {
                 closed.extend((batch == 1).then_some(parcel.message.destination));
                 continue;
             } else {
@@ -155,7 +158,7 @@
     /// The share rule: a destination holds at most so many of the slots.
     fn over_share(&self, now: Seconds, destination: &Destination) -> bool {
         let lane = &destination.lane;
-        let slots = self.settings.slots as f64;
+        let slots = self.settings.max_concurrent_calls as f64;
         let slow = lane.service.latency(now) > SLOW_TIMES * self.usual_latency.max(UNKNOWN_LATENCY);
         if slow || lane.service.failing(now) > SICK_SHARE || lane.outage.health != Health::Healthy {
             lane.out > 0 && (lane.out + 1) as f64 > SICK_SLOT_SHARE * slots
@@ -182,7 +185,7 @@
             // No new message is taken on, and an end that is not on record is forgotten by a kill.
             return;
         }
-        let excess = (self.parcels.len() + ROOM_KEPT).saturating_sub(self.settings.room);
+        let excess = (self.parcels.len() + ROOM_KEPT).saturating_sub(self.settings.max_messages);
         let mut ranked = Vec::new();
         for number in self.waiting.iter().filter(|_| excess > 0) {
             let Some(destination) = self.destinations.get(number) else { continue };
@@ -198,12 +201,12 @@
     }
 
     /// How a message would stand with its customer's share, evenly divided; none where no share binds.
-    pub fn share(&self, now: Seconds, tenant: usize) -> Option<Share> {
-        let own = self.settings.tenants.get(tenant)?.quota / f64::from(self.settings.dispatchers);
+    pub fn quota_status(&self, now: Seconds, tenant: usize) -> Option<QuotaStatus> {
+        let own = self.settings.tenants.get(tenant)?.quota / f64::from(self.settings.dispatcher_count);
         let most = (own * SHARE_TIME).max(1.0);
         let purse = self.purses.get(&tenant).copied().unwrap_or(Purse { left: most, at: now });
         let left = (purse.left + own * (now - purse.at).max(0.0)).min(most);
         let over = left < 1.0;
-        Some(Share { over, left: left - f64::from(u8::from(!over)) })
+        Some(QuotaStatus { over, remaining: left - f64::from(u8::from(!over)) })
     }
 }
--- a/crates/waydoor/src/choice/outage.rs
+++ b/crates/waydoor/src/choice/outage.rs
@@ -44,29 +44,30 @@
         (self.outage.health, self.outage.trial_at, self.outage.failed_at) = (Health::Shut, now, now);
     }
 
-    pub(super) fn shut(&mut self, now: Seconds, rule: &ReturnRule, rng: &mut fastrand::Rng) {
+    pub(super) fn shut(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
         self.outage.trials = if self.outage.health == Health::Shut { self.outage.trials } else { 0 };
         (self.outage.health, self.outage.vouched) = (Health::Shut, false);
         self.outage.trial_at = self.outage.trial_at.max(now + self.trial_wait(now, rule, rng));
     }
 
     /// Each of a crowd spends its own part of the cold budget, by seeded chance. Harm: a return is seen late.
-    pub(super) fn trial_wait(&self, now: Seconds, rule: &ReturnRule, rng: &mut fastrand::Rng) -> Seconds {
+    pub(super) fn trial_wait(&self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) -> Seconds {
         let alone = (TRIAL * 1.2f64.powi(self.outage.trials.min(8) as i32)).min(TRIAL_MOST);
         let turn = 1.0 / self.ramp(now, rule).1;
-        let crowd = if self.pace.crowded() { turn } else { (turn - rule.window).max(0.0) };
+        let crowd = if self.pace.crowded() { turn } else { (turn - rule.overload_window).max(0.0) };
         let few = if self.pace.crowded() { 0.0 } else { self.trial_turn(rule) };
         (alone * (0.75 + 0.5 * rng.f64())).max(few).max(crowd * -(1.0 - rng.f64()).ln())
     }
 
     /// Time between the trials of each of a few: what the rule's budget leaves beside the chances of new
     /// messages. Guards a small place. Harm: its return is seen later.
-    fn trial_turn(&self, rule: &ReturnRule) -> Seconds {
-        let allowed = rule.multiple * rule.cold_share * self.pace.whole() * rule.window;
+    fn trial_turn(&self, rule: &SlowStart) -> Seconds {
+        let allowed =
+            rule.overload_multiple * rule.cold_capacity_share * self.pace.whole() * rule.overload_window;
         let slack = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
         let chances = TRIAL_SHARE * allowed * self.pace.part / self.pace.even;
         let trials = (TRIAL_SHARE * (allowed + slack) - chances).max(TRIAL_SHARE * allowed);
-        rule.window / (self.pace.even * trials)
+        rule.overload_window / (self.pace.even * trials)
     }
 
     /// The share of the budget that each of a crowd may use for trials: chances come on top, by its load.
@@ -76,22 +77,24 @@
     }
 
     /// Whether a place that returned may still be cold: it may have been back only by the first served call.
-    pub(super) fn may_be_cold(&self, now: Seconds, rule: &ReturnRule) -> bool {
-        now - self.outage.found_at < rule.cold_time
+    pub(super) fn may_be_cold(&self, now: Seconds, rule: &SlowStart) -> bool {
+        now - self.outage.found_at < rule.warm_up_time
     }
 
     /// While shut or cold: the share of a warm place's traffic that may go there; the own part.
-    pub(super) fn ramp(&self, now: Seconds, rule: &ReturnRule) -> (f64, f64) {
+    pub(super) fn ramp(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
         let (warm, used) = match self.outage.health {
-            Health::Returning(since) => (((now - since) / rule.cold_time).clamp(0.0, 1.0), RAMP_SHARE),
+            Health::Returning(since) => (((now - since) / rule.warm_up_time).clamp(0.0, 1.0), RAMP_SHARE),
             _ => (0.0, if self.pace.crowded() { self.crowd_trials() } else { TRIAL_SHARE }),
         };
-        let share = used * rule.multiple * (rule.cold_share + (1.0 - rule.cold_share) * warm);
+        let share = used
+            * rule.overload_multiple
+            * (rule.cold_capacity_share + (1.0 - rule.cold_capacity_share) * warm);
         (share, share * self.pace.divided() * self.pace.whole())
     }
 
     /// A new message may go at once with the chance that keeps all dispatchers together inside the budget.
-    pub(super) fn chance(&mut self, now: Seconds, rule: &ReturnRule, rng: &mut fastrand::Rng) {
+    pub(super) fn chance(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
         let (share, own) = self.ramp(now, rule);
         if self.outage.health != Health::Healthy && own * TRIAL_MOST < 1.0 && rng.f64() < share {
             (self.outage.trial_at, self.pace.due) = (now, now);
@@ -100,7 +103,7 @@
 
     /// Learns from the end of a call or probe. `own_limit`: the limit is counted on this lane.
     pub(super) fn learn(
-        &mut self, now: Seconds, outcome: Outcome, latency: f64, own_limit: bool, rule: &ReturnRule,
+        &mut self, now: Seconds, outcome: Outcome, latency: f64, own_limit: bool, rule: &SlowStart,
         rng: &mut fastrand::Rng,
     ) {
         match outcome {
@@ -119,7 +122,7 @@
                     // It is back since some time after the last failure, as likely early as late.
                     Health::Shut | Health::Suspect if out => {
                         let found = now - latency;
-                        let gap = (found - own.failed_at).clamp(0.0, DATED_MOST * rule.cold_time);
+                        let gap = (found - own.failed_at).clamp(0.0, DATED_MOST * rule.warm_up_time);
                         own.found_at = found;
                         Health::Returning(found - gap / 2.0)
                     }
@@ -127,8 +130,8 @@
                     other => other,
                 };
             }
-            Outcome::Full => self.refused(now, latency, own_limit, rule, rng),
-            Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset => {
+            Outcome::Overloaded => self.refused(now, latency, own_limit, rule, rng),
+            Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
                 self.service.sample(now, None, 1.0);
                 // Sent before the last served call, it tells nothing of now. Harm: none in an outage.
                 let stale = self.outage.served_at > now - latency;
@@ -151,10 +154,10 @@
             }
             // An answer that came shows a process that lives, not one that serves.
             Outcome::Cancelled
-            | Outcome::Moot
+            | Outcome::NotSent
             | Outcome::NotRecorded
-            | Outcome::Spoilt
-            | Outcome::Rejected => {}
+            | Outcome::MalformedResponse
+            | Outcome::InvalidRequest => {}
         }
     }
 
@@ -183,7 +186,7 @@
         let out = if destination.apart { routes.any(|e| cold(&e.lane)) } else { cold(&destination.lane) };
         if out != destination.remembered {
             destination.remembered = out;
-            self.decided.push(Action::Remember { destination: number, out });
+            self.decided.push(Action::RecordOutage { destination: number, ongoing: out });
         }
     }
 
--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/choice/pace.rs
@@ -65,7 +65,7 @@
 
     /// Heeds what the place tells of its limit: the pace is as good a share of the new one. Harm: a wrong
     /// report misleads until the next.
-    pub(super) fn told(&mut self, now: Seconds, told: Allowance) {
+    pub(super) fn told(&mut self, now: Seconds, told: RateLimitReport) {
         self.uncounted = told.rate <= 0.0;
         if self.uncounted {
             return;
@@ -76,7 +76,7 @@
         self.capacity = Some(told.rate);
         // What is left for all tells each of many what its own few calls can't.
         let pace = self.now(now);
-        if let Some(left) = told.left.filter(|_| self.crowd() > 0.0 && pace.is_finite()) {
+        if let Some(left) = told.remaining_share.filter(|_| self.crowd() > 0.0 && pace.is_finite()) {
             let moved = pace * (self.crowd() * PACE_DRIFT * (left - PACE_LEFT)).exp();
             let used = self.fair().max(PACE_UNUSED * self.sent.now(now, RATE_TIME)).min(told.rate);
             self.rate = Some((moved.min(used).max(PACE_LEAST * self.even * told.rate), now));
@@ -100,20 +100,20 @@
 impl Lane {
     /// A call that reached no process took no turn. Guards against spending half of a limit on connections
     /// that have been closed unseen. Harm: if the place counts it all the same, a refusal corrects the pace.
-    pub(super) fn unbook(&mut self, now: Seconds, rule: &ReturnRule) {
+    pub(super) fn unbook(&mut self, now: Seconds, rule: &SlowStart) {
         let healthy = self.outage.health == Health::Healthy;
         self.pace.due -= if healthy { 1.0 / self.allowed(now, rule).0 } else { 0.0 };
     }
 
     /// The rate that is allowed now, and how many calls at once. While shut, the trials' own interval binds.
-    fn allowed(&self, now: Seconds, rule: &ReturnRule) -> (f64, f64) {
+    fn allowed(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
         match self.outage.health {
             Health::Returning(_) => (self.pace.now(now).min(self.ramp(now, rule).1), 1.0),
             _ => (self.pace.now(now), self.pace.burst(now)),
         }
     }
 
-    pub(super) fn gate(&self, now: Seconds, rule: &ReturnRule) -> Gate {
+    pub(super) fn gate(&self, now: Seconds, rule: &SlowStart) -> Gate {
         let mut open_at = self.refusals.wait_until.max(self.refusals.pause_until);
         let (rate, burst) = self.allowed(now, rule);
         if rate.is_finite() {
@@ -135,7 +135,7 @@
     }
 
     /// Books a call or a probe that goes out.
-    pub(super) fn book(&mut self, now: Seconds, rule: &ReturnRule, rng: &mut fastrand::Rng) {
+    pub(super) fn book(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
         let (rate, _) = self.allowed(now, rule);
         self.pace.due = self.pace.due.max(now) + 1.0 / rate;
         self.pace.sent.count(now, RATE_TIME);
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/choice/refusal.rs
@@ -41,7 +41,7 @@
 impl Lane {
     /// Learns from a refusal. `own_limit`: the limit is counted on this lane.
     pub(super) fn refused(
-        &mut self, now: Seconds, latency: f64, own_limit: bool, rule: &ReturnRule, rng: &mut fastrand::Rng,
+        &mut self, now: Seconds, latency: f64, own_limit: bool, rule: &SlowStart, rng: &mut fastrand::Rng,
     ) {
         let Lane { pace, refusals, outage, .. } = self;
         outage.failed_at = outage.failed_at.max(now - latency);
@@ -81,7 +81,7 @@
         limited.refusals.wait_until = limited.refusals.wait_until.max(now + wait);
         // No limit tells so long a wait: the door is shut, and opens cold to all who waited for one moment.
         if wait > SHUT_FULL_TIME && limited.refusals.wait_until > limited.pace.due {
-            let rule = &self.settings.returning;
+            let rule = &self.settings.slow_start;
             limited.outage.health = Health::Returning(limited.refusals.wait_until);
             limited.outage.found_at = limited.refusals.wait_until;
             let turn = if limited.pace.crowded() { 1.0 / limited.ramp(now, rule).1 } else { 0.0 };
--- a/crates/waydoor/src/interface.rs
+++ b/crates/waydoor/src/interface.rs
@@ -43,13 +43,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
     /// Delivered within this time it earns its full worth.
-    pub aim: Seconds,
+    #[serde(rename = "aim")]
+    pub target_latency: Seconds,
     /// Time from first hand-in to the end of its life.
     pub deadline: Seconds,
     /// Worth of one message.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Share of the worth that is left at the deadline.
-    pub late_share: f64,
+    #[serde(rename = "late_share")]
+    pub late_value_share: f64,
     /// What a repeat would do.
     pub effect: Effect,
     /// Messages of one key are delivered one at a time, in the order taken.
@@ -65,68 +68,82 @@
 
 /// A kind of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kind {
+pub struct DestinationKind {
     /// The endpoints are separate routes, each with its own limit and outages.
-    pub routes_apart: bool,
+    #[serde(rename = "routes_apart")]
+    pub independent_endpoints: bool,
     /// Messages that one call carries at most.
-    pub batch: usize,
+    #[serde(rename = "batch")]
+    pub max_batch: usize,
 }
 
 /// How worth falls once the aim has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Decay {
+pub enum ValueDecay {
     /// Evenly, down to the late share at the deadline.
-    Even,
+    #[serde(rename = "Even")]
+    Linear,
     /// By half with each further aim, not under the late share.
-    ByHalf,
+    #[serde(rename = "ByHalf")]
+    Exponential,
 }
 
 /// How the list of endpoints arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Listing {
+pub enum DiscoveryMode {
     /// Changes come by themselves.
     Pushed,
     /// Changes come to those who ask; one who has not asked for this long counts as told.
-    OnRequest {
+    #[serde(rename = "OnRequest")]
+    Subscription {
         /// Longest time without asking.
-        ask_within: Seconds,
+        #[serde(rename = "ask_within")]
+        max_renewal_interval: Seconds,
     },
 }
 
-impl Listing {
+impl DiscoveryMode {
     /// Longest time without asking; without end where the list comes by itself.
     pub(crate) fn ask_within(self) -> Seconds {
         match self {
-            Listing::OnRequest { ask_within } => ask_within,
-            Listing::Pushed => f64::INFINITY,
+            DiscoveryMode::Subscription { max_renewal_interval: ask_within } => ask_within,
+            DiscoveryMode::Pushed => f64::INFINITY,
         }
     }
 }
 
 /// How a destination that was out must be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReturnRule {
+pub struct SlowStart {
     /// Share of its capacity that it starts with.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub cold_capacity_share: f64,
     /// Time until it is warm.
-    pub cold_time: Seconds,
+    #[serde(rename = "cold_time")]
+    pub warm_up_time: Seconds,
     /// Sent more than this multiple of its present capacity ...
-    pub multiple: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     /// ... for this long, it falls over.
-    pub window: Seconds,
+    #[serde(rename = "window")]
+    pub overload_window: Seconds,
 }
 
 /// All that a dispatcher is told at its start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// How many dispatchers share the destinations.
-    pub dispatchers: u32,
+    #[serde(rename = "dispatchers")]
+    pub dispatcher_count: u32,
     /// Calls out at once.
-    pub slots: usize,
+    #[serde(rename = "slots")]
+    pub max_concurrent_calls: usize,
     /// Messages held or out at once; more are turned away before the dispatcher.
-    pub room: usize,
+    #[serde(rename = "room")]
+    pub max_messages: usize,
     /// Attempts for one message.
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Idle connections close after this.
     pub keepalive: Option<Seconds>,
     /// Whether probes may be sent.
@@ -140,19 +157,24 @@
     /// Customers, by their index; none where messages are all of one.
     pub tenants: Vec<Tenant>,
     /// Worth of a message beyond its customer's share, as a part of its class's.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_value: f64,
     /// Kinds of destination, by their index.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// How worth falls.
-    pub decay: Decay,
+    pub decay: ValueDecay,
     /// How the list of endpoints arrives.
-    pub listing: Listing,
+    #[serde(rename = "listing")]
+    pub discovery_mode: DiscoveryMode,
     /// Whether listed rates mean anything.
-    pub rates_listed: bool,
+    #[serde(rename = "rates_listed")]
+    pub use_listed_rates: bool,
     /// How returning destinations are to be treated.
-    pub returning: ReturnRule,
+    #[serde(rename = "returning")]
+    pub slow_start: SlowStart,
     /// Rest of a key after an attempt that may still run.
-    pub key_rest: Seconds,
+    #[serde(rename = "key_rest")]
+    pub order_key_cooldown: Seconds,
 }
 
 /// Largest time, rate or worth: what is computed with them stays a time that clocks can hold.
@@ -164,24 +186,27 @@
         let settings = self;
         let fault = |name: String, problem: &str| Err(SettingsError { name, problem: problem.into() });
         let span = |x: f64| (0.0..=FIGURE_MOST).contains(&x);
-        for (name, n) in
-            [("slots", settings.slots), ("room", settings.room), ("attempts", settings.attempts as usize)]
-        {
+        for (name, n) in [
+            ("slots", settings.max_concurrent_calls),
+            ("room", settings.max_messages),
+            ("attempts", settings.max_attempts as usize),
+        ] {
             if n == 0 {
                 return fault(name.into(), "must be at least 1");
             }
         }
-        if settings.dispatchers == 0 {
+        if settings.dispatcher_count == 0 {
             return fault("dispatchers".into(), "must be at least 1");
         }
         for (i, class) in settings.classes.iter().enumerate() {
-            let figures = [("aim", class.aim), ("deadline", class.deadline), ("worth", class.worth)];
+            let figures =
+                [("aim", class.target_latency), ("deadline", class.deadline), ("worth", class.value)];
             for (name, x) in figures {
                 if !span(x) || (x == 0.0 && name != "worth") {
                     return fault(format!("classes[{i}].{name}"), "must be a number above 0, 1e9 at most");
                 }
             }
-            if !(0.0..=1.0).contains(&class.late_share) {
+            if !(0.0..=1.0).contains(&class.late_value_share) {
                 return fault(format!("classes[{i}].late_share"), "must lie between 0 and 1");
             }
             if let Effect::Keyed { window, .. } = class.effect
@@ -195,19 +220,19 @@
                 return fault(format!("tenants[{i}].quota"), "must be a number above 0, 1e9 at most");
             }
         }
-        if !(0.0..=1.0).contains(&settings.over_share_worth) {
+        if !(0.0..=1.0).contains(&settings.over_quota_value) {
             return fault("over_share_worth".into(), "must lie between 0 and 1");
         }
-        let rule = &settings.returning;
-        let ask = match settings.listing {
-            Listing::OnRequest { ask_within } => ask_within,
-            Listing::Pushed => 1.0,
+        let rule = &settings.slow_start;
+        let ask = match settings.discovery_mode {
+            DiscoveryMode::Subscription { max_renewal_interval: ask_within } => ask_within,
+            DiscoveryMode::Pushed => 1.0,
         };
         let figures = [
-            ("returning.cold_share", rule.cold_share),
-            ("returning.cold_time", rule.cold_time),
-            ("returning.multiple", rule.multiple),
-            ("returning.window", rule.window),
+            ("returning.cold_share", rule.cold_capacity_share),
+            ("returning.cold_time", rule.warm_up_time),
+            ("returning.multiple", rule.overload_multiple),
+            ("returning.window", rule.overload_window),
             ("listing.ask_within", ask),
             ("keepalive", settings.keepalive.unwrap_or(1.0)),
         ];
@@ -216,7 +241,7 @@
                 return fault(name.into(), "must be a number above 0, 1e9 at most");
             }
         }
-        if !span(settings.key_rest) {
+        if !span(settings.order_key_cooldown) {
             return fault("key_rest".into(), "must be a number, 0 or more, 1e9 at most");
         }
         Ok(())
@@ -249,17 +274,18 @@
     /// Its customer, an index of [`Settings::tenants`]; one that is not there has no share that binds.
     pub tenant: usize,
     /// Whether it came beyond its customer's share, where that was asked when it came
-    /// ([`Dispatcher::share`](crate::Dispatcher::share)); none: it is counted now.
-    pub over_share: Option<bool>,
+    /// ([`Dispatcher::quota_status`](crate::Dispatcher::quota_status)); none: it is counted now.
+    #[serde(rename = "over_share")]
+    pub over_quota: Option<bool>,
 }
 
 /// How a message stands with its customer's share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct QuotaStatus {
     /// It comes beyond it.
     pub over: bool,
     /// Messages that the customer may still hand in within it at this dispatcher, this one not among them.
-    pub left: f64,
+    pub remaining: f64,
 }
 
 /// How a call or a probe ended.
@@ -270,61 +296,68 @@
     /// Answered with an error; it may have run.
     Error,
     /// Turned away unseen.
-    Full,
+    #[serde(rename = "Full")]
+    Overloaded,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection could be made; it never ran.
-    NoConnection,
+    #[serde(rename = "NoConnection")]
+    ConnectFailed,
     /// The connection broke; it may have run.
-    Reset,
+    #[serde(rename = "Reset")]
+    ConnectionReset,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    #[serde(rename = "Moot")]
+    NotSent,
     /// Never sent, since its start could not be put on record; it counts as no attempt.
     NotRecorded,
     /// An answer came and cannot be read: it may have run, and the endpoint lives.
-    Spoilt,
+    #[serde(rename = "Spoilt")]
+    MalformedResponse,
     /// The call cannot be used as it is: it never ran, and the endpoint lives.
-    Rejected,
+    #[serde(rename = "Rejected")]
+    InvalidRequest,
 }
 
 impl Outcome {
     /// Whether the call has surely not run.
     pub fn never_ran(self) -> bool {
-        use Outcome::{Full, Moot, NoConnection, NotRecorded, Rejected};
-        matches!(self, Full | NoConnection | Moot | NotRecorded | Rejected)
+        use Outcome::{ConnectFailed, InvalidRequest, NotRecorded, NotSent, Overloaded};
+        matches!(self, Overloaded | ConnectFailed | NotSent | NotRecorded | InvalidRequest)
     }
 
     /// Whether a whole answer came, after which a connection is idle as a rule.
     pub fn answered(self) -> bool {
-        matches!(self, Outcome::Served | Outcome::Full | Outcome::Error | Outcome::Rejected)
+        matches!(self, Outcome::Served | Outcome::Overloaded | Outcome::Error | Outcome::InvalidRequest)
     }
 }
 
 /// What an endpoint tells of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Allowance {
+pub struct RateLimitReport {
     /// The limit in calls a second; 0 where none is counted.
     pub rate: f64,
     /// Share of the limit that is left for all, between 0 and 1, where that is told; some tenths of a second old.
-    pub left: Option<f64>,
+    #[serde(rename = "left")]
+    pub remaining_share: Option<f64>,
 }
 
 /// Whether an endpoint may get new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointState {
     /// In service; nothing is said of its health.
     Ready,
     /// Nothing new may go there.
     Draining,
     /// No longer there.
-    Gone,
+    Removed,
 }
 
 /// A line of the list of endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
@@ -336,7 +369,7 @@
     /// Calls a second that the destination (or the route apart) takes from all dispatchers.
     pub rate: f64,
     /// Whether it may get new work.
-    pub listed: Listed,
+    pub state: EndpointState,
 }
 
 /// The end of an attempt.
@@ -351,76 +384,76 @@
     /// How it ended.
     pub outcome: Outcome,
     /// A wait that the destination told.
-    pub wait: Option<Seconds>,
+    pub retry_after: Option<Seconds>,
     /// Nothing more is owed for the message.
-    pub closed: bool,
+    pub settled: bool,
     /// Time since the send.
     pub latency: Seconds,
     /// What the endpoint tells of its limit.
-    pub allowance: Option<Allowance>,
+    pub rate_limit_report: Option<RateLimitReport>,
     /// The call went over a connection that had been idle.
-    pub reused: bool,
+    pub connection_reused: bool,
     /// The call's connection is idle now and may be used again.
-    pub kept: bool,
+    pub connection_kept: bool,
 }
 
 /// What a dispatcher learns.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A message was taken.
-    Taken(Message),
+    Accepted(Message),
     /// A message that an earlier life of this dispatcher took is taken up again.
-    Resumed {
+    Recovered {
         /// The message.
         message: Message,
         /// When it was taken; earlier than the clock's start as a rule.
-        taken: Seconds,
+        accepted_at: Seconds,
         /// Attempts that were used.
         attempts: u32,
         /// When the first attempt that may have run was sent, and the zone it went to.
         may_have_run: Option<(Seconds, u16)>,
     },
     /// When an earlier life of this dispatcher ended, the destination was out or had just come back
-    /// ([`Action::Remember`] was the last word on it).
-    Remembered(DestinationId),
+    /// ([`Action::RecordOutage`] was the last word on it).
+    OutageRecovered(DestinationId),
     /// An endpoint that got nothing for a while (operators had taken it out) was started anew meanwhile: it serves
     /// again, and is cold. Its line of the list came before.
-    Restarted(EndpointId),
-    /// What a customer had left of its share: told by [`Dispatcher::share`](crate::Dispatcher::share) for a
+    EndpointRestored(EndpointId),
+    /// What a customer had left of its share: told by [`Dispatcher::quota_status`](crate::Dispatcher::quota_status) for a
     /// message that was taken then, in this life or an earlier one.
-    Counted {
+    QuotaRecovered {
         /// The customer, an index of [`Settings::tenants`].
         tenant: usize,
         /// Messages that it may still hand in.
-        left: f64,
+        remaining: f64,
         /// When the message came.
         at: Seconds,
     },
     /// The dispatcher stops then: no attempt may be out any more.
-    Closing(Seconds),
+    ShutdownAt(Seconds),
     /// An attempt ended.
-    Ended(AttemptEnd),
+    AttemptEnded(AttemptEnd),
     /// An endpoint told a wait in an answer that is not whole yet; the attempt's end comes by itself.
-    WaitTold {
+    RetryAfter {
         /// The endpoint.
         endpoint: EndpointId,
         /// From now on.
-        wait: Seconds,
+        delay: Seconds,
     },
     /// Nobody wants the message any more.
     Withdrawn(MessageId),
     /// Changed lines of the list.
-    ListChanged(Vec<Entry>),
+    ListUpdate(Vec<EndpointEntry>),
     /// The whole list; what is not in it is gone.
-    ListWhole(Vec<Entry>),
+    ListSnapshot(Vec<EndpointEntry>),
     /// Asking for the list failed, or the subscription broke.
     ListFailed,
     /// The subscription brought a sign of life and no news.
-    ListAlive,
+    ListKeepAlive,
     /// A timer that was set is due.
-    Timer(u32),
+    TimerFired(u32),
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
@@ -428,7 +461,7 @@
         /// Time it took.
         latency: Seconds,
         /// What the endpoint tells of its limit.
-        allowance: Option<Allowance>,
+        rate_limit_report: Option<RateLimitReport>,
     },
 }
 
@@ -446,10 +479,12 @@
         /// Give the attempt up after this long.
         timeout: Seconds,
         /// It shares its call with no other message.
-        alone: bool,
+        #[serde(rename = "alone")]
+        unbatched: bool,
     },
     /// End it undelivered; coming again is harmless.
-    Refuse(MessageId),
+    #[serde(rename = "Refuse")]
+    Reject(MessageId),
     /// End it as failed; nothing is promised.
     Fail(MessageId),
     /// Wake the dispatcher.
@@ -461,7 +496,8 @@
     },
     /// Break off the attempt that a message has out, alone in its call. It may have run; its end comes as
     /// [`Outcome::Cancelled`], unless another one has come already.
-    BreakOff {
+    #[serde(rename = "BreakOff")]
+    CancelAttempt {
         /// The message.
         id: MessageId,
         /// The attempt's number, from 0.
@@ -475,12 +511,15 @@
     Subscribe,
     /// Keep for the next life of this dispatcher that the destination is out or comes back cold; or that it
     /// is as usual again.
-    Remember {
+    #[serde(rename = "Remember")]
+    RecordOutage {
         /// The destination.
         destination: DestinationId,
         /// It is out, or back and cold still.
-        out: bool,
+        #[serde(rename = "out")]
+        ongoing: bool,
     },
     /// A line for the log.
-    Note(String),
+    #[serde(rename = "Note")]
+    Log(String),
 }
--- a/crates/waydoor/src/lib.rs
+++ b/crates/waydoor/src/lib.rs
@@ -7,45 +7,50 @@
 //! use waydoor::*;
 //!
 //! let settings = Settings {
-//!     dispatchers: 1,
-//!     slots: 4,
-//!     room: 100,
-//!     attempts: 3,
+//!     dispatcher_count: 1,
+//!     max_concurrent_calls: 4,
+//!     max_messages: 100,
+//!     max_attempts: 3,
 //!     keepalive: None,
 //!     probes: false,
 //!     cancel: false,
 //!     zone: 0,
 //!     classes: vec![Class {
-//!         aim: 2.0,
+//!         target_latency: 2.0,
 //!         deadline: 20.0,
-//!         worth: 1.0,
-//!         late_share: 0.0,
+//!         value: 1.0,
+//!         late_value_share: 0.0,
 //!         effect: Effect::Safe,
 //!         ordered: false,
 //!     }],
-//!     kinds: vec![Kind { routes_apart: false, batch: 1 }],
-//!     decay: Decay::ByHalf,
-//!     listing: Listing::Pushed,
-//!     rates_listed: false,
-//!     returning: ReturnRule { cold_share: 0.2, cold_time: 10.0, multiple: 2.0, window: 3.0 },
-//!     key_rest: 0.0,
+//!     kinds: vec![DestinationKind { independent_endpoints: false, max_batch: 1 }],
+//!     decay: ValueDecay::Exponential,
+//!     discovery_mode: DiscoveryMode::Pushed,
+//!     use_listed_rates: false,
+//!     slow_start: SlowStart {
+//!         cold_capacity_share: 0.2,
+//!         warm_up_time: 10.0,
+//!         overload_multiple: 2.0,
+//!         overload_window: 3.0,
+//!     },
+//!     order_key_cooldown: 0.0,
 //!     tenants: Vec::new(),
-//!     over_share_worth: 1.0,
+//!     over_quota_value: 1.0,
 //! };
 //! let mut dispatcher = Dispatcher::new(settings, 7)?;
 //! let endpoint = EndpointId(1);
 //! let destination = DestinationId(1);
-//! let listed = Listed::Ready;
+//! let state = EndpointState::Ready;
 //! let mut actions = Vec::new();
 //!
 //! // One round: all that happened, then one decision.
 //! dispatcher.handle(
 //!     0.0,
-//!     Event::ListWhole(vec![Entry { endpoint, destination, kind: 0, zone: 0, rate: 5.0, listed }]),
+//!     Event::ListSnapshot(vec![EndpointEntry { endpoint, destination, kind: 0, zone: 0, rate: 5.0, state }]),
 //! );
 //! let message = Message { id: MessageId(1), class: 0, destination, deadline: 20.0, key: None,
-//!     tenant: 0, over_share: None };
-//! dispatcher.handle(0.0, Event::Taken(message));
+//!     tenant: 0, over_quota: None };
+//! dispatcher.handle(0.0, Event::Accepted(message));
 //! dispatcher.decide(0.0, &mut actions);
 //! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MessageId(1), .. }));
 //! assert!(sent);
@@ -54,17 +59,17 @@
 //! actions.clear();
 //! dispatcher.handle(
 //!     0.3,
-//!     Event::Ended(AttemptEnd {
+//!     Event::AttemptEnded(AttemptEnd {
 //!         id: MessageId(1),
 //!         endpoint,
 //!         attempt: 0,
 //!         outcome: Outcome::Served,
-//!         wait: None,
-//!         closed: true,
+//!         retry_after: None,
+//!         settled: true,
 //!         latency: 0.3,
-//!         allowance: None,
-//!         reused: false,
-//!         kept: true,
+//!         rate_limit_report: None,
+//!         connection_reused: false,
+//!         connection_kept: true,
 //!     }),
 //! );
 //! dispatcher.decide(0.3, &mut actions);
@@ -77,4 +82,4 @@
 mod state;
 
 pub use interface::*;
-pub use state::{Dispatcher, Outstanding};
+pub use state::{Dispatcher, InFlightAttempt};
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -239,10 +239,15 @@
 impl Destination {
     /// One that no list has told of.
     pub(crate) fn unlisted() -> Self {
-        Destination::new(None, UNKNOWN_LATENCY, usize::MAX, Kind { routes_apart: false, batch: 1 })
+        Destination::new(
+            None,
+            UNKNOWN_LATENCY,
+            usize::MAX,
+            DestinationKind { independent_endpoints: false, max_batch: 1 },
+        )
     }
 
-    pub(crate) fn new(rate: Option<f64>, latency: f64, kind: usize, traits: Kind) -> Self {
+    pub(crate) fn new(rate: Option<f64>, latency: f64, kind: usize, traits: DestinationKind) -> Self {
         Destination {
             lane: Lane::new(rate, latency),
             endpoints: BTreeSet::new(),
@@ -250,8 +255,8 @@
             risky: 0,
             demand: Rate::default(),
             kind,
-            apart: traits.routes_apart,
-            batch: traits.batch.max(1),
+            apart: traits.independent_endpoints,
+            batch: traits.max_batch.max(1),
             remembered: false,
         }
     }
@@ -267,7 +272,7 @@
 
 /// A message that is out: where to, which attempt, and since when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outstanding {
+pub struct InFlightAttempt {
     /// The message.
     pub id: MessageId,
     /// Where it went.
@@ -375,14 +380,14 @@
     }
 
     /// Whether a message is in mind that is not over.
-    pub fn holds(&self, id: MessageId) -> bool {
+    pub fn is_active(&self, id: MessageId) -> bool {
         self.parcels.get(&id).is_some_and(|parcel| !parcel.over)
     }
 
     /// The messages that are out, in the order of their ids.
-    pub fn outstanding(&self) -> Vec<Outstanding> {
+    pub fn in_flight(&self) -> Vec<InFlightAttempt> {
         let out = self.parcels.iter().filter_map(|(id, parcel)| Some((id, parcel, parcel.out?)));
-        let out = out.map(|(id, parcel, Flight { endpoint, call })| Outstanding {
+        let out = out.map(|(id, parcel, Flight { endpoint, call })| InFlightAttempt {
             id: *id,
             endpoint,
             attempt: parcel.attempts.saturating_sub(1),
@@ -403,7 +408,7 @@
 
     /// Another process goes on with this state, on the same clock: what the old one had pending with its surroundings
     /// (its timer, its subscription, its own end) is gone.
-    pub fn moved(&mut self) {
+    pub fn resume_in_new_process(&mut self) {
         (self.timer, self.closing_at) = (None, f64::INFINITY);
         (self.ask_at, self.asked, self.asks) = (f64::NEG_INFINITY, false, 0);
     }
@@ -436,35 +441,35 @@
 
     /// The lanes that a call to the endpoint is booked on.
     pub(crate) fn each_lane(
-        &mut self, endpoint: EndpointId, mut with: impl FnMut(&mut Lane, &ReturnRule, &mut fastrand::Rng),
+        &mut self, endpoint: EndpointId, mut with: impl FnMut(&mut Lane, &SlowStart, &mut fastrand::Rng),
     ) {
         let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
-        with(&mut e.lane, &self.settings.returning, &mut self.rng);
+        with(&mut e.lane, &self.settings.slow_start, &mut self.rng);
         if let Some(destination) = self.destinations.get_mut(&e.destination).filter(|d| !d.apart) {
-            with(&mut destination.lane, &self.settings.returning, &mut self.rng);
+            with(&mut destination.lane, &self.settings.slow_start, &mut self.rng);
         }
     }
 
     /// A destination's own lane and those of its endpoints.
     pub(crate) fn all_lanes(
-        &mut self, number: DestinationId, mut with: impl FnMut(&mut Lane, &ReturnRule, &mut fastrand::Rng),
+        &mut self, number: DestinationId, mut with: impl FnMut(&mut Lane, &SlowStart, &mut fastrand::Rng),
     ) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        with(&mut destination.lane, &self.settings.returning, &mut self.rng);
+        with(&mut destination.lane, &self.settings.slow_start, &mut self.rng);
         for id in &destination.endpoints {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                with(&mut endpoint.lane, &self.settings.returning, &mut self.rng);
+                with(&mut endpoint.lane, &self.settings.slow_start, &mut self.rng);
             }
         }
     }
 
     /// Whether a list has named the destination: what nobody has heard of can only be held for nothing.
-    pub fn knows(&self, destination: DestinationId) -> bool {
+    pub fn is_listed(&self, destination: DestinationId) -> bool {
         self.destinations.get(&destination).is_some_and(|destination| destination.kind != usize::MAX)
     }
 
     /// Whether nothing but trials goes to an endpoint now: it is out, it told a wait that runs, or its destination did.
-    pub fn avoids(&self, now: Seconds, endpoint: EndpointId) -> bool {
+    pub fn is_unavailable(&self, now: Seconds, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return false };
         let out = |lane: &Lane| lane.outage.health == Health::Shut || lane.refusals.wait_until > now;
         let destination = self.destinations.get(&endpoint.destination).filter(|d| !d.apart);
@@ -480,8 +485,8 @@
 
     /// Counts a message of a customer now; whether it comes beyond its share.
     pub(crate) fn counts_over(&mut self, now: Seconds, tenant: usize) -> bool {
-        let Some(share) = self.share(now, tenant) else { return false };
-        self.counted(now, tenant, share.left, now);
+        let Some(share) = self.quota_status(now, tenant) else { return false };
+        self.counted(now, tenant, share.remaining, now);
         share.over
     }
 
@@ -600,18 +605,19 @@
     }
 
     /// Copies lines of the list.
-    pub(crate) fn enrol(&mut self, entries: Vec<Entry>, whole: bool, latency: Seconds) {
+    pub(crate) fn enrol(&mut self, entries: Vec<EndpointEntry>, whole: bool, latency: Seconds) {
         if whole {
             self.endpoints.values_mut().for_each(|endpoint| endpoint.ready = false);
         }
         let mut changed: BTreeSet<DestinationId> = BTreeSet::new();
         for entry in entries {
             let Some(kind) = self.settings.kinds.get(entry.kind).copied() else { continue };
-            let rate = Some(entry.rate).filter(|r| self.settings.rates_listed && r.is_finite() && *r > 0.0);
+            let rate =
+                Some(entry.rate).filter(|r| self.settings.use_listed_rates && r.is_finite() && *r > 0.0);
             let new = || Destination::new(rate, latency, entry.kind, kind);
             let destination = self.destinations.entry(entry.destination).or_insert_with(new);
             (destination.kind, destination.apart, destination.batch) =
-                (entry.kind, kind.routes_apart, kind.batch.max(1));
+                (entry.kind, kind.independent_endpoints, kind.max_batch.max(1));
             destination.endpoints.insert(entry.endpoint);
             destination.lane.pace.capacity = rate.or(destination.lane.pace.capacity);
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Endpoint {
@@ -622,7 +628,7 @@
                 used_at: f64::NEG_INFINITY,
                 idle_since: None,
             });
-            endpoint.ready = entry.listed == Listed::Ready;
+            endpoint.ready = entry.state == EndpointState::Ready;
             endpoint.zone = entry.zone;
             changed.insert(entry.destination);
         }
--- a/crates/waydoor/tests/common/fleet.rs
+++ b/crates/waydoor/tests/common/fleet.rs
@@ -23,7 +23,7 @@
 }
 
 /// A call as the place sees it: when, by which dispatcher.
-pub type Place<'a> = &'a mut dyn FnMut(f64, usize) -> (Outcome, Option<Allowance>);
+pub type Place<'a> = &'a mut dyn FnMut(f64, usize) -> (Outcome, Option<RateLimitReport>);
 
 /// Plays a fleet of `n` against one destination of two endpoints; messages come evenly to all that live, at random
 /// times. `alive`: whether a dispatcher lives then. Sums are taken from `from` on.
@@ -39,12 +39,17 @@
     n: usize, seed: u64, (rate, listed): (&dyn Fn(f64) -> f64, f64), (from, until): (f64, f64),
     alive: &dyn Fn(f64, usize) -> bool, place: Place,
 ) -> Sums {
-    let own = Settings { dispatchers: n as u32, slots: 40, keepalive: Some(15.0), ..settings() };
-    let entries: Vec<_> = (1..=2).map(|id| Entry { rate: listed, ..entry(id, 1) }).collect();
+    let own = Settings {
+        dispatcher_count: n as u32,
+        max_concurrent_calls: 40,
+        keepalive: Some(15.0),
+        ..settings()
+    };
+    let entries: Vec<_> = (1..=2).map(|id| EndpointEntry { rate: listed, ..entry(id, 1) }).collect();
     let mut fleet: Vec<Dispatcher> = (0..n)
         .map(|i| {
             let mut d = Dispatcher::new(own.clone(), seed * 1000 + i as u64).unwrap();
-            d.handle(0.0, Event::ListWhole(entries.clone()));
+            d.handle(0.0, Event::ListSnapshot(entries.clone()));
             d
         })
         .collect();
@@ -70,15 +75,15 @@
                 deadline: now + 12.0,
                 key: None,
                 tenant: 0,
-                over_share: None,
+                over_quota: None,
             };
-            fleet[to].handle(now, Event::Taken(message));
+            fleet[to].handle(now, Event::Accepted(message));
         }
         let (ended, rest): (Vec<_>, Vec<_>) = out.into_iter().partition(|(at, ..)| *at <= now);
         out = rest;
         for (_, to, endpoint, end) in ended {
-            *idle.entry((to, endpoint)).or_default() += usize::from(end.kept);
-            fleet[to].handle(now, Event::Ended(end));
+            *idle.entry((to, endpoint)).or_default() += usize::from(end.connection_kept);
+            fleet[to].handle(now, Event::AttemptEnded(end));
         }
         for i in living {
             let mut actions = Vec::new();
@@ -96,24 +101,24 @@
                             endpoint,
                             attempt: *attempt,
                             outcome,
-                            wait: None,
-                            closed: outcome == Outcome::Served,
+                            retry_after: None,
+                            settled: outcome == Outcome::Served,
                             latency: LATENCY,
-                            allowance,
-                            reused,
-                            kept: outcome.answered(),
+                            rate_limit_report: allowance,
+                            connection_reused: reused,
+                            connection_kept: outcome.answered(),
                         };
                         *attempt += 1;
                         out.push((now + LATENCY, i, endpoint.0, end));
                         if counted {
                             sums.calls += 1;
                             sums.served += usize::from(outcome == Outcome::Served);
-                            sums.full += usize::from(outcome == Outcome::Full);
+                            sums.full += usize::from(outcome == Outcome::Overloaded);
                             sums.connects += usize::from(!reused);
                         }
                     }
                     Action::CloseIdle(endpoint) => drop(idle.remove(&(i, endpoint.0))),
-                    Action::Refuse(_) | Action::Fail(_) => sums.ended += usize::from(counted),
+                    Action::Reject(_) | Action::Fail(_) => sums.ended += usize::from(counted),
                     _ => {}
                 }
             }
--- a/crates/waydoor/tests/common/mod.rs
+++ b/crates/waydoor/tests/common/mod.rs
@@ -14,7 +14,7 @@
 pub const HOME: DestinationId = DestinationId(1);
 
 pub fn class(effect: Effect) -> Class {
-    Class { aim: 2.0, deadline: 20.0, worth: 1.0, late_share: 0.3, effect, ordered: false }
+    Class { target_latency: 2.0, deadline: 20.0, value: 1.0, late_value_share: 0.3, effect, ordered: false }
 }
 
 /// Classes: 0 safe, 1 keyed, 2 unsafe, 3 safe in order.
@@ -22,34 +22,42 @@
     let keyed = Effect::Keyed { window: 12.0, by_zone: false };
     let ordered = Class { ordered: true, ..class(Effect::Safe) };
     Settings {
-        dispatchers: 2,
-        slots: 8,
-        room: 100,
-        attempts: 6,
+        dispatcher_count: 2,
+        max_concurrent_calls: 8,
+        max_messages: 100,
+        max_attempts: 6,
         keepalive: Some(5.0),
         probes: true,
         cancel: true,
         zone: 0,
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe), ordered],
-        kinds: vec![Kind { routes_apart: false, batch: 1 }, Kind { routes_apart: true, batch: 1 }],
-        decay: Decay::ByHalf,
-        listing: Listing::Pushed,
-        rates_listed: true,
-        returning: ReturnRule { cold_share: 0.25, cold_time: 10.0, multiple: 1.5, window: 3.0 },
-        key_rest: 2.0,
+        kinds: vec![
+            DestinationKind { independent_endpoints: false, max_batch: 1 },
+            DestinationKind { independent_endpoints: true, max_batch: 1 },
+        ],
+        decay: ValueDecay::Exponential,
+        discovery_mode: DiscoveryMode::Pushed,
+        use_listed_rates: true,
+        slow_start: SlowStart {
+            cold_capacity_share: 0.25,
+            warm_up_time: 10.0,
+            overload_multiple: 1.5,
+            overload_window: 3.0,
+        },
+        order_key_cooldown: 2.0,
         tenants: Vec::new(),
-        over_share_worth: 1.0,
+        over_quota_value: 1.0,
     }
 }
 
-pub fn entry(endpoint: u64, destination: u32) -> Entry {
-    Entry {
+pub fn entry(endpoint: u64, destination: u32) -> EndpointEntry {
+    EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination: DestinationId(destination),
         kind: 0,
         zone: 0,
         rate: 8.0,
-        listed: Listed::Ready,
+        state: EndpointState::Ready,
     }
 }
 
@@ -71,7 +79,7 @@
     pub fn new(settings: Settings) -> Self {
         let mut stage =
             Stage { dispatcher: Dispatcher::new(settings, 1).unwrap(), now: 1000.0, actions: Vec::new() };
-        stage.event(Event::ListWhole(vec![entry(1, 1), entry(2, 2), entry(3, 3)]));
+        stage.event(Event::ListSnapshot(vec![entry(1, 1), entry(2, 2), entry(3, 3)]));
         stage
     }
 
@@ -86,14 +94,14 @@
     pub fn take_keyed(&mut self, id: u64, class: usize, destination: u32, key: Option<u64>) {
         let (id, destination) = (MessageId(id), DestinationId(destination));
         let deadline = self.now + 20.0;
-        self.event(Event::Taken(Message {
+        self.event(Event::Accepted(Message {
             id,
             class,
             destination,
             deadline,
             key: key.map(OrderKey),
             tenant: 0,
-            over_share: None,
+            over_quota: None,
         }));
     }
 
@@ -120,17 +128,17 @@
         &mut self, id: u64, endpoint: u64, attempt: u32, outcome: Outcome, latency: f64,
         wait: Option<Seconds>,
     ) {
-        self.event(Event::Ended(AttemptEnd {
+        self.event(Event::AttemptEnded(AttemptEnd {
             id: MessageId(id),
             endpoint: EndpointId(endpoint),
             attempt,
             outcome,
-            wait,
-            closed: outcome == Outcome::Served,
+            retry_after: wait,
+            settled: outcome == Outcome::Served,
             latency,
-            allowance: None,
-            reused: false,
-            kept: outcome.answered(),
+            rate_limit_report: None,
+            connection_reused: false,
+            connection_kept: outcome.answered(),
         }));
     }
 
@@ -145,7 +153,7 @@
     }
 
     pub fn refused(&self, id: u64) -> bool {
-        self.actions.contains(&Action::Refuse(MessageId(id)))
+        self.actions.contains(&Action::Reject(MessageId(id)))
     }
 
     pub fn failed(&self, id: u64) -> bool {
--- a/crates/waydoor/tests/common/world.rs
+++ b/crates/waydoor/tests/common/world.rs
@@ -47,7 +47,7 @@
     pub tells_wait: f64,
     /// Mean time of a call.
     pub latency: f64,
-    pub traits: Kind,
+    pub traits: DestinationKind,
 }
 
 /// What happens to calls in an outage.
@@ -91,13 +91,13 @@
     pub classes: Vec<Class>,
     pub kinds: Vec<KindOf>,
     pub troubles: Vec<Trouble>,
-    pub decay: Decay,
+    pub decay: ValueDecay,
     /// Messages over the destinations' limits.
     pub load: f64,
     /// Messages a second of a destination of usual size.
     pub rate: f64,
     pub seed: u64,
-    pub returning: ReturnRule,
+    pub returning: SlowStart,
 }
 
 impl Deployment {
@@ -119,23 +119,28 @@
         let busy: f64 = (0..self.destinations).map(|d| self.size(d) * self.kind(d).latency).sum();
         let quota = self.full_load() * self.load * self.quota / self.customers.iter().sum::<f64>().max(0.1);
         Settings {
-            dispatchers: self.dispatchers,
-            slots: ((busy / f64::from(self.dispatchers) * self.slots_room).ceil() as usize).max(2),
-            room: ((each * self.hold) as usize).max(12),
-            attempts: self.attempts,
+            dispatcher_count: self.dispatchers,
+            max_concurrent_calls: ((busy / f64::from(self.dispatchers) * self.slots_room).ceil() as usize)
+                .max(2),
+            max_messages: ((each * self.hold) as usize).max(12),
+            max_attempts: self.attempts,
             keepalive: Some(5.0),
             probes: self.probes,
             cancel: true,
             zone: 0,
             classes: self.classes.clone(),
             tenants: self.customers.iter().map(|size| Tenant { quota: quota * size }).collect(),
-            over_share_worth: self.over_share_worth,
+            over_quota_value: self.over_share_worth,
             kinds: self.kinds.iter().map(|kind| kind.traits).collect(),
             decay: self.decay,
-            listing: if self.pushed { Listing::Pushed } else { Listing::OnRequest { ask_within: 6.0 } },
-            rates_listed: self.rates_listed,
-            returning: self.returning,
-            key_rest: 1.0,
+            discovery_mode: if self.pushed {
+                DiscoveryMode::Pushed
+            } else {
+                DiscoveryMode::Subscription { max_renewal_interval: 6.0 }
+            },
+            use_listed_rates: self.rates_listed,
+            slow_start: self.returning,
+            order_key_cooldown: 1.0,
         }
     }
 }
@@ -238,7 +243,7 @@
 struct Node {
     dispatcher: Dispatcher,
     timer: Option<(u32, f64)>,
-    told: BTreeMap<u64, Listed>,
+    told: BTreeMap<u64, EndpointState>,
     /// Told waits, by place.
     waits: BTreeMap<usize, f64>,
     /// Refusals with nothing else between them, by place: since when, how many, and when the last came.
@@ -289,7 +294,7 @@
         let (mut places, mut doors) = (Vec::new(), BTreeMap::new());
         for destination in 0..plan.destinations {
             let endpoints = 1 + rng.u64(..3);
-            let apart = plan.kind(destination).traits.routes_apart;
+            let apart = plan.kind(destination).traits.independent_endpoints;
             let mut place = places.len();
             for i in 0..endpoints {
                 if i == 0 || apart {
@@ -345,7 +350,7 @@
         };
         for node in 0..world.nodes.len() {
             let list = world.list(0.0);
-            world.tell(0.0, node, Event::ListWhole(list));
+            world.tell(0.0, node, Event::ListSnapshot(list));
             if plan.pushed {
                 world.push_changes(node);
             }
@@ -359,33 +364,34 @@
         for (id, door) in doors {
             if door.from > 0.0 {
                 let late = 0.1 + self.rng.f64();
-                let line = self.line(id, &door, Listed::Ready);
-                self.tell(door.from + late, node, Event::ListChanged(vec![line]));
+                let line = self.line(id, &door, EndpointState::Ready);
+                self.tell(door.from + late, node, Event::ListUpdate(vec![line]));
             }
             if door.until.is_finite() {
                 let late = self.rng.f64();
-                let draining = self.line(id, &door, Listed::Draining);
-                let gone = self.line(id, &door, Listed::Gone);
-                self.tell(door.until - 1.0 + late, node, Event::ListChanged(vec![draining]));
-                self.tell(door.until + late, node, Event::ListChanged(vec![gone]));
+                let draining = self.line(id, &door, EndpointState::Draining);
+                let gone = self.line(id, &door, EndpointState::Removed);
+                self.tell(door.until - 1.0 + late, node, Event::ListUpdate(vec![draining]));
+                self.tell(door.until + late, node, Event::ListUpdate(vec![gone]));
             }
         }
     }
 
-    fn line(&self, id: u64, door: &Door, listed: Listed) -> Entry {
-        Entry {
+    fn line(&self, id: u64, door: &Door, listed: EndpointState) -> EndpointEntry {
+        EndpointEntry {
             endpoint: EndpointId(id),
             destination: DestinationId(door.destination as u32),
             kind: door.destination % self.plan.kinds.len(),
             zone: door.zone,
             rate: self.places[door.place].rate,
-            listed,
+            state: listed,
         }
     }
 
-    fn list(&self, at: f64) -> Vec<Entry> {
+    fn list(&self, at: f64) -> Vec<EndpointEntry> {
         let there = |door: &&Door| door.from <= at && at < door.until;
-        let listed = |door: &Door| if at >= door.until - 1.0 { Listed::Draining } else { Listed::Ready };
+        let listed =
+            |door: &Door| if at >= door.until - 1.0 { EndpointState::Draining } else { EndpointState::Ready };
         let doors = self.doors.iter().filter(|(_, door)| there(door));
         doors.map(|(id, door)| self.line(*id, door, listed(door))).collect()
     }
@@ -407,7 +413,7 @@
             let due = self.nodes[node].timer.filter(|(_, at)| *at <= self.now);
             if let Some((token, _)) = due {
                 self.nodes[node].timer = None;
-                self.hear(node, Event::Timer(token));
+                self.hear(node, Event::TimerFired(token));
             }
             if std::mem::take(&mut self.nodes[node].awake) {
                 let mut actions = Vec::new();
@@ -436,7 +442,7 @@
             let node = self.rng.usize(..self.nodes.len());
             // The last index is a customer that no settings name.
             let tenant = self.rng.usize(..=self.plan.customers.len());
-            if self.nodes[node].held >= self.settings.room {
+            if self.nodes[node].held >= self.settings.max_messages {
                 self.sums.turned_away += 1;
                 continue;
             }
@@ -445,9 +451,9 @@
             let deadline = self.now + known.deadline * (0.6 + 0.4 * self.rng.f64());
             let id = self.sums.taken;
             self.sums.taken += 1;
-            let share = self.nodes[node].dispatcher.share(self.now, tenant);
-            if let Some(Share { left, .. }) = share {
-                self.hear(node, Event::Counted { tenant, left, at: self.now });
+            let share = self.nodes[node].dispatcher.quota_status(self.now, tenant);
+            if let Some(QuotaStatus { remaining: left, .. }) = share {
+                self.hear(node, Event::QuotaRecovered { tenant, remaining: left, at: self.now });
             }
             let over = share.is_some_and(|share| share.over);
             let seen = Seen {
@@ -477,23 +483,23 @@
                 deadline,
                 key: key.map(OrderKey),
                 tenant,
-                over_share: Some(over),
+                over_quota: Some(over),
             };
-            self.hear(node, Event::Taken(message));
+            self.hear(node, Event::Accepted(message));
         }
     }
 
     fn hear(&mut self, node: usize, event: Event) {
         let now = self.now;
         match &event {
-            Event::ListChanged(lines) => {
-                lines.iter().for_each(|l| _ = self.nodes[node].told.insert(l.endpoint.0, l.listed))
+            Event::ListUpdate(lines) => {
+                lines.iter().for_each(|l| _ = self.nodes[node].told.insert(l.endpoint.0, l.state))
             }
-            Event::ListWhole(lines) => {
-                self.nodes[node].told = lines.iter().map(|l| (l.endpoint.0, l.listed)).collect();
+            Event::ListSnapshot(lines) => {
+                self.nodes[node].told = lines.iter().map(|l| (l.endpoint.0, l.state)).collect();
             }
-            Event::Ended(end) => self.ended(node, end),
-            Event::Probed { endpoint, outcome, .. } if *outcome != Outcome::Served => {
+            Event::AttemptEnded(end) => self.ended(node, end),
+            Event::ProbeEnded { endpoint, outcome, .. } if *outcome != Outcome::Served => {
                 self.inform(node, endpoint.0);
             }
             _ => {}
@@ -507,7 +513,7 @@
         let Some((call, sent)) = m.out.take() else { return };
         let place = self.doors[&end.endpoint.0].place;
         self.places[place].busy.remove(&call);
-        let never = matches!(end.outcome, Outcome::Full | Outcome::NoConnection);
+        let never = matches!(end.outcome, Outcome::Overloaded | Outcome::ConnectFailed);
         if !never {
             m.ran.get_or_insert((sent, self.doors[&end.endpoint.0].zone));
         }
@@ -517,7 +523,7 @@
             self.nodes[node].held -= 1;
             self.open.remove(&end.id.0);
         }
-        if let (Outcome::TimedOut | Outcome::Reset, Some(key)) = (end.outcome, m.key) {
+        if let (Outcome::TimedOut | Outcome::ConnectionReset, Some(key)) = (end.outcome, m.key) {
             self.nodes[node].rest.insert(key, self.now + 1.0);
         }
         let left = self.nodes[node].calls.get_mut(&call);
@@ -527,11 +533,11 @@
         }) {
             self.nodes[node].calls.remove(&call);
         }
-        if let Some(wait) = end.wait {
+        if let Some(wait) = end.retry_after {
             let until = self.nodes[node].waits.entry(place).or_insert(0.0);
             *until = until.max(self.now + wait);
         }
-        let refused = end.outcome == Outcome::Full;
+        let refused = end.outcome == Outcome::Overloaded;
         if refused {
             // A refusal may be a limit's: only a door that stays shut, or is told to, shows as one.
             // Calls that were out together are refused together.
@@ -541,7 +547,7 @@
                 (*count, *last) = (*count + 1, self.now);
             }
             let shut = *count >= SHUT_CALLS && self.now - *first > SHUT_TIME;
-            if shut || end.wait.is_some_and(|wait| wait > SHUT_TIME) {
+            if shut || end.retry_after.is_some_and(|wait| wait > SHUT_TIME) {
                 self.inform(node, end.endpoint.0);
             }
         } else {
@@ -582,10 +588,10 @@
         let mut calls: BTreeMap<u64, (u64, Vec<(u64, f64)>)> = BTreeMap::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, timeout, alone, .. } => {
+                Action::Send { id, endpoint, timeout, unbatched: alone, .. } => {
                     self.judge_send(node, id.0, endpoint.0, timeout);
                     let Some(m) = self.messages.get_mut(&id.0) else { continue };
-                    let batch = self.settings.kinds[m.destination % self.plan.kinds.len()].batch;
+                    let batch = self.settings.kinds[m.destination % self.plan.kinds.len()].max_batch;
                     let alike = (endpoint.0, self.settings.classes[m.class].effect == Effect::Unsafe);
                     let joined = open.get(&alike).copied().filter(|_| !alone);
                     let joined = joined.filter(|call| calls[call].1.len() < batch);
@@ -610,8 +616,8 @@
                         }
                     }
                 }
-                Action::Refuse(id) | Action::Fail(id) => {
-                    let refused = matches!(action, Action::Refuse(_));
+                Action::Reject(id) | Action::Fail(id) => {
+                    let refused = matches!(action, Action::Reject(_));
                     self.judge_end(node, id.0, refused);
                 }
                 Action::Probe(endpoint) => self.probe(node, endpoint.0),
@@ -620,26 +626,26 @@
                         self.tell(now + 0.3, node, Event::ListFailed);
                     } else {
                         let list = self.list(now);
-                        self.tell(now + 0.05, node, Event::ListWhole(list));
+                        self.tell(now + 0.05, node, Event::ListSnapshot(list));
                     }
                 }
                 Action::SetTimer { token, at } => self.nodes[node].timer = Some((token, at)),
                 // It comes too late each time: the call ends as it would have.
-                Action::BreakOff { id, attempt } => {
+                Action::CancelAttempt { id, attempt } => {
                     let out = self
                         .messages
                         .get(&id.0)
                         .is_some_and(|m| m.out.is_some() && m.attempts == attempt + 1);
                     self.rule(out, || format!("attempt {attempt} of {} is broken off and not out", id.0));
                 }
-                Action::CloseIdle(_) | Action::Note(_) | Action::Remember { .. } => {}
+                Action::CloseIdle(_) | Action::Log(_) | Action::RecordOutage { .. } => {}
             }
         }
         for (call, (endpoint, items)) in calls {
             self.nodes[node].calls.insert(call, items.len());
             self.call(node, call, endpoint, items);
         }
-        let (out, slots) = (self.nodes[node].calls.len(), self.settings.slots);
+        let (out, slots) = (self.nodes[node].calls.len(), self.settings.max_concurrent_calls);
         self.rule(out <= slots, || format!("{out} calls out, {slots} slots"));
     }
 
@@ -652,12 +658,14 @@
         let told = self.nodes[node].told.get(&endpoint).copied();
         let wait = self.nodes[node].waits.get(&door.place).copied().unwrap_or(0.0);
         let class = self.settings.classes[m.class].clone();
-        let attempts = self.settings.attempts;
+        let attempts = self.settings.max_attempts;
         self.rule(m.out.is_none(), || format!("two attempts of {id}"));
         self.rule(!m.ended, || format!("sent {id} after its end"));
         self.rule(m.attempts < attempts, || format!("more than {attempts} attempts of {id}"));
         self.rule(now + timeout <= m.deadline + 1e-9, || format!("an attempt outlives {id}"));
-        self.rule(told == Some(Listed::Ready), || format!("drain: sent {id} to {endpoint}, told {told:?}"));
+        self.rule(told == Some(EndpointState::Ready), || {
+            format!("drain: sent {id} to {endpoint}, told {told:?}")
+        });
         self.rule(door.destination == m.destination, || format!("{id} went elsewhere"));
         self.rule(now >= wait, || format!("wait until {wait:.2} at place {}", door.place));
         match (class.effect, m.ran) {
@@ -701,11 +709,11 @@
         let rate = if self.plan.rates_listed { rate } else { rate.min(1.0) };
         let rounds = f64::from(self.plan.dispatchers) / rate;
         // A place that looked out is tried by turns, so that all of them together stay inside its cold budget.
-        let rule = self.settings.returning;
+        let rule = self.settings.slow_start;
         let knew = place.is_some_and(|door| self.places[door.place].doubted.contains(&node));
-        let turn = if knew { rounds / (rule.multiple * rule.cold_share) } else { 0.0 };
+        let turn = if knew { rounds / (rule.overload_multiple * rule.cold_capacity_share) } else { 0.0 };
         let most = CHANCE + CHANCE_ROUNDS * rounds.max(turn);
-        let spent = was.ran.is_some() || was.attempts >= self.settings.attempts;
+        let spent = was.ran.is_some() || was.attempts >= self.settings.max_attempts;
         self.rule(spent || was.chance <= most, || {
             format!("left behind: {id} could have gone for {:.1} s, {most:.1} at most: {was:?}", was.chance)
         });
@@ -717,10 +725,13 @@
 
     /// Share of its capacity that a destination has: less while it is cold.
     fn warmth(&self, destination: usize, at: f64) -> f64 {
-        let rule = &self.settings.returning;
+        let rule = &self.settings.slow_start;
         self.troubles(destination)
             .filter(|t| at >= t.until)
-            .map(|t| rule.cold_share + (1.0 - rule.cold_share) * ((at - t.until) / rule.cold_time).min(1.0))
+            .map(|t| {
+                rule.cold_capacity_share
+                    + (1.0 - rule.cold_capacity_share) * ((at - t.until) / rule.warm_up_time).min(1.0)
+            })
             .fold(1.0, f64::min)
     }
 
@@ -737,16 +748,16 @@
         let works = kind.latency * factor;
         let (outcome, after) = match out {
             Some(How::Errors) => (Outcome::Error, 2.0 * WAY),
-            Some(How::Gone) => (Outcome::NoConnection, 2.0 * WAY),
+            Some(How::Gone) => (Outcome::ConnectFailed, 2.0 * WAY),
             Some(How::Silent) => (Outcome::TimedOut, patience),
-            Some(How::Shut) => (Outcome::Full, 2.0 * WAY),
-            None if !self.admits(door.place, &kind, call) => (Outcome::Full, 2.0 * WAY),
+            Some(How::Shut) => (Outcome::Overloaded, 2.0 * WAY),
+            None if !self.admits(door.place, &kind, call) => (Outcome::Overloaded, 2.0 * WAY),
             None if works >= patience => (Outcome::TimedOut, patience),
-            None if self.rng.f64() < 0.003 => (Outcome::Reset, works),
+            None if self.rng.f64() < 0.003 => (Outcome::ConnectionReset, works),
             None => (Outcome::Served, works),
         };
-        self.sums.calls_full += u64::from(outcome == Outcome::Full);
-        let wait = (outcome == Outcome::Full && self.rng.f64() < kind.tells_wait).then(|| {
+        self.sums.calls_full += u64::from(outcome == Outcome::Overloaded);
+        let wait = (outcome == Outcome::Overloaded && self.rng.f64() < kind.tells_wait).then(|| {
             let back = self.troubles(door.destination).find(|t| now < t.until && now >= t.from);
             match (back, kind.limit) {
                 (Some(trouble), _) => trouble.until - now,
@@ -761,14 +772,14 @@
                 endpoint: EndpointId(endpoint),
                 attempt,
                 outcome,
-                wait: wait.map(|wait| wait.max(0.01)),
-                closed: outcome == Outcome::Served,
+                retry_after: wait.map(|wait| wait.max(0.01)),
+                settled: outcome == Outcome::Served,
                 latency: after,
-                allowance: None,
-                reused: false,
-                kept: outcome.answered(),
+                rate_limit_report: None,
+                connection_reused: false,
+                connection_kept: outcome.answered(),
             };
-            self.tell(now + after, node, Event::Ended(end));
+            self.tell(now + after, node, Event::AttemptEnded(end));
         }
     }
 
@@ -810,18 +821,22 @@
         let door = self.doors[&endpoint].clone();
         let told = self.nodes[node].told.get(&endpoint).copied();
         let wait = self.nodes[node].waits.get(&door.place).copied().unwrap_or(0.0);
-        self.rule(told == Some(Listed::Ready), || format!("drain: probed {endpoint}, told {told:?}"));
+        self.rule(told == Some(EndpointState::Ready), || format!("drain: probed {endpoint}, told {told:?}"));
         self.rule(now >= wait, || format!("probed {endpoint} before its wait was over"));
         self.places[door.place].calls.push((now, node));
         let outcome = match self.is_out(door.destination, now) {
             Some(How::Silent) => Outcome::TimedOut,
-            Some(How::Gone) => Outcome::NoConnection,
+            Some(How::Gone) => Outcome::ConnectFailed,
             Some(_) => Outcome::Error,
             None => Outcome::Served,
         };
         let latency = if outcome == Outcome::TimedOut { 1.0 } else { 2.0 * WAY };
         let (endpoint, allowance) = (EndpointId(endpoint), None);
-        self.tell(now + latency, node, Event::Probed { endpoint, outcome, latency, allowance });
+        self.tell(
+            now + latency,
+            node,
+            Event::ProbeEnded { endpoint, outcome, latency, rate_limit_report: allowance },
+        );
     }
 
     /// Messages that are held though they could go: a slot is free, the place is up and warm, and less than half of
@@ -835,7 +850,7 @@
                 continue;
             }
             let node = &self.nodes[m.at];
-            if node.calls.len() + 1 >= self.settings.slots {
+            if node.calls.len() + 1 >= self.settings.max_concurrent_calls {
                 continue;
             }
             // Its turn comes only when others of its key have ended.
@@ -848,7 +863,7 @@
             let destination = m.destination;
             let doors = self.doors.iter().filter(|(_, door)| door.destination == destination);
             let place = doors
-                .filter(|(id, _)| node.told.get(id) == Some(&Listed::Ready))
+                .filter(|(id, _)| node.told.get(id) == Some(&EndpointState::Ready))
                 .map(|(_, door)| door.place)
                 .find(|place| now >= node.waits.get(place).copied().unwrap_or(0.0));
             let Some(place) = place else { continue };
@@ -869,7 +884,7 @@
 
     /// No place that was out got more than its budget from those that had seen it.
     fn judge_returns(&mut self) {
-        let rule = self.settings.returning;
+        let rule = self.settings.slow_start;
         for door in self.doors.values() {
             let Some(trouble) = self.troubles(door.destination).next() else { continue };
             let place = &self.places[door.place];
@@ -882,16 +897,18 @@
                 })
                 .map(|(at, _)| *at)
                 .collect();
-            let each = if place.informed.len() > MANY { 1.0 } else { (rule.window / TRIAL).max(1.0) };
+            let each =
+                if place.informed.len() > MANY { 1.0 } else { (rule.overload_window / TRIAL).max(1.0) };
             let slack = COLD_SLACK + each * place.informed.len() as f64;
             for (i, from) in calls.iter().enumerate() {
-                if *from > trouble.until + rule.cold_time {
+                if *from > trouble.until + rule.warm_up_time {
                     break;
                 }
-                let sent = calls[i..].iter().take_while(|at| **at < from + rule.window).count() as f64;
-                let middle = from + rule.window / 2.0;
+                let sent =
+                    calls[i..].iter().take_while(|at| **at < from + rule.overload_window).count() as f64;
+                let middle = from + rule.overload_window / 2.0;
                 let capacity = place.rate * self.warmth(door.destination, middle);
-                let budget = rule.multiple * capacity * rule.window;
+                let budget = rule.overload_multiple * capacity * rule.overload_window;
                 // New messages go there by chance, so the count has a spread.
                 let budget = budget + budget.sqrt() + slack;
                 if sent > budget {
@@ -899,7 +916,7 @@
                         "cold: destination {} got {sent} calls in {:.1} s from {} that knew, {budget:.1} at most, \
                          {:.1} s after it came back",
                         door.destination,
-                        rule.window,
+                        rule.overload_window,
                         place.informed.len(),
                         from - trouble.until
                     ));
--- a/crates/waydoor/tests/crowd.rs
+++ b/crates/waydoor/tests/crowd.rs
@@ -21,11 +21,11 @@
 
 /// Plays a crowd against the place; messages come at a rate, most to a few of the dispatchers.
 fn play(per_second: f64, until: f64, slots: usize, place: Place) -> Vec<Call> {
-    let settings = Settings { dispatchers: CROWD as u32, slots, ..settings() };
+    let settings = Settings { dispatcher_count: CROWD as u32, max_concurrent_calls: slots, ..settings() };
     let mut crowd: Vec<_> =
         (0..CROWD).map(|i| Dispatcher::new(settings.clone(), i as u64).unwrap()).collect();
-    let listed = vec![Entry { rate: RATE, ..entry(1, 1) }];
-    crowd.iter_mut().for_each(|d| d.handle(0.0, Event::ListWhole(listed.clone())));
+    let listed = vec![EndpointEntry { rate: RATE, ..entry(1, 1) }];
+    crowd.iter_mut().for_each(|d| d.handle(0.0, Event::ListSnapshot(listed.clone())));
     let mut rng = fastrand::Rng::with_seed(5);
     let (mut calls, mut out, mut id, mut owed) = (Vec::new(), Vec::new(), 0, 0.0);
     let mut attempts = std::collections::BTreeMap::new();
@@ -42,9 +42,9 @@
                 deadline: now + 20.0,
                 key: None,
                 tenant: 0,
-                over_share: None,
+                over_quota: None,
             };
-            crowd[to].handle(now, Event::Taken(message));
+            crowd[to].handle(now, Event::Accepted(message));
         }
         out.retain(|(end, from, event): &(f64, usize, Event)| {
             if *end <= now {
@@ -69,14 +69,14 @@
                     endpoint,
                     attempt,
                     outcome,
-                    wait,
-                    closed,
+                    retry_after: wait,
+                    settled: closed,
                     latency,
-                    allowance,
-                    reused: false,
-                    kept,
+                    rate_limit_report: allowance,
+                    connection_reused: false,
+                    connection_kept: kept,
                 };
-                out.push((now + latency, from, Event::Ended(end)));
+                out.push((now + latency, from, Event::AttemptEnded(end)));
                 calls.push(Call { at: now, from, outcome });
             }
         }
@@ -106,8 +106,8 @@
 #[test]
 fn a_returning_place_is_not_swamped_and_not_left_unused() {
     // h51afab and icc71c5: each of a crowd tried once more at once, together several times the cold budget.
-    outage(2, Outcome::NoConnection);
-    outage(50, Outcome::NoConnection);
+    outage(2, Outcome::ConnectFailed);
+    outage(50, Outcome::ConnectFailed);
     outage(4, Outcome::Error);
 }
 
@@ -120,7 +120,7 @@
             (second, used) = (now.floor(), 0.0);
         }
         used += 1.0;
-        if used > RATE { Outcome::Full } else { Outcome::Served }
+        if used > RATE { Outcome::Overloaded } else { Outcome::Served }
     });
     let all = between(&calls, 20.0, 60.0).count() as f64;
     let served = between(&calls, 20.0, 60.0).filter(|c| c.outcome == Outcome::Served).count() as f64;
@@ -149,7 +149,7 @@
 #[test]
 fn one_of_a_crowd_closes_a_connection_that_it_will_hardly_use() {
     let close = Action::CloseIdle(EndpointId(1));
-    let mut stage = Stage::new(Settings { dispatchers: CROWD as u32, ..settings() });
+    let mut stage = Stage::new(Settings { dispatcher_count: CROWD as u32, ..settings() });
     assert!(visit(&mut stage, 1, Outcome::Served).contains(&close));
     // With few dispatchers it is kept: nobody else needs the place.
     let mut stage = Stage::new(settings());
@@ -169,7 +169,7 @@
             closed |= stage.actions.contains(&close);
         }
         // On a new connection it is served; on an idle one it fails, and the next goes at once over a new one.
-        let outcome = if closed { Outcome::Served } else { Outcome::Reset };
+        let outcome = if closed { Outcome::Served } else { Outcome::ConnectionReset };
         visit(&mut stage, id, outcome);
         visit(&mut stage, id + 1, Outcome::Served);
     }
@@ -212,7 +212,7 @@
     let mut early = 0;
     for turn in 0..3000u64 {
         let (endpoint, destination) = (100 + turn, 100 + turn as u32 / 3);
-        stage.event(Event::ListChanged(vec![entry(endpoint, destination)]));
+        stage.event(Event::ListUpdate(vec![entry(endpoint, destination)]));
         stage.take(turn, 0, destination);
         stage.take(1_000_000 + turn, 0, 900_000 + turn as u32);
         for sent in stage.round() {
@@ -220,8 +220,8 @@
         }
         stage.event(Event::Withdrawn(MessageId(1_000_000 + turn)));
         stage.now += 1.0;
-        let gone = Entry { listed: Listed::Gone, ..entry(endpoint, destination) };
-        stage.event(Event::ListChanged(vec![gone]));
+        let gone = EndpointEntry { state: EndpointState::Removed, ..entry(endpoint, destination) };
+        stage.event(Event::ListUpdate(vec![gone]));
         stage.round();
         if turn == 2200 {
             // By now as many ended ids are kept as ever will be.
--- a/crates/waydoor/tests/fleet.rs
+++ b/crates/waydoor/tests/fleet.rs
@@ -11,7 +11,7 @@
 fn idle_connections_of_a_fleet_are_no_more_than_its_calls_or_any_table_holds() {
     for n in SIZES {
         let rate = 50.0;
-        let told = Some(Allowance { rate: 100.0, left: None });
+        let told = Some(RateLimitReport { rate: 100.0, remaining_share: None });
         let all = |_: f64, _: usize| true;
         let sums = play(n, 7, (rate, 100.0), (5.0, 25.0), &all, &mut |_, _| (Outcome::Served, told));
         assert!(sums.served as f64 > 0.95 * rate * 20.0, "{n}: {sums:?}");
@@ -26,8 +26,11 @@
 /// One discovery for all: it serves calls in turn, `n` of them in `every` seconds, four a second at least; one that has waited for two
 /// seconds fails, and is served all the same, for nothing. Returns how many calls failed, and when all had the list.
 fn asked(n: usize, every: f64, live: bool) -> (usize, usize, f64) {
-    let own =
-        || Settings { dispatchers: n as u32, listing: Listing::OnRequest { ask_within: 10.0 }, ..settings() };
+    let own = || Settings {
+        dispatcher_count: n as u32,
+        discovery_mode: DiscoveryMode::Subscription { max_renewal_interval: 10.0 },
+        ..settings()
+    };
     let mut fleet: Vec<_> = (0..n).map(|i| Dispatcher::new(own(), 77 + i as u64).unwrap()).collect();
     let mut line: VecDeque<(f64, usize)> = VecDeque::new();
     let (mut failed, mut calls, mut work) = (0, 0, 0.0);
@@ -41,7 +44,7 @@
             line.pop_front();
             if now - since <= 2.0 {
                 watch[i] = Some(now);
-                fleet[i].handle(now, Event::ListChanged(vec![]));
+                fleet[i].handle(now, Event::ListUpdate(vec![]));
             }
         }
         for (since, i) in &line {
@@ -53,7 +56,7 @@
         for i in 0..n {
             // A watch that lives tells so every two seconds.
             if live && watch[i].is_some_and(|at| (step - (at / STEP).round() as u64) % 100 == 99) {
-                fleet[i].handle(now, Event::ListAlive);
+                fleet[i].handle(now, Event::ListKeepAlive);
             }
             let mut actions = Vec::new();
             fleet[i].decide(now, &mut actions);
@@ -93,15 +96,15 @@
 }
 
 impl Window {
-    fn call(&mut self, now: f64, rate: f64, told: bool) -> (Outcome, Option<Allowance>) {
+    fn call(&mut self, now: f64, rate: f64, told: bool) -> (Outcome, Option<RateLimitReport>) {
         while self.seen.front().is_some_and(|at| *at <= now - self.span) {
             self.seen.pop_front();
         }
         let room = rate * self.span;
-        let outcome = if (self.seen.len() as f64) < room { Outcome::Served } else { Outcome::Full };
+        let outcome = if (self.seen.len() as f64) < room { Outcome::Served } else { Outcome::Overloaded };
         self.seen.push_back(now);
         let left = (1.0 - self.seen.len() as f64 / room).max(0.0);
-        (outcome, told.then_some(Allowance { rate, left: Some(left) }))
+        (outcome, told.then_some(RateLimitReport { rate, remaining_share: Some(left) }))
     }
 }
 
@@ -159,7 +162,8 @@
     // Long under the limit, with all of it told to be left; then a clump for all.
     for n in [100, 200] {
         let load = |now: f64| if now < 30.0 { 15.0 } else { 240.0 };
-        let (all, told) = (|_: f64, _: usize| true, Some(Allowance { rate: 60.0, left: Some(0.95) }));
+        let (all, told) =
+            (|_: f64, _: usize| true, Some(RateLimitReport { rate: 60.0, remaining_share: Some(0.95) }));
         let sums = play_load(n, 1, (&load, 60.0), (30.0, 34.0), &all, &mut |_, _| (Outcome::Served, told));
         // The reports tell of room all the time, and paces may grow by it; one that had grown before sends nearly all at once.
         assert!(sums.calls as f64 <= 2.5 * 60.0 * 4.0, "{n} dispatchers: {sums:?}");
@@ -184,14 +188,14 @@
     // All were told to wait for the same 8 s, and hold messages; the place takes 8 calls a second when it is warm.
     let mut met = 0;
     for seed in 0..100 {
-        let mut stage = Stage::new(Settings { dispatchers: 100, ..settings() });
-        stage.dispatcher = Dispatcher::new(Settings { dispatchers: 100, ..settings() }, seed).unwrap();
-        stage.event(Event::ListWhole(vec![entry(1, 1)]));
+        let mut stage = Stage::new(Settings { dispatcher_count: 100, ..settings() });
+        stage.dispatcher = Dispatcher::new(Settings { dispatcher_count: 100, ..settings() }, seed).unwrap();
+        stage.event(Event::ListSnapshot(vec![entry(1, 1)]));
         stage.take(1, 0, 1);
         let sent = stage.until(stage.now + 15.0);
         assert_eq!(sent.len(), 1, "seed {seed}");
         let opens = stage.now + 8.0;
-        stage.end_waiting(1, 1, 0, Outcome::Full, 0.1, Some(8.0));
+        stage.end_waiting(1, 1, 0, Outcome::Overloaded, 0.1, Some(8.0));
         stage.take(2, 0, 1);
         assert!(stage.until(opens - 0.1).is_empty(), "seed {seed}: a wait is heeded");
         met += stage.until(opens + 3.0).len();
--- a/crates/waydoor/tests/generated.rs
+++ b/crates/waydoor/tests/generated.rs
@@ -22,10 +22,10 @@
     let figures = (0.5..4.0, 1.5..8.0, 0.1..5.0, 0.0..0.8);
     (figures, effect(), prop::bool::weighted(0.15)).prop_map(
         |((aim, times, worth, late_share), effect, ordered)| Class {
-            aim,
+            target_latency: aim,
             deadline: aim * times,
-            worth,
-            late_share,
+            value: worth,
+            late_value_share: late_share,
             effect,
             ordered,
         },
@@ -44,7 +44,7 @@
             refused_count,
             tells_wait,
             latency,
-            traits: Kind { routes_apart, batch },
+            traits: DestinationKind { independent_endpoints: routes_apart, max_batch: batch },
         },
     )
 }
@@ -98,11 +98,16 @@
                 classes,
                 kinds,
                 troubles,
-                decay: if even { Decay::Even } else { Decay::ByHalf },
+                decay: if even { ValueDecay::Linear } else { ValueDecay::Exponential },
                 load,
                 rate,
                 seed,
-                returning: ReturnRule { cold_share, cold_time, multiple, window },
+                returning: SlowStart {
+                    cold_capacity_share: cold_share,
+                    warm_up_time: cold_time,
+                    overload_multiple: multiple,
+                    overload_window: window,
+                },
             }
         },
     )
@@ -111,16 +116,16 @@
 /// What sorts of deployment were played.
 fn sorts(d: &Deployment) -> Vec<&'static str> {
     let all = [
-        ("worth falls evenly", d.decay == Decay::Even),
-        ("worth falls by half", d.decay == Decay::ByHalf),
+        ("worth falls evenly", d.decay == ValueDecay::Linear),
+        ("worth falls by half", d.decay == ValueDecay::Exponential),
         ("customers", !d.customers.is_empty()),
         ("unsafe class", d.classes.iter().any(|c| c.effect == Effect::Unsafe)),
         ("keyed class", d.classes.iter().any(|c| matches!(c.effect, Effect::Keyed { .. }))),
         ("ordered class", d.classes.iter().any(|c| c.ordered)),
         ("limit by window", d.kinds.iter().any(|k| matches!(k.limit, Limit::Window { .. }))),
         ("refused calls count", d.kinds.iter().any(|k| k.refused_count && k.limit != Limit::None)),
-        ("batches", d.kinds.iter().any(|k| k.traits.batch > 1)),
-        ("routes apart", d.kinds.iter().any(|k| k.traits.routes_apart)),
+        ("batches", d.kinds.iter().any(|k| k.traits.max_batch > 1)),
+        ("routes apart", d.kinds.iter().any(|k| k.traits.independent_endpoints)),
         ("list asked for", !d.pushed),
         ("more than 12 dispatchers", d.dispatchers > 12),
         ("overload", d.load > 1.0),
@@ -166,19 +171,19 @@
         prop_assert!(Dispatcher::new(settings.clone(), 1).is_ok());
         let expected = match which {
             0 => {
-                settings.slots = 0;
+                settings.max_concurrent_calls = 0;
                 "slots"
             }
             1 => {
-                settings.classes[0].aim = bad;
+                settings.classes[0].target_latency = bad;
                 "classes[0].aim"
             }
             2 => {
-                settings.classes[0].late_share = bad;
+                settings.classes[0].late_value_share = bad;
                 "classes[0].late_share"
             }
             3 => {
-                settings.returning.window = bad;
+                settings.slow_start.overload_window = bad;
                 "returning.window"
             }
             4 => {
@@ -190,15 +195,15 @@
                 "tenants[1].quota"
             }
             6 => {
-                settings.over_share_worth = bad;
+                settings.over_quota_value = bad;
                 "over_share_worth"
             }
             7 => {
-                settings.listing = Listing::OnRequest { ask_within: bad };
+                settings.discovery_mode = DiscoveryMode::Subscription { max_renewal_interval: bad };
                 "listing.ask_within"
             }
             _ => {
-                settings.key_rest = bad;
+                settings.order_key_cooldown = bad;
                 "key_rest"
             }
         };
--- a/crates/waydoor/tests/lives.rs
+++ b/crates/waydoor/tests/lives.rs
@@ -8,10 +8,10 @@
 fn resumed(stage: &mut Stage, id: u64, class: usize, attempts: u32, ran_ago: Option<f64>) {
     let (id, destination) = (MessageId(id), HOME);
     let message =
-        Message { id, class, destination, deadline: stage.now + 9.0, key: None, tenant: 0, over_share: None };
+        Message { id, class, destination, deadline: stage.now + 9.0, key: None, tenant: 0, over_quota: None };
     let may_have_run = ran_ago.map(|ago| (stage.now - ago, 0));
     let taken = stage.now - 11.0;
-    stage.event(Event::Resumed { message, taken, attempts, may_have_run });
+    stage.event(Event::Recovered { message, accepted_at: taken, attempts, may_have_run });
 }
 
 #[test]
@@ -63,7 +63,7 @@
 #[test]
 fn no_call_outlives_the_dispatcher() {
     let mut stage = Stage::new(settings());
-    stage.event(Event::Closing(stage.now + 3.0));
+    stage.event(Event::ShutdownAt(stage.now + 3.0));
     stage.take(1, 0, 1);
     let sent = stage.round();
     assert!(sent.len() == 1 && sent[0].timeout <= 3.0);
@@ -77,12 +77,12 @@
 #[test]
 fn who_is_told_to_come_again_waits_for_those_before() {
     let mut stage = Stage::new(settings());
-    let alone = stage.dispatcher.come_back(stage.now, HOME);
+    let alone = stage.dispatcher.retry_after(stage.now, HOME);
     for id in 1..=40 {
         stage.take(id, 0, 1);
     }
     stage.round();
-    let behind = stage.dispatcher.come_back(stage.now, HOME);
+    let behind = stage.dispatcher.retry_after(stage.now, HOME);
     assert!(alone > 0.0 && behind > alone, "{alone} {behind}");
 }
 
@@ -90,7 +90,7 @@
 fn sent_at_start(remembered: bool) -> usize {
     let mut stage = Stage::new(settings());
     if remembered {
-        stage.event(Event::Remembered(HOME));
+        stage.event(Event::OutageRecovered(HOME));
     }
     for id in 1..=60 {
         resumed(&mut stage, id, 1, 0, None);
@@ -126,7 +126,7 @@
 
 fn remembers(stage: &Stage) -> Vec<bool> {
     let outages = stage.actions.iter().filter_map(|action| match action {
-        Action::Remember { destination: HOME, out } => Some(*out),
+        Action::RecordOutage { destination: HOME, ongoing: out } => Some(*out),
         _ => None,
     });
     outages.collect()
@@ -160,54 +160,60 @@
 #[test]
 fn what_is_remembered_waits_for_the_list() {
     let mut stage = Stage::new(settings());
-    stage.event(Event::ListWhole(Vec::new()));
-    stage.event(Event::Remembered(HOME));
+    stage.event(Event::ListSnapshot(Vec::new()));
+    stage.event(Event::OutageRecovered(HOME));
     for id in 1..=5 {
         stage.take(id, 0, 1);
     }
     assert!(stage.round().is_empty());
-    stage.event(Event::ListWhole(vec![entry(1, 1)]));
+    stage.event(Event::ListSnapshot(vec![entry(1, 1)]));
     assert_eq!(stage.round().len(), 1, "a trial only");
 }
 
 #[test]
 fn a_customers_share_goes_on_where_the_life_before_left_it() {
     let tenants = vec![Tenant { quota: 2.0 }];
-    let own = Settings { tenants, over_share_worth: 0.05, slots: 1, ..settings() };
+    let own = Settings { tenants, over_quota_value: 0.05, max_concurrent_calls: 1, ..settings() };
     let mut stage = Stage::new(own.clone());
-    let share = stage.dispatcher.share(stage.now, 0).unwrap();
-    assert_eq!((share.over, share.left), (false, 9.0), "ten seconds of an even part");
-    assert_eq!(stage.dispatcher.share(stage.now, 7), None, "a customer that no settings name");
-    stage.event(Event::Counted { tenant: 0, left: 0.25, at: stage.now });
-    assert!(stage.dispatcher.share(stage.now, 0).unwrap().over);
+    let share = stage.dispatcher.quota_status(stage.now, 0).unwrap();
+    assert_eq!((share.over, share.remaining), (false, 9.0), "ten seconds of an even part");
+    assert_eq!(stage.dispatcher.quota_status(stage.now, 7), None, "a customer that no settings name");
+    stage.event(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: stage.now });
+    assert!(stage.dispatcher.quota_status(stage.now, 0).unwrap().over);
     // Three seconds later in a next life; of the clock's going back only that it did not go on is known.
     let mut next = Stage::new(own);
-    next.event(Event::Counted { tenant: 0, left: 0.25, at: next.now - 3.0 });
-    let share = next.dispatcher.share(next.now, 0).unwrap();
-    assert_eq!((share.over, share.left), (false, 2.25));
-    next.event(Event::Counted { tenant: 0, left: 0.25, at: next.now + 50.0 });
-    assert!(next.dispatcher.share(next.now, 0).unwrap().over, "no time has passed");
-    next.event(Event::Counted { tenant: 9, left: 0.25, at: next.now });
-    next.event(Event::Counted { tenant: 0, left: f64::NAN, at: next.now });
-    assert_eq!(next.dispatcher.share(next.now, 9), None);
+    next.event(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: next.now - 3.0 });
+    let share = next.dispatcher.quota_status(next.now, 0).unwrap();
+    assert_eq!((share.over, share.remaining), (false, 2.25));
+    next.event(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: next.now + 50.0 });
+    assert!(next.dispatcher.quota_status(next.now, 0).unwrap().over, "no time has passed");
+    next.event(Event::QuotaRecovered { tenant: 9, remaining: 0.25, at: next.now });
+    next.event(Event::QuotaRecovered { tenant: 0, remaining: f64::NAN, at: next.now });
+    assert_eq!(next.dispatcher.quota_status(next.now, 9), None);
 }
 
 #[test]
 fn what_was_beyond_a_share_is_beyond_it_in_the_next_life() {
     let tenants = vec![Tenant { quota: 1000.0 }];
-    let mut stage = Stage::new(Settings { tenants, over_share_worth: 0.05, slots: 1, ..settings() });
+    let mut stage =
+        Stage::new(Settings { tenants, over_quota_value: 0.05, max_concurrent_calls: 1, ..settings() });
     for (id, over) in [(1, true), (2, false), (3, true)] {
         let (id, destination, deadline) = (MessageId(id), HOME, stage.now + 9.0);
         let (class, key, tenant, over_share) = (0, None, 0, Some(over));
-        let message = Message { id, class, destination, deadline, key, tenant, over_share };
-        stage.event(Event::Resumed { message, taken: stage.now - 1.0, attempts: 0, may_have_run: None });
+        let message = Message { id, class, destination, deadline, key, tenant, over_quota: over_share };
+        stage.event(Event::Recovered {
+            message,
+            accepted_at: stage.now - 1.0,
+            attempts: 0,
+            may_have_run: None,
+        });
     }
     assert_eq!(stage.round()[0].id, 2, "what is inside its share goes first");
 }
 
 #[test]
 fn what_a_restart_found_untried_goes_before_fresh_ones() {
-    let mut stage = Stage::new(Settings { slots: 1, ..settings() });
+    let mut stage = Stage::new(Settings { max_concurrent_calls: 1, ..settings() });
     for id in 1..=4 {
         resumed(&mut stage, id, 0, 0, None);
     }
@@ -231,7 +237,7 @@
 
 #[test]
 fn what_a_restart_found_untried_makes_no_place_for_fresh_ones() {
-    let mut stage = Stage::new(Settings { slots: 1, room: 5, ..settings() });
+    let mut stage = Stage::new(Settings { max_concurrent_calls: 1, max_messages: 5, ..settings() });
     stage.take(1, 0, 1);
     assert_eq!(stage.round().len(), 1, "it holds the slot");
     for id in 2..=4 {
--- a/crates/waydoor/tests/returns.rs
+++ b/crates/waydoor/tests/returns.rs
@@ -17,7 +17,7 @@
 
 /// A place that is out for a while, comes back cold, and falls over where it is sent too much.
 struct Cold {
-    rule: ReturnRule,
+    rule: SlowStart,
     /// Calls a second within its limit.
     rate: f64,
     /// When it is out and when it is back, once or more.
@@ -37,7 +37,7 @@
 impl Cold {
     fn new(rate: f64, out: &[(f64, f64)]) -> Self {
         let (queue, asked, tokens, calls) = (0.0, 0.0, rate, VecDeque::new());
-        let (rule, informed, out) = (settings().returning, BTreeSet::new(), out.to_vec());
+        let (rule, informed, out) = (settings().slow_start, BTreeSet::new(), out.to_vec());
         Cold { rule, rate, out, queue, asked, tokens, calls, informed, toppled: false, told: Some(rate) }
     }
 
@@ -52,37 +52,39 @@
         if now < back {
             return 0.0;
         }
-        let warm = ((now - back) / self.rule.cold_time).min(1.0);
-        self.rate * SPARE * (self.rule.cold_share + (1.0 - self.rule.cold_share) * warm)
+        let warm = ((now - back) / self.rule.warm_up_time).min(1.0);
+        self.rate * SPARE * (self.rule.cold_capacity_share + (1.0 - self.rule.cold_capacity_share) * warm)
     }
 
-    fn call(&mut self, now: f64, from: usize) -> (Outcome, Option<Allowance>) {
+    fn call(&mut self, now: f64, from: usize) -> (Outcome, Option<RateLimitReport>) {
         let (back, capacity) = (self.back(now), self.capacity(now));
         if capacity == 0.0 || self.toppled {
             self.informed.insert(from);
-            return (Outcome::NoConnection, None);
+            return (Outcome::ConnectFailed, None);
         }
         let passed = now - self.asked;
         self.queue = (self.queue - passed * capacity).max(0.0);
         self.tokens = (self.tokens + passed * self.rate).min(self.rate);
         self.asked = now;
         self.calls.push_back((now, from));
-        while self.calls.front().is_some_and(|(at, _)| *at <= now - self.rule.window) {
+        while self.calls.front().is_some_and(|(at, _)| *at <= now - self.rule.overload_window) {
             self.calls.pop_front();
         }
         // The budget of the window.
         let steps = 30;
-        let step = self.rule.window / f64::from(steps);
+        let step = self.rule.overload_window / f64::from(steps);
         let can: f64 = (0..steps).map(|i| self.capacity(now - f64::from(i) * step) * step).sum();
         let calls = self.calls.len() as f64;
         let knew = self.calls.iter().filter(|(_, from)| self.informed.contains(from)).count() as f64;
-        let cold = now - back < self.rule.cold_time;
-        self.toppled |= cold && calls > cold_budget(self.rule.multiple * can) && knew > calls * 2.0 / 3.0;
+        let cold = now - back < self.rule.warm_up_time;
+        self.toppled |=
+            cold && calls > cold_budget(self.rule.overload_multiple * can) && knew > calls * 2.0 / 3.0;
         let full = self.tokens < 1.0 || self.queue >= DEPTH * capacity;
         self.tokens = (self.tokens - 1.0).max(0.0);
         self.queue += if full { 0.0 } else { 1.0 };
-        let report = self.told.map(|rate| Allowance { rate, left: Some(self.tokens / self.rate) });
-        (if full { Outcome::Full } else { Outcome::Served }, report)
+        let report =
+            self.told.map(|rate| RateLimitReport { rate, remaining_share: Some(self.tokens / self.rate) });
+        (if full { Outcome::Overloaded } else { Outcome::Served }, report)
     }
 }
 
@@ -90,7 +92,7 @@
 /// whether it fell over.
 fn returned(n: usize, rate: f64, seed: u64, load: f64) -> (f64, f64, bool) {
     let mut place = Cold::new(rate, &[OUT]);
-    let warm = OUT.1 + place.rule.cold_time;
+    let warm = OUT.1 + place.rule.warm_up_time;
     let all = |_: f64, _: usize| true;
     let sums = play(n, seed, (load * rate, rate), (OUT.1, warm), &all, &mut |now, i| place.call(now, i));
     let step = 0.01;
--- a/crates/waydoor/tests/robust.rs
+++ b/crates/waydoor/tests/robust.rs
@@ -15,23 +15,26 @@
 
 #[test]
 fn senseless_settings_are_named() {
-    assert_eq!(fault(|s| s.slots = 0), "slots");
-    assert_eq!(fault(|s| s.room = 0), "room");
-    assert_eq!(fault(|s| s.attempts = 0), "attempts");
-    assert_eq!(fault(|s| s.dispatchers = 0), "dispatchers");
+    assert_eq!(fault(|s| s.max_concurrent_calls = 0), "slots");
+    assert_eq!(fault(|s| s.max_messages = 0), "room");
+    assert_eq!(fault(|s| s.max_attempts = 0), "attempts");
+    assert_eq!(fault(|s| s.dispatcher_count = 0), "dispatchers");
     assert_eq!(fault(|s| s.classes[0].deadline = f64::NAN), "classes[0].deadline");
-    assert_eq!(fault(|s| s.classes[1].aim = -1.0), "classes[1].aim");
-    assert_eq!(fault(|s| s.classes[0].late_share = 2.0), "classes[0].late_share");
+    assert_eq!(fault(|s| s.classes[1].target_latency = -1.0), "classes[1].aim");
+    assert_eq!(fault(|s| s.classes[0].late_value_share = 2.0), "classes[0].late_share");
     assert_eq!(
         fault(|s| s.classes[1].effect = Effect::Keyed { window: 0.0, by_zone: false }),
         "classes[1].effect.window"
     );
-    assert_eq!(fault(|s| s.returning.window = f64::INFINITY), "returning.window");
-    assert_eq!(fault(|s| s.returning.cold_share = 0.0), "returning.cold_share");
-    assert_eq!(fault(|s| s.key_rest = f64::NAN), "key_rest");
+    assert_eq!(fault(|s| s.slow_start.overload_window = f64::INFINITY), "returning.window");
+    assert_eq!(fault(|s| s.slow_start.cold_capacity_share = 0.0), "returning.cold_share");
+    assert_eq!(fault(|s| s.order_key_cooldown = f64::NAN), "key_rest");
     assert_eq!(fault(|s| s.tenants = vec![Tenant { quota: 0.0 }]), "tenants[0].quota");
-    assert_eq!(fault(|s| s.over_share_worth = 1.5), "over_share_worth");
-    assert_eq!(fault(|s| s.listing = Listing::OnRequest { ask_within: 0.0 }), "listing.ask_within");
+    assert_eq!(fault(|s| s.over_quota_value = 1.5), "over_share_worth");
+    assert_eq!(
+        fault(|s| s.discovery_mode = DiscoveryMode::Subscription { max_renewal_interval: 0.0 }),
+        "listing.ask_within"
+    );
 }
 
 #[test]
@@ -40,19 +43,19 @@
     stage.end(77, 1, 0, Outcome::Served, 0.1);
     stage.end(77, 99, 3, Outcome::TimedOut, 0.1);
     stage.event(Event::Withdrawn(MessageId(5)));
-    stage.event(Event::Timer(12345));
-    stage.event(Event::Probed {
+    stage.event(Event::TimerFired(12345));
+    stage.event(Event::ProbeEnded {
         endpoint: EndpointId(99),
         outcome: Outcome::Error,
         latency: 0.1,
-        allowance: None,
+        rate_limit_report: None,
     });
-    stage.event(Event::ListChanged(vec![Entry { kind: 50, ..entry(9, 9) }]));
+    stage.event(Event::ListUpdate(vec![EndpointEntry { kind: 50, ..entry(9, 9) }]));
     assert!(stage.round().is_empty());
     stage.take(1, 0, 1);
     stage.take(1, 0, 1);
     assert_eq!(stage.round().len(), 1);
-    stage.end(1, 1, 4, Outcome::Full, 0.1);
+    stage.end(1, 1, 4, Outcome::Overloaded, 0.1);
     assert!(stage.until(1001.0).is_empty(), "an outcome of an attempt that never was");
     stage.end(1, 1, 0, Outcome::Served, 0.1);
     stage.end(1, 1, 0, Outcome::Served, 0.1);
@@ -77,7 +80,7 @@
         for id in 0..60 {
             stage.take(id, (id % 3) as usize, 1 + (id % 3) as u32);
             for sent in stage.round() {
-                let outcome = if id % 4 == 0 { Outcome::Full } else { Outcome::Error };
+                let outcome = if id % 4 == 0 { Outcome::Overloaded } else { Outcome::Error };
                 stage.end(sent.id, sent.endpoint, 0, outcome, 0.1);
             }
             all.extend(stage.actions.clone());
@@ -114,11 +117,11 @@
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Served,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::TimedOut,
-    Outcome::NoConnection,
-    Outcome::Reset,
-    Outcome::Moot,
+    Outcome::ConnectFailed,
+    Outcome::ConnectionReset,
+    Outcome::NotSent,
 ];
 
 #[derive(Clone, Debug)]
@@ -181,11 +184,11 @@
                     assert!(m.attempts <= 6);
                     m.out = Some((endpoint.0, now, *timeout));
                 }
-                Action::Refuse(id) | Action::Fail(id) => {
+                Action::Reject(id) | Action::Fail(id) => {
                     let m = self.messages.get_mut(&id.0).expect("a known message");
                     assert!(m.out.is_none(), "answered with an attempt out");
                     assert!(!m.gone && m.answers == 0, "answered twice");
-                    let refused = matches!(action, Action::Refuse(_));
+                    let refused = matches!(action, Action::Reject(_));
                     assert!(!(refused && m.class == 2 && m.unproved), "refused, and it may have run");
                     assert!(now <= m.deadline, "answered late");
                     m.answers += 1;
@@ -203,7 +206,7 @@
 
 fn fresh() -> Dispatcher {
     let mut dispatcher = Dispatcher::new(settings(), 3).unwrap();
-    dispatcher.handle(1000.0, Event::ListWhole(vec![entry(1, 1), entry(2, 2), entry(3, 3), entry(4, 1)]));
+    dispatcher.handle(1000.0, Event::ListSnapshot(vec![entry(1, 1), entry(2, 2), entry(3, 3), entry(4, 1)]));
     dispatcher
 }
 
@@ -232,7 +235,7 @@
                     deadline,
                     key: key.map(OrderKey),
                     tenant: 0,
-                    over_share: None,
+                    over_quota: None,
                 };
                 let (attempts, answers) = (0, 0);
                 let seen = Seen {
@@ -251,7 +254,7 @@
                 if let Some(key) = key {
                     judge.order.entry(key).or_default().push(id);
                 }
-                dispatcher.handle(now, Event::Taken(message));
+                dispatcher.handle(now, Event::Accepted(message));
             }
             Step::End { which, outcome, wait } => {
                 let out: Vec<u64> =
@@ -262,10 +265,10 @@
             }
             Step::Wait(time) => until = now + time,
             Step::List { endpoint, listed } => {
-                let listed = [Listed::Ready, Listed::Draining, Listed::Gone][listed];
-                judge.listed.insert(endpoint, listed == Listed::Ready);
-                let line = Entry { listed, ..entry(endpoint, destination_of(endpoint)) };
-                dispatcher.handle(now, Event::ListChanged(vec![line]));
+                let listed = [EndpointState::Ready, EndpointState::Draining, EndpointState::Removed][listed];
+                judge.listed.insert(endpoint, listed == EndpointState::Ready);
+                let line = EndpointEntry { state: listed, ..entry(endpoint, destination_of(endpoint)) };
+                dispatcher.handle(now, Event::ListUpdate(vec![line]));
             }
             Step::Withdraw(id) => {
                 if let Some(m) = judge.messages.get_mut(&id) {
@@ -275,7 +278,7 @@
             }
             Step::Repeat => {
                 if let Some(event) = last {
-                    dispatcher.handle(now, Event::Ended(event));
+                    dispatcher.handle(now, Event::AttemptEnded(event));
                 }
             }
             Step::Restart => {
@@ -283,12 +286,12 @@
                 let listed: Vec<_> = judge
                     .listed
                     .iter()
-                    .map(|(e, ready)| Entry {
-                        listed: if *ready { Listed::Ready } else { Listed::Gone },
+                    .map(|(e, ready)| EndpointEntry {
+                        state: if *ready { EndpointState::Ready } else { EndpointState::Removed },
                         ..entry(*e, destination_of(*e))
                     })
                     .collect();
-                dispatcher.handle(now, Event::ListWhole(listed));
+                dispatcher.handle(now, Event::ListSnapshot(listed));
                 judge = Judge { listed: std::mem::take(&mut judge.listed), ..Judge::default() };
                 last = None;
             }
@@ -323,17 +326,17 @@
 ) -> AttemptEnd {
     let m = judge.messages.get_mut(&id).unwrap();
     let (endpoint, at, _) = m.out.take().unwrap();
-    let proved = matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::Moot);
+    let proved = matches!(outcome, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent);
     if !proved {
         m.unproved = true;
         m.maybe.get_or_insert(at);
     }
-    let wait = (wait && outcome == Outcome::Full).then_some(1.5);
+    let wait = (wait && outcome == Outcome::Overloaded).then_some(1.5);
     if let Some(wait) = wait {
         let until = judge.waits.entry(m.destination).or_insert(0.0);
         *until = until.max(now + wait);
     }
-    if let (Outcome::TimedOut | Outcome::Reset, Some(key)) = (outcome, m.key) {
+    if let (Outcome::TimedOut | Outcome::ConnectionReset, Some(key)) = (outcome, m.key) {
         judge.rest.insert(key, now + 2.0);
     }
     let closed = outcome == Outcome::Served;
@@ -345,14 +348,14 @@
         endpoint: EndpointId(endpoint),
         attempt: m.attempts - 1,
         outcome,
-        wait,
-        closed,
+        retry_after: wait,
+        settled: closed,
         latency: now - at,
-        allowance: None,
-        reused: false,
-        kept: outcome.answered(),
+        rate_limit_report: None,
+        connection_reused: false,
+        connection_kept: outcome.answered(),
     };
-    to.handle(now, Event::Ended(event));
+    to.handle(now, Event::AttemptEnded(event));
     event
 }
 
