--- a/crates/waydoor/tests/rules.rs
+++ b/crates/waydoor/tests/rules.rs
@@ -44,7 +44,7 @@
 
 #[test]
 fn rule_2_an_unsafe_message_that_may_have_run_fails() {
-    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::ConnectionReset, Outcome::Cancelled] {
         let mut stage = Stage::new(settings());
         stage.take(1, 2, 1);
         assert_eq!(stage.round().len(), 1);
@@ -59,7 +59,7 @@
     let mut stage = Stage::new(settings());
     stage.take(1, 2, 1);
     assert_eq!(stage.round().len(), 1);
-    stage.end(1, 1, 0, Outcome::Full, 0.05);
+    stage.end(1, 1, 0, Outcome::Overloaded, 0.05);
     let later = stage.until(1005.0);
     assert_eq!(later.len(), 1);
     assert_eq!(later[0].1.id, 1);
@@ -81,8 +81,8 @@
     let mut own = settings();
     own.classes[1].effect = Effect::Keyed { window: 12.0, by_zone: true };
     let mut stage = Stage::new(own);
-    let other = Entry { zone: 1, ..entry(11, 1) };
-    stage.event(Event::ListChanged(vec![other]));
+    let other = EndpointEntry { zone: 1, ..entry(11, 1) };
+    stage.event(Event::ListUpdate(vec![other]));
     stage.take(1, 1, 1);
     let first = stage.round();
     stage.now += 0.2;
@@ -98,12 +98,12 @@
 
 #[test]
 fn rule_3_nothing_goes_to_a_draining_or_gone_endpoint() {
-    for listed in [Listed::Draining, Listed::Gone] {
+    for listed in [EndpointState::Draining, EndpointState::Removed] {
         let mut stage = Stage::new(settings());
-        stage.event(Event::ListChanged(vec![Entry { listed, ..entry(1, 1) }]));
+        stage.event(Event::ListUpdate(vec![EndpointEntry { state: listed, ..entry(1, 1) }]));
         stage.take(1, 0, 1);
         assert!(stage.until(1010.0).is_empty());
-        stage.event(Event::ListChanged(vec![entry(1, 1)]));
+        stage.event(Event::ListUpdate(vec![entry(1, 1)]));
         assert_eq!(stage.round().len(), 1, "back on the list");
     }
 }
@@ -111,7 +111,7 @@
 #[test]
 fn rule_3_a_whole_list_replaces_the_old_one() {
     let mut stage = Stage::new(settings());
-    stage.event(Event::ListWhole(vec![entry(2, 2)]));
+    stage.event(Event::ListSnapshot(vec![entry(2, 2)]));
     stage.take(1, 0, 1);
     assert!(stage.until(1005.0).is_empty());
 }
@@ -119,11 +119,13 @@
 #[test]
 fn rule_3_the_list_is_asked_for_again_after_each_failure() {
     let mut own = settings();
-    own.listing = Listing::OnRequest { ask_within: 10.0 };
+    own.discovery_mode = DiscoveryMode::Subscription { max_renewal_interval: 10.0 };
     let mut stage = Stage::new(own);
-    stage.dispatcher =
-        Dispatcher::new(Settings { listing: Listing::OnRequest { ask_within: 10.0 }, ..settings() }, 1)
-            .unwrap();
+    stage.dispatcher = Dispatcher::new(
+        Settings { discovery_mode: DiscoveryMode::Subscription { max_renewal_interval: 10.0 }, ..settings() },
+        1,
+    )
+    .unwrap();
     let mut asked = 0;
     let end = stage.now + 10.0;
     while stage.now < end {
@@ -162,7 +164,7 @@
         for action in stage.actions.clone() {
             if let Action::Probe(endpoint) = action {
                 after += usize::from(stage.now >= back);
-                stage.event(Event::Probed { endpoint, outcome, latency: 0.01, allowance: None });
+                stage.event(Event::ProbeEnded { endpoint, outcome, latency: 0.01, rate_limit_report: None });
             }
         }
         stage.now += 0.05;
@@ -173,7 +175,13 @@
 
 #[test]
 fn rule_4_a_returning_destination_gets_its_budget_only() {
-    for outcome in [Outcome::Error, Outcome::NoConnection, Outcome::Reset, Outcome::TimedOut, Outcome::Full] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::ConnectFailed,
+        Outcome::ConnectionReset,
+        Outcome::TimedOut,
+        Outcome::Overloaded,
+    ] {
         let sent = sent_after_outage(outcome);
         // multiple x mean share over the window x rate x window, all of it even for one of two dispatchers.
         let budget = 1.5 * (0.25 + 0.75 * 0.15) * 8.0 * 3.0;
@@ -231,17 +239,17 @@
     // The second message ends while it may still run: the key rests for the third.
     stage.now += 0.2;
     let ended = stage.now;
-    stage.event(Event::Ended(AttemptEnd {
+    stage.event(Event::AttemptEnded(AttemptEnd {
         id: MessageId(2),
         endpoint: EndpointId(1),
         attempt: 0,
-        outcome: Outcome::Reset,
-        wait: None,
-        closed: true,
+        outcome: Outcome::ConnectionReset,
+        retry_after: None,
+        settled: true,
         latency: 0.2,
-        allowance: None,
-        reused: false,
-        kept: true,
+        rate_limit_report: None,
+        connection_reused: false,
+        connection_kept: true,
     }));
     let later = stage.until(ended + 6.0);
     assert_eq!(later.len(), 1);
@@ -254,7 +262,7 @@
     let mut stage = Stage::new(settings());
     stage.take(1, 0, 1);
     stage.round();
-    stage.end_waiting(1, 1, 0, Outcome::Full, 0.05, Some(3.0));
+    stage.end_waiting(1, 1, 0, Outcome::Overloaded, 0.05, Some(3.0));
     stage.take(2, 2, 1);
     stage.take(3, 0, 2);
     assert_eq!(stage.round().iter().map(|s| s.id).collect::<Vec<_>>(), [3], "others are not bound");
@@ -267,11 +275,11 @@
 #[test]
 fn rule_6_a_told_wait_binds_one_route_where_they_are_apart() {
     let mut stage = Stage::new(settings());
-    let route = |id| Entry { kind: 1, ..entry(id, 5) };
-    stage.event(Event::ListChanged(vec![route(51), route(52)]));
+    let route = |id| EndpointEntry { kind: 1, ..entry(id, 5) };
+    stage.event(Event::ListUpdate(vec![route(51), route(52)]));
     stage.take(1, 0, 5);
     let first = stage.round()[0].endpoint;
-    stage.end_waiting(1, first, 0, Outcome::Full, 0.05, Some(3.0));
+    stage.end_waiting(1, first, 0, Outcome::Overloaded, 0.05, Some(3.0));
     let later = stage.until(1002.0);
     assert!(!later.is_empty(), "the other route is free");
     assert!(later.iter().all(|(_, sent)| sent.endpoint != first));
@@ -288,8 +296,8 @@
 #[test]
 fn when_slots_are_full_the_highest_rank_leaves_first() {
     let mut own = settings();
-    own.slots = 1;
-    own.classes[1].worth = 5.0;
+    own.max_concurrent_calls = 1;
+    own.classes[1].value = 5.0;
     let mut stage = Stage::new(own);
     stage.take(1, 0, 1);
     assert_eq!(stage.round().len(), 1);
@@ -310,11 +318,11 @@
 }
 
 /// The order in which three messages leave that were taken a second apart while their destination had told a wait.
-fn order_after_a_wait(decay: Decay, slots: usize) -> Vec<u64> {
-    let mut stage = Stage::new(Settings { decay, slots, ..settings() });
+fn order_after_a_wait(decay: ValueDecay, slots: usize) -> Vec<u64> {
+    let mut stage = Stage::new(Settings { decay, max_concurrent_calls: slots, ..settings() });
     stage.take(1, 0, 1);
     assert_eq!(stage.round().len(), 1);
-    stage.end_waiting(1, 1, 0, Outcome::Full, 0.05, Some(4.0));
+    stage.end_waiting(1, 1, 0, Outcome::Overloaded, 0.05, Some(4.0));
     stage.until(stage.now + 1.0);
     stage.take(2, 0, 1);
     stage.until(stage.now + 1.0);
@@ -332,27 +340,46 @@
 
 #[test]
 fn what_a_place_held_up_leaves_by_its_deadlines_where_worth_falls_evenly() {
-    assert_eq!(order_after_a_wait(Decay::Even, 8), [1, 2, 3], "slots to spare: none may be lost");
-    assert_eq!(order_after_a_wait(Decay::Even, 1), [3, 2, 1], "a single slot goes by the rank");
-    assert_eq!(order_after_a_wait(Decay::ByHalf, 8), [3, 2, 1], "the fresh one loses more by waiting");
+    assert_eq!(order_after_a_wait(ValueDecay::Linear, 8), [1, 2, 3], "slots to spare: none may be lost");
+    assert_eq!(order_after_a_wait(ValueDecay::Linear, 1), [3, 2, 1], "a single slot goes by the rank");
+    assert_eq!(
+        order_after_a_wait(ValueDecay::Exponential, 8),
+        [3, 2, 1],
+        "the fresh one loses more by waiting"
+    );
 }
 
 /// A stage on which customer 0 may hand in a message a second here, and customer 1 as many as it likes.
-fn shares(decay: Decay, room: usize) -> Stage {
+fn shares(decay: ValueDecay, room: usize) -> Stage {
     let tenants = vec![Tenant { quota: 2.0 }, Tenant { quota: 1e6 }];
-    Stage::new(Settings { tenants, over_share_worth: 0.05, decay, room, slots: 1, ..settings() })
+    Stage::new(Settings {
+        tenants,
+        over_quota_value: 0.05,
+        decay,
+        max_messages: room,
+        max_concurrent_calls: 1,
+        ..settings()
+    })
 }
 
 fn hand_in(stage: &mut Stage, id: u64, tenant: usize) {
     let (id, destination) = (MessageId(id), HOME);
     let deadline = stage.now + 20.0;
     let (key, over_share) = (None, None);
-    stage.event(Event::Taken(Message { id, class: 0, destination, deadline, key, tenant, over_share }));
+    stage.event(Event::Accepted(Message {
+        id,
+        class: 0,
+        destination,
+        deadline,
+        key,
+        tenant,
+        over_quota: over_share,
+    }));
 }
 
 #[test]
 fn what_is_beyond_its_customers_share_makes_place_first() {
-    for decay in [Decay::Even, Decay::ByHalf] {
+    for decay in [ValueDecay::Linear, ValueDecay::Exponential] {
         let mut stage = shares(decay, 31);
         // Ten seconds of the share stand open, and one message is out.
         for id in 0..30 {
@@ -371,7 +398,7 @@
 
 #[test]
 fn a_share_comes_back_with_time_and_binds_nobody_unknown() {
-    let mut stage = shares(Decay::Even, 40);
+    let mut stage = shares(ValueDecay::Linear, 40);
     for id in 0..10 {
         hand_in(&mut stage, id, 0);
     }
@@ -413,14 +440,14 @@
 fn what_cannot_be_delivered_any_more_is_refused_unsent() {
     let mut stage = Stage::new(settings());
     let (id, destination) = (MessageId(1), DestinationId(1));
-    stage.event(Event::Taken(Message {
+    stage.event(Event::Accepted(Message {
         id,
         class: 0,
         destination,
         deadline: stage.now + 0.1,
         key: None,
         tenant: 0,
-        over_share: None,
+        over_quota: None,
     }));
     assert!(stage.round().is_empty());
     assert!(stage.refused(1));
@@ -429,8 +456,8 @@
 #[test]
 fn messages_for_a_kind_that_batches_share_a_call() {
     let mut own = settings();
-    own.slots = 2;
-    own.kinds[0].batch = 3;
+    own.max_concurrent_calls = 2;
+    own.kinds[0].max_batch = 3;
     let mut stage = Stage::new(own);
     for id in 0..3 {
         stage.take(id, 0, 1);
@@ -445,19 +472,20 @@
 #[test]
 fn rule_3_a_saved_list_is_no_subscription() {
     // Incident i01344f: the saved list of an earlier life was taken for the answer to a subscription.
-    let own = Settings { listing: Listing::OnRequest { ask_within: 10.0 }, ..settings() };
+    let own =
+        Settings { discovery_mode: DiscoveryMode::Subscription { max_renewal_interval: 10.0 }, ..settings() };
     let mut stage = Stage::new(own);
     stage.round();
     assert!(stage.actions.contains(&Action::Subscribe));
     // Once answered it stands, and is asked for anew within the rule's time.
-    stage.event(Event::ListChanged(vec![]));
+    stage.event(Event::ListUpdate(vec![]));
     let mut asked = Vec::new();
     while stage.now < 1030.0 {
         stage.now += 0.05;
         stage.round();
         if stage.actions.contains(&Action::Subscribe) {
             asked.push(stage.now);
-            stage.event(Event::ListChanged(vec![]));
+            stage.event(Event::ListUpdate(vec![]));
         }
     }
     assert!(asked[0] < 1010.0 && asked[0] > 1003.0, "{asked:?}");
@@ -467,9 +495,9 @@
 #[test]
 fn many_senders_leave_room_at_a_small_limit_whose_refusals_count() {
     // Incident i7b7f9f: twelve senders retried at a limit of four a second, and nobody was ever served.
-    let own = Settings { dispatchers: 12, ..settings() };
+    let own = Settings { dispatcher_count: 12, ..settings() };
     let mut stage = Stage::new(own);
-    stage.event(Event::ListChanged(vec![Entry { rate: 4.0, ..entry(1, 1) }]));
+    stage.event(Event::ListUpdate(vec![EndpointEntry { rate: 4.0, ..entry(1, 1) }]));
     let mut attempts = std::collections::BTreeMap::new();
     let mut late = 0;
     for step in 0..600 {
@@ -478,7 +506,7 @@
         }
         for sent in stage.round() {
             let attempt = attempts.entry(sent.id).or_insert(0);
-            stage.end(sent.id, sent.endpoint, *attempt, Outcome::Full, 0.03);
+            stage.end(sent.id, sent.endpoint, *attempt, Outcome::Overloaded, 0.03);
             *attempt += 1;
             late += usize::from(step >= 300);
         }
@@ -528,7 +556,7 @@
     let mut stage = Stage::new(settings());
     stage.take(1, 2, 1);
     assert_eq!(stage.round().len(), 1);
-    stage.end(1, 1, 0, Outcome::Spoilt, 0.1);
+    stage.end(1, 1, 0, Outcome::MalformedResponse, 0.1);
     stage.round();
     assert!(stage.failed(1), "an unsafe message may have run");
     // As many failures would have shut the place long ago.
@@ -537,28 +565,28 @@
             stage.take(2, 0, 1);
         }
         assert_eq!(stage.round().len(), 1, "attempt {attempt} goes at once");
-        stage.end(2, 1, attempt, Outcome::Spoilt, 0.1);
+        stage.end(2, 1, attempt, Outcome::MalformedResponse, 0.1);
     }
 }
 
 #[test]
 fn a_rejected_call_is_taken_apart() {
     let mut settings = settings();
-    settings.kinds[0].batch = 5;
+    settings.kinds[0].max_batch = 5;
     let mut stage = Stage::new(settings);
     for id in 1..=3 {
         stage.take(id, 2, 1);
     }
     assert_eq!(stage.round().len(), 3);
     for id in 1..=3 {
-        stage.end(id, 1, 0, Outcome::Rejected, 0.01);
+        stage.end(id, 1, 0, Outcome::InvalidRequest, 0.01);
     }
     // None of them ran: each goes once more, in a call of its own.
     let again = stage.round();
     assert_eq!(again.len(), 3);
-    assert!(stage.actions.iter().all(|a| !matches!(a, Action::Send { alone: false, .. })));
+    assert!(stage.actions.iter().all(|a| !matches!(a, Action::Send { unbatched: false, .. })));
     stage.end(1, 1, 1, Outcome::Served, 0.1);
-    stage.end(2, 1, 1, Outcome::Rejected, 0.01);
+    stage.end(2, 1, 1, Outcome::InvalidRequest, 0.01);
     stage.end(3, 1, 1, Outcome::Served, 0.1);
     assert!(stage.round().is_empty());
     assert!(stage.failed(2), "it would fare no better another time");
@@ -566,20 +594,20 @@
 
 #[test]
 fn a_place_without_a_limit_gets_no_more_at_once_than_it_took() {
-    let mut stage = Stage::new(Settings { slots: 100, ..settings() });
-    let uncounted = Some(Allowance { rate: 0.0, left: None });
+    let mut stage = Stage::new(Settings { max_concurrent_calls: 100, ..settings() });
+    let uncounted = Some(RateLimitReport { rate: 0.0, remaining_share: None });
     let end = |stage: &mut Stage, sent: &Sent, attempt, outcome, latency| {
-        stage.event(Event::Ended(AttemptEnd {
+        stage.event(Event::AttemptEnded(AttemptEnd {
             id: MessageId(sent.id),
             endpoint: EndpointId(sent.endpoint),
             attempt,
             outcome,
-            wait: None,
-            closed: outcome == Outcome::Served,
+            retry_after: None,
+            settled: outcome == Outcome::Served,
             latency,
-            allowance: uncounted,
-            reused: false,
-            kept: true,
+            rate_limit_report: uncounted,
+            connection_reused: false,
+            connection_kept: true,
         }));
     };
     stage.take(1, 0, 1);
@@ -592,7 +620,7 @@
     assert_eq!(burst.len(), 40, "nothing is known of its room");
     // It takes five and refuses the others; all refusals come in one round.
     stage.now += 0.02;
-    burst[5..].iter().for_each(|sent| end(&mut stage, sent, 0, Outcome::Full, 0.02));
+    burst[5..].iter().for_each(|sent| end(&mut stage, sent, 0, Outcome::Overloaded, 0.02));
     stage.round();
     stage.now += 0.08;
     burst[..5].iter().for_each(|sent| end(&mut stage, sent, 0, Outcome::Served, 0.1));
@@ -608,17 +636,17 @@
     let reset = |stage: &mut Stage, attempt, reused| {
         stage.now += 0.1;
         assert_eq!(stage.round().len(), 1, "attempt {attempt} goes at once");
-        stage.event(Event::Ended(AttemptEnd {
+        stage.event(Event::AttemptEnded(AttemptEnd {
             id: MessageId(2),
             endpoint: EndpointId(1),
             attempt,
-            outcome: Outcome::Reset,
-            wait: None,
-            closed: false,
+            outcome: Outcome::ConnectionReset,
+            retry_after: None,
+            settled: false,
             latency: 0.001,
-            allowance: None,
-            reused,
-            kept: false,
+            rate_limit_report: None,
+            connection_reused: reused,
+            connection_kept: false,
         }));
     };
     (0..3).for_each(|attempt| reset(&mut stage, attempt, true));
@@ -630,7 +658,7 @@
 #[test]
 fn an_unsafe_message_shares_no_call_with_others() {
     let mut own = settings();
-    (own.kinds[0].batch, own.slots) = (5, 1);
+    (own.kinds[0].max_batch, own.max_concurrent_calls) = (5, 1);
     let mut stage = Stage::new(own);
     for (id, class) in [(1, 2), (2, 2), (3, 0), (4, 0)] {
         stage.take(id, class, 1);
@@ -691,11 +719,11 @@
     }
     let out = stage.round();
     stage.now += 0.05;
-    stage.end_waiting(out[0].id, 1, 0, Outcome::Full, 0.05, Some(6.0));
+    stage.end_waiting(out[0].id, 1, 0, Outcome::Overloaded, 0.05, Some(6.0));
     // One that had got in before is served; it tells nothing of the door.
     stage.end(out[1].id, 1, 0, Outcome::Served, 0.05);
     for sent in &out[2..] {
-        stage.end(sent.id, 1, 0, Outcome::Full, 0.05);
+        stage.end(sent.id, 1, 0, Outcome::Overloaded, 0.05);
     }
     let opens = stage.now + 6.0;
     let mut sends = Vec::new();
@@ -726,12 +754,12 @@
                 stage.now += 0.05;
                 // The place loses one call of so many, and every so often two in a row.
                 let lost = id % every == 0 || (id % 40 == 1 && id > 100);
-                let outcome = if lost { Outcome::Reset } else { Outcome::Served };
+                let outcome = if lost { Outcome::ConnectionReset } else { Outcome::Served };
                 stage.end(sent.id, 1, 0, outcome, 0.05);
                 stage.dispatcher.handle(stage.now, Event::Withdrawn(MessageId(id)));
             }
             told +=
-                stage.actions.iter().filter(|a| matches!(a, Action::Note(t) if t.contains("Shut"))).count();
+                stage.actions.iter().filter(|a| matches!(a, Action::Log(t) if t.contains("Shut"))).count();
             stage.now += 0.5;
         }
         told
@@ -744,10 +772,10 @@
         stage.take(id, 0, 1);
         let sent = stage.round();
         stage.now += 0.05;
-        stage.end(id, sent[0].endpoint, 0, Outcome::Reset, 0.05);
+        stage.end(id, sent[0].endpoint, 0, Outcome::ConnectionReset, 0.05);
     }
     stage.round();
-    let shut = stage.actions.iter().any(|a| matches!(a, Action::Note(t) if t.contains("Shut")));
+    let shut = stage.actions.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Shut")));
     assert!(shut, "at a place that loses none they are not");
 }
 
@@ -765,17 +793,17 @@
         first = stage.until(stage.now + 0.05);
     }
     let (at, trial) = first[0];
-    stage.event(Event::Ended(AttemptEnd {
+    stage.event(Event::AttemptEnded(AttemptEnd {
         id: MessageId(trial.id),
         endpoint: EndpointId(1),
         attempt: 1,
-        outcome: Outcome::Moot,
-        wait: None,
-        closed: true,
+        outcome: Outcome::NotSent,
+        retry_after: None,
+        settled: true,
         latency: 0.01,
-        allowance: None,
-        reused: false,
-        kept: false,
+        rate_limit_report: None,
+        connection_reused: false,
+        connection_kept: false,
     }));
     let next = stage.until(at + 0.2);
     assert!(!next.is_empty(), "the next one goes at once");
@@ -789,25 +817,33 @@
         let deadline = stage.now + 0.5;
         let (id, class, destination) = (MessageId(id), 0, HOME);
         let (key, tenant, over_share) = (None, 0, None);
-        stage.event(Event::Taken(Message { id, class, destination, deadline, key, tenant, over_share }));
+        stage.event(Event::Accepted(Message {
+            id,
+            class,
+            destination,
+            deadline,
+            key,
+            tenant,
+            over_quota: over_share,
+        }));
         let sent = stage.round();
         assert!(sent.len() == 1 && sent[0].timeout < 0.5);
         stage.now += sent[0].timeout;
         stage.end(sent[0].id, 1, 0, Outcome::TimedOut, sent[0].timeout);
         stage.round();
-        assert!(!stage.actions.iter().any(|a| matches!(a, Action::Note(_))), "{:?}", stage.actions);
+        assert!(!stage.actions.iter().any(|a| matches!(a, Action::Log(_))), "{:?}", stage.actions);
     }
 }
 
 #[test]
 fn a_wait_binds_from_the_first_message_of_a_call_that_tells_it() {
     let mut own = settings();
-    own.kinds[0].batch = 5;
+    own.kinds[0].max_batch = 5;
     let mut stage = Stage::new(own);
     (1..4).for_each(|id| stage.take(id, 0, 1));
     assert_eq!(stage.round().len(), 3, "one call");
     stage.now += 0.05;
-    stage.end_waiting(1, 1, 0, Outcome::Full, 0.05, Some(2.0));
+    stage.end_waiting(1, 1, 0, Outcome::Overloaded, 0.05, Some(2.0));
     let told = stage.now;
     stage.now += 0.02;
     stage.end(2, 1, 0, Outcome::Served, 0.07);
@@ -818,16 +854,24 @@
 
 #[test]
 fn what_can_hardly_end_in_its_time_goes_after_the_others() {
-    let mut stage = Stage::new(Settings { decay: Decay::Even, ..settings() });
+    let mut stage = Stage::new(Settings { decay: ValueDecay::Linear, ..settings() });
     stage.take(100, 0, 1);
     assert_eq!(stage.round().len(), 1);
-    stage.end_waiting(100, 1, 0, Outcome::Full, 0.05, Some(1.0));
+    stage.end_waiting(100, 1, 0, Outcome::Overloaded, 0.05, Some(1.0));
     stage.event(Event::Withdrawn(MessageId(100)));
     let opens = stage.now + 1.0;
     for (id, left) in [(1, 0.4), (2, 3.0), (3, 2.0)] {
         let (id, class, destination, deadline) = (MessageId(id), 0, HOME, opens + left);
         let (key, tenant, over_share) = (None, 0, None);
-        stage.event(Event::Taken(Message { id, class, destination, deadline, key, tenant, over_share }));
+        stage.event(Event::Accepted(Message {
+            id,
+            class,
+            destination,
+            deadline,
+            key,
+            tenant,
+            over_quota: over_share,
+        }));
     }
     let sent: Vec<_> = stage.until(opens + 0.5).into_iter().map(|(_, sent)| sent.id).collect();
     assert_eq!(sent.first(), Some(&3), "the first of those that have the time: {sent:?}");
@@ -895,7 +939,7 @@
 /// One call at destination 1 is never answered; `overtaken`: a later one there is. Then all slots are taken and one
 /// message waits. Whether the first call is broken off.
 fn broken_off(class: usize, overtaken: bool, cancel: bool) -> (bool, Stage) {
-    let mut stage = Stage::new(Settings { slots: 2, cancel, ..settings() });
+    let mut stage = Stage::new(Settings { max_concurrent_calls: 2, cancel, ..settings() });
     stage.take(1, class, 1);
     assert_eq!(stage.round().len(), 1);
     stage.now += 1.0;
@@ -911,7 +955,7 @@
     assert_eq!(stage.round().len(), 1);
     stage.take(4, 0, 2);
     assert!(stage.round().is_empty(), "all slots are taken");
-    let off = Action::BreakOff { id: MessageId(1), attempt: 0 };
+    let off = Action::CancelAttempt { id: MessageId(1), attempt: 0 };
     (stage.actions.contains(&off), stage)
 }
 
@@ -920,7 +964,7 @@
     let (off, mut stage) = broken_off(1, true, true);
     assert!(off);
     stage.round();
-    assert!(!stage.actions.iter().any(|action| matches!(action, Action::BreakOff { .. })), "once");
+    assert!(!stage.actions.iter().any(|action| matches!(action, Action::CancelAttempt { .. })), "once");
     stage.end(1, 1, 0, Outcome::Cancelled, 1.8);
     let sent: Vec<u64> = stage.until(stage.now + 1.0).into_iter().map(|(_, sent)| sent.id).collect();
     assert!(sent.contains(&1) || sent.contains(&4), "the slot is used again: {sent:?}");
@@ -932,18 +976,18 @@
 
 #[test]
 fn what_operators_had_out_is_tried_first_and_returns_cold() {
-    let listed = |listed| Event::ListChanged(vec![Entry { listed, ..entry(1, 1) }]);
+    let listed = |listed| Event::ListUpdate(vec![EndpointEntry { state: listed, ..entry(1, 1) }]);
     let back = |restarted: bool| {
         let mut stage = Stage::new(settings());
         stage.serve(1, 1);
-        stage.event(listed(Listed::Draining));
+        stage.event(listed(EndpointState::Draining));
         for id in 10..16 {
             stage.take(id, 0, 1);
         }
         assert!(stage.until(stage.now + 1.0).is_empty(), "nothing goes to what is out");
-        stage.event(listed(Listed::Ready));
+        stage.event(listed(EndpointState::Ready));
         if restarted {
-            stage.event(Event::Restarted(EndpointId(1)));
+            stage.event(Event::EndpointRestored(EndpointId(1)));
         }
         let first = stage.round().len();
         stage.now += 0.1;
--- a/crates/waydoor/tests/weak_signals.rs
+++ b/crates/waydoor/tests/weak_signals.rs
@@ -59,7 +59,7 @@
     let mut stage = Stage::new(settings());
     stage.serve(1, 1);
     assert!(goes(&mut stage, 2));
-    stage.end(2, 1, 0, Outcome::Full, 0.03);
+    stage.end(2, 1, 0, Outcome::Overloaded, 0.03);
     assert!(stage.round().is_empty(), "a pause");
     let later = stage.until(1003.0);
     assert_eq!(later.first().map(|(_, sent)| sent.id), Some(2));
@@ -75,7 +75,7 @@
     assert!(goes(&mut stage, 2));
     for id in [3, 4, 5] {
         assert!(goes(&mut stage, id));
-        stage.end(id, 1, 0, Outcome::NoConnection, 0.02);
+        stage.end(id, 1, 0, Outcome::ConnectFailed, 0.02);
         stage.event(Event::Withdrawn(MessageId(id)));
         stage.now += 0.2;
     }
@@ -104,7 +104,7 @@
     for id in [2, 3] {
         assert!(goes(&mut stage, id));
         stage.now += 0.2;
-        stage.end(id, 1, 0, Outcome::Reset, 0.1);
+        stage.end(id, 1, 0, Outcome::ConnectionReset, 0.1);
         stage.event(Event::Withdrawn(MessageId(id)));
     }
     stage.now += 20.0;
@@ -136,7 +136,12 @@
     }
     assert!(probed.is_some());
     let endpoint = EndpointId(1);
-    stage.event(Event::Probed { endpoint, outcome: Outcome::Served, latency: 0.1, allowance: None });
+    stage.event(Event::ProbeEnded {
+        endpoint,
+        outcome: Outcome::Served,
+        latency: 0.1,
+        rate_limit_report: None,
+    });
     assert_eq!(stage.until(1010.0).first().map(|(_, sent)| sent.id), Some(4));
 }
 
