--- a/crates/node/src/start.rs
+++ b/crates/node/src/start.rs
@@ -147,7 +147,7 @@
         Some(mut state) => {
             let started = state.started();
             journal.restore_recent_outcomes(state.ended);
-            state.decisions.moved();
+            state.decisions.resume_in_new_process();
             (started, state.decisions, state.directory)
         }
         None => {
