--- a/crates/node/src/acts.rs
+++ b/crates/node/src/actions.rs
@@ -2,9 +2,9 @@
 
 use crate::calls::{self, Call, CallEnd, Item};
 use crate::directory::Place;
-use crate::gate::Phase;
-use crate::rest::{Rest, Told};
-use crate::rounds::Input;
+use crate::event_loop::Input;
+use crate::serving::Phase;
+use crate::transfer::{Completion, Transfer};
 use crate::{Node, log};
 use fawnspoke_control::figures::End;
 use fawnspoke_journal::Notice;
@@ -15,14 +15,14 @@
 use waydoor::{Action, DestinationId, Effect, EndpointId, Event, Outcome, Seconds};
 
 /// Records how a call ended as soon as that is known, then tells the round loop.
-pub fn call_ended(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
+pub fn complete_call(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
     for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
-        node.count_end(end.number, End::Fulfilled);
+        node.count_message_end(end.number, End::Fulfilled);
     }
     {
         let mut journal = node.journal.borrow_mut();
         for end in &end.ends {
-            node.record(match end.closed {
+            node.observe_journal_write(match end.settled {
                 true => journal.over(end.number),
                 // Its start was never on record: it never began.
                 false if journal.get(end.number).is_none_or(|kept| kept.out.is_none()) => continue,
@@ -30,39 +30,48 @@
             });
         }
     }
-    node.counts.ended(dest, &end);
-    node.bounds.ended(dest, end.ends.iter().map(|end| end.outcome));
-    node.send(Input::Ended { endpoint, sent_at, end });
+    node.traffic.ended(dest, &end);
+    node.fleet.ended(dest, end.ends.iter().map(|end| end.outcome));
+    node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
 /// Makes a call, and sees to it that its end is known to whoever owns by then.
-pub async fn make_call(node: Rc<Node>, call: Call, sent_at: Seconds) {
+pub async fn run_call(node: Rc<Node>, call: Call, sent_at: Seconds) {
     let one = call.items.first().filter(|_| call.items.len() == 1).map(|item| item.number);
     let broken_off = Rc::new(Notify::new());
-    one.inspect(|number| drop(node.breaks.borrow_mut().insert(*number, broken_off.clone())));
+    one.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, broken_off.clone())));
     let ended = |outcome: Outcome| {
-        let end =
-            |item: &Item| calls::End { number: item.number, attempt: item.attempt, outcome, closed: false };
-        CallEnd::bare(call.items.iter().map(end).collect(), false)
+        let end = |item: &Item| calls::MessageEnd {
+            number: item.number,
+            attempt: item.attempt,
+            outcome,
+            settled: false,
+        };
+        CallEnd::without_report(call.items.iter().map(end).collect(), false)
     };
     let (mut end, cut) = tokio::select! {
         end = calls::call(&node, &call) => (end, false),
         () = broken_off.notified() => (ended(Outcome::Cancelled), false),
-        () = node.cut.notified() => (ended(Outcome::Reset), true),
+        () = node.abort_signal.notified() => (ended(Outcome::Reset), true),
     };
-    node.calls_open.set(node.calls_open.get() - 1);
-    one.inspect(|number| drop(node.breaks.borrow_mut().remove(number)));
+    node.calls_with_connection.set(node.calls_with_connection.get() - 1);
+    one.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
     let (endpoint, dest) = (call.endpoint, call.dest);
-    match node.gate.settled().await {
-        Phase::Over if cut => {}
-        Phase::Over => {
+    match node.serving_state.wait_until_settled().await {
+        Phase::HandedOver if cut => {}
+        Phase::HandedOver => {
             // Its connection stays behind.
-            end.kept = false;
-            node.hand(Rest::Told(Told::Call { endpoint: endpoint.0, dest, sent_at, end }));
+            end.connection_kept = false;
+            node.transfer(Transfer::Completion(Completion::Call {
+                endpoint: endpoint.0,
+                dest,
+                sent_at,
+                end,
+            }));
         }
-        _ => call_ended(&node, endpoint, dest, sent_at, end),
+        _ => complete_call(&node, endpoint, dest, sent_at, end),
     }
-    node.calls_out.set(node.calls_out.get() - 1);
+    node.calls_in_flight.set(node.calls_in_flight.get() - 1);
 }
 
 /// A send that the decisions ask for.
@@ -89,12 +98,16 @@
         let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.handed.clone()) else { return };
         let item = Item { number, attempt, handed };
         let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.dest);
-        let Some(place) = place.filter(|place| node.bounds.may_try(place.dest)) else {
-            let ends = vec![calls::End { number, attempt, outcome: Outcome::Moot, closed: false }];
-            node.send(Input::Ended { endpoint, sent_at: node.now(), end: CallEnd::bare(ends, false) });
+        let Some(place) = place.filter(|place| node.fleet.may_try(place.dest)) else {
+            let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::Moot, settled: false }];
+            node.send_input(Input::CallEnded {
+                endpoint,
+                sent_at: node.now(),
+                end: CallEnd::without_report(ends, false),
+            });
             return;
         };
-        let effect = node.effect(&item.handed.class);
+        let effect = node.class_effect(&item.handed.class);
         let batch = node.config.settings.kinds.get(place.kind).map_or(1, |kind| kind.batch);
         let alike = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
@@ -114,7 +127,7 @@
 }
 
 /// Carries out what the decisions ask for.
-pub fn act(node: &Rc<Node>, now: Seconds, actions: &[Action], timer: &mut Option<(u32, Seconds)>) {
+pub fn execute(node: &Rc<Node>, now: Seconds, actions: &[Action], timer: &mut Option<(u32, Seconds)>) {
     let mut sends = Calls::default();
     for action in actions {
         match action {
@@ -124,65 +137,70 @@
             }
             Action::Refuse(id) => {
                 let dest = node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.handed.dest));
-                dest.inspect(|dest| node.counts.count(dest.0, |count| count.back += 1));
-                let retry_in_ms = dest.map_or(0.0, |dest| node.come_back(dest) * 1000.0).ceil() as u64;
-                node.count_end(id.0, End::Throttled);
+                dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
+                let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
+                node.count_message_end(id.0, End::Throttled);
                 end(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
                 let dest = node.journal.borrow().get(id.0).map(|kept| kept.handed.dest);
-                dest.inspect(|dest| node.counts.count(*dest, |count| count.given_up += 1));
-                node.count_end(id.0, End::Faulted);
+                dest.inspect(|dest| node.traffic.count(*dest, |count| count.given_up += 1));
+                node.count_message_end(id.0, End::Faulted);
                 end(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
             Action::BreakOff { id, .. } => {
-                if let Some(out) = node.breaks.borrow().get(&id.0) {
+                if let Some(out) = node.cancellations.borrow().get(&id.0) {
                     out.notify_one();
                 }
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
                 let dest = node.directory.borrow().place(endpoint).map(|place| place.dest);
-                dest.inspect(|dest| node.counts.count(*dest, |count| count.probes += 1));
+                dest.inspect(|dest| node.traffic.count(*dest, |count| count.probes += 1));
                 spawn_local(async move {
                     let (outcome, allowance) = calls::probe(&node, endpoint).await;
                     let latency = node.now() - now;
-                    match node.gate.settled().await {
-                        Phase::Over => {
+                    match node.serving_state.wait_until_settled().await {
+                        Phase::HandedOver => {
                             let endpoint = endpoint.0;
-                            node.hand(Rest::Told(Told::Probe { endpoint, outcome, latency, allowance }));
+                            node.transfer(Transfer::Completion(Completion::Probe {
+                                endpoint,
+                                outcome,
+                                latency,
+                                allowance,
+                            }));
                         }
                         _ => {
-                            dest.inspect(|dest| node.bounds.ended(*dest, [outcome]));
-                            node.tell(Event::Probed { endpoint, outcome, latency, allowance });
+                            dest.inspect(|dest| node.fleet.ended(*dest, [outcome]));
+                            node.send_event(Event::Probed { endpoint, outcome, latency, allowance });
                         }
                     }
                 });
             }
             Action::CloseIdle(endpoint) => {
-                node.pool.close(*endpoint);
+                node.pool.close_idle(*endpoint);
             }
             Action::Subscribe => node.resubscribe.notify_one(),
             Action::Remember { destination, out } => {
-                node.bounds.out(node, destination.0, *out);
-                node.record(node.journal.borrow_mut().outage(destination.0, *out));
+                node.fleet.out(node, destination.0, *out);
+                node.observe_journal_write(node.journal.borrow_mut().outage(destination.0, *out));
             }
-            Action::Note(text) => log::say(format_args!("{now:.3} {text}")),
+            Action::Note(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
     for call in sends.calls {
-        node.counts.count(call.dest, |count| {
+        node.traffic.count(call.dest, |count| {
             count.calls += 1;
             count.messages += call.items.len() as u64;
         });
-        node.calls_out.set(node.calls_out.get() + 1);
-        node.calls_open.set(node.calls_open.get() + 1);
-        spawn_local(make_call(node.clone(), call, now));
+        node.calls_in_flight.set(node.calls_in_flight.get() + 1);
+        node.calls_with_connection.set(node.calls_with_connection.get() + 1);
+        spawn_local(run_call(node.clone(), call, now));
     }
 }
 
 pub fn end(node: &Node, number: u64, notice: Notice) {
-    node.record(node.journal.borrow_mut().owe(number, notice));
-    node.notices.notify_one();
+    node.observe_journal_write(node.journal.borrow_mut().owe(number, notice));
+    node.notice_due.notify_one();
 }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls to endpoints, and the connections that they go over.
 
-use crate::gate::Phase;
-use crate::wire::{Head, Unread, Wire};
+use crate::serving::Phase;
+use crate::stream::{HeadScanner, SharedStream, Unread};
 use crate::{Node, log};
 use fawnspoke_control::figures::Figures;
 use fawnspoke_journal::Handed;
@@ -31,7 +31,7 @@
 /// What is read of an answer: twice the longest body, since a call may hold several messages' ends.
 const ANSWER_MOST: usize = 128 * 1024;
 /// Longest head of an answer, and its lines.
-const HEAD_MOST: usize = 16 * 1024;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
 const HEADERS_MOST: usize = 64;
 /// Share of the keep-alive time after which an idle connection is dropped: well before the endpoint does.
 const KEEPALIVE_SHARE: f64 = 0.85;
@@ -46,7 +46,7 @@
 /// What a connection has brought since the last request was put on it.
 #[derive(Default)]
 struct Heard {
-    head: RefCell<Head>,
+    head: RefCell<HeadScanner>,
     /// When the answer's first byte came; 1xx answers ahead do not count.
     first_at: Cell<Option<Instant>>,
     first: Notify,
@@ -80,8 +80,8 @@
 
     fn follow(&self, bytes: &[u8]) {
         let mut head = self.head.borrow_mut();
-        head.follow(bytes);
-        let first_at = head.begun().then(|| self.first_at.get().unwrap_or_else(Instant::now));
+        head.scan(bytes);
+        let first_at = head.has_started().then(|| self.first_at.get().unwrap_or_else(Instant::now));
         self.first_at.set(first_at);
         if first_at.is_some() {
             self.first.notify_one();
@@ -98,7 +98,7 @@
 
 /// What hyper reads and writes.
 struct Line {
-    wire: Wire,
+    wire: SharedStream,
     heard: Rc<Heard>,
 }
 
@@ -154,77 +154,77 @@
 }
 
 /// A connection. Dropped, it is closed, whatever is still out on it.
-pub struct Link {
+pub struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
-    pub at: SocketAddr,
-    pub wire: Wire,
+    pub address: SocketAddr,
+    pub stream: SharedStream,
     heard: Rc<Heard>,
     task: AbortHandle,
     pub idle_since: Instant,
 }
 
-impl Link {
+impl Connection {
     /// Whether a request may go on it. A byte that waits belongs to no answer that is owed: the next call's
     /// answer would be taken from it. A request on a connection that has ended would be lost.
-    pub fn sound(&self) -> bool {
-        !self.sender.is_closed() && self.wire.unread() == Unread::Nothing
+    pub fn is_reusable(&self) -> bool {
+        !self.sender.is_closed() && self.stream.unread() == Unread::Nothing
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 /// Opens a connection.
-pub async fn connect(at: SocketAddr) -> io::Result<Link> {
-    establish(TcpStream::connect(at).await?, at, Instant::now()).await
+pub async fn connect(at: SocketAddr) -> io::Result<Connection> {
+    wrap_stream(TcpStream::connect(at).await?, at, Instant::now()).await
 }
 
 /// Takes a connection that is open, and idle since then.
-pub async fn establish(stream: TcpStream, at: SocketAddr, idle_since: Instant) -> io::Result<Link> {
-    let wire = Wire::new(stream)?;
+pub async fn wrap_stream(stream: TcpStream, at: SocketAddr, idle_since: Instant) -> io::Result<Connection> {
+    let wire = SharedStream::new(stream)?;
     let heard = Rc::new(Heard::default());
     let line = Line { wire: wire.clone(), heard: heard.clone() };
     let mut builder = Builder::new();
-    builder.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST);
+    builder.max_buf_size(MAX_HEAD_BYTES).max_headers(HEADERS_MOST);
     let (sender, connection) = builder.handshake(TokioIo::new(line)).await.map_err(io::Error::other)?;
     let task = spawn_local(async {
         // Its end shows at the sender; there is nothing more to tell.
         let _ = connection.await;
     });
-    Ok(Link { sender, at, wire, heard, task: task.abort_handle(), idle_since })
+    Ok(Connection { sender, address: at, stream: wire, heard, task: task.abort_handle(), idle_since })
 }
 
 /// The idle connections, by endpoint and not by address: that may be another endpoint's by now. The one used
 /// last is the last.
 #[derive(Default)]
-pub struct Pool {
-    idle: RefCell<BTreeMap<EndpointId, Vec<Link>>>,
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<EndpointId, Vec<Connection>>>,
 }
 
-impl Pool {
-    fn reuse(&self, endpoint: EndpointId, at: SocketAddr, keepalive: Duration) -> Option<Link> {
+impl ConnectionPool {
+    fn reuse(&self, endpoint: EndpointId, at: SocketAddr, keepalive: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&endpoint)?;
         loop {
             let link = links.pop()?;
-            if link.at == at && link.idle_since.elapsed() < keepalive && link.sound() {
+            if link.address == at && link.idle_since.elapsed() < keepalive && link.is_reusable() {
                 return Some(link);
             }
         }
     }
 
     /// Keeps a connection for later calls; false where it is not sound.
-    fn put_back(&self, endpoint: EndpointId, mut link: Link) -> bool {
+    fn put_back(&self, endpoint: EndpointId, mut link: Connection) -> bool {
         link.idle_since = Instant::now();
-        self.keep(endpoint, link)
+        self.add_idle(endpoint, link)
     }
 
     /// The same for one that has been idle.
-    pub fn keep(&self, endpoint: EndpointId, link: Link) -> bool {
-        if !link.sound() {
+    pub fn add_idle(&self, endpoint: EndpointId, link: Connection) -> bool {
+        if !link.is_reusable() {
             return false;
         }
         self.idle.borrow_mut().entry(endpoint).or_default().push(link);
@@ -232,15 +232,15 @@
     }
 
     /// Takes all out that may be used again.
-    pub fn take_all(&self) -> Vec<(EndpointId, Link)> {
+    pub fn take_reusable(&self) -> Vec<(EndpointId, Connection)> {
         let idle = self.idle.take().into_iter().flat_map(|(endpoint, links)| {
-            links.into_iter().filter(Link::sound).map(move |link| (endpoint, link))
+            links.into_iter().filter(Connection::is_reusable).map(move |link| (endpoint, link))
         });
         idle.collect()
     }
 
     /// Closes the idle connections to an endpoint.
-    pub fn close(&self, endpoint: EndpointId) {
+    pub fn close_idle(&self, endpoint: EndpointId) {
         self.idle.borrow_mut().remove(&endpoint);
     }
 
@@ -256,7 +256,7 @@
     pub fn sweep(&self, keepalive: Duration, most: usize) {
         let mut idle = self.idle.borrow_mut();
         for links in idle.values_mut() {
-            links.retain(|link| link.idle_since.elapsed() < keepalive && link.sound());
+            links.retain(|link| link.idle_since.elapsed() < keepalive && link.is_reusable());
         }
         let total: usize = idle.values().map(Vec::len).sum();
         for _ in most..total {
@@ -270,7 +270,7 @@
 }
 
 /// For how long an idle connection is used again.
-pub fn keepalive(node: &Node) -> Duration {
+pub fn idle_reuse_limit(node: &Node) -> Duration {
     node.config.settings.keepalive.map_or(Duration::MAX, |k| Duration::from_secs_f64(k * KEEPALIVE_SHARE))
 }
 
@@ -294,30 +294,36 @@
 
 /// How one message of a call fared.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct End {
+pub struct MessageEnd {
     pub number: u64,
     pub attempt: u32,
     pub outcome: Outcome,
     /// Nothing more is owed for it.
-    pub closed: bool,
+    pub settled: bool,
 }
 
 /// How a call ended.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CallEnd {
-    pub ends: Vec<End>,
-    pub wait: Option<Seconds>,
-    pub allowance: Option<Allowance>,
+    pub ends: Vec<MessageEnd>,
+    pub retry_after: Option<Seconds>,
+    pub rate_limit_report: Option<Allowance>,
     /// Its connection had been idle.
-    pub reused: bool,
+    pub connection_reused: bool,
     /// Its connection is idle now.
-    pub kept: bool,
+    pub connection_kept: bool,
 }
 
 impl CallEnd {
     /// The end of a call that brought nothing that can be believed but what happened to it.
-    pub fn bare(ends: Vec<End>, reused: bool) -> CallEnd {
-        CallEnd { ends, wait: None, allowance: None, reused, kept: false }
+    pub fn without_report(ends: Vec<MessageEnd>, reused: bool) -> CallEnd {
+        CallEnd {
+            ends,
+            retry_after: None,
+            rate_limit_report: None,
+            connection_reused: reused,
+            connection_kept: false,
+        }
     }
 }
 
@@ -341,19 +347,20 @@
             exchange(node, (endpoint, at), request, until, &open, (items, call.zone), &mut used).await
         }
         Err(error) => {
-            log::line(format_args!("call to {at}: cannot be written: {error}"));
+            log::info_limited(format_args!("call to {at}: cannot be written: {error}"));
             Err(Outcome::Error)
         }
     };
     let all = |outcome: Outcome, closed: bool| {
-        let end = |item: &Item| End { number: item.number, attempt: item.attempt, outcome, closed };
+        let end =
+            |item: &Item| MessageEnd { number: item.number, attempt: item.attempt, outcome, settled: closed };
         items.iter().map(end).collect::<Vec<_>>()
     };
     let answer = match answer {
         Ok(answer) => answer,
         Err(outcome) => {
             let Used { reused, kept } = used;
-            return CallEnd { kept, ..CallEnd::bare(all(outcome, false), reused) };
+            return CallEnd { connection_kept: kept, ..CallEnd::without_report(all(outcome, false), reused) };
         }
     };
     let Some(body) = &answer.body else {
@@ -362,7 +369,7 @@
         let one = answer.status == StatusCode::OK && items.len() == 1;
         let ends = all(if one { Outcome::Served } else { Outcome::Spoilt }, one);
         // A wait runs from when its answer is written; heeding one that was not meant costs time alone.
-        return CallEnd { wait: wait(&answer.headers), ..CallEnd::bare(ends, used.reused) };
+        return CallEnd { retry_after: wait(&answer.headers), ..CallEnd::without_report(ends, used.reused) };
     };
     let ends = match answer.status {
         StatusCode::OK if items.len() > 1 => many_ends(items, body),
@@ -375,16 +382,22 @@
         StatusCode::GONE => all(Outcome::Moot, true),
         StatusCode::INTERNAL_SERVER_ERROR => all(Outcome::Error, false),
         status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) => {
-            log::line(format_args!("call to {at}: {} messages answered {status}", items.len()));
+            log::info_limited(format_args!("call to {at}: {} messages answered {status}", items.len()));
             all(Outcome::Rejected, false)
         }
         other => {
-            log::line(format_args!("call to {at}: answered {other}"));
+            log::info_limited(format_args!("call to {at}: answered {other}"));
             all(Outcome::Error, false)
         }
     };
     let allowance = node.config.report_fields.and_then(|fields| allowance(&answer.headers, fields));
-    CallEnd { ends, wait: wait(&answer.headers), allowance, reused: used.reused, kept: answer.kept }
+    CallEnd {
+        ends,
+        retry_after: wait(&answer.headers),
+        rate_limit_report: allowance,
+        connection_reused: used.reused,
+        connection_kept: answer.kept,
+    }
 }
 
 /// Asks an endpoint whether it runs.
@@ -401,7 +414,7 @@
         Ok(answer) => {
             let told = node.config.report_fields.and_then(|fields| allowance(&answer.headers, fields));
             if let Some(wait) = wait(&answer.headers) {
-                node.tell(Event::WaitTold { endpoint, wait });
+                node.send_event(Event::WaitTold { endpoint, wait });
             }
             match answer.status {
                 StatusCode::OK => (Outcome::Served, told),
@@ -433,7 +446,7 @@
     let mut recorded = false;
     loop {
         let mut link;
-        (link, used.reused) = match node.pool.reuse(endpoint, at, keepalive(node)) {
+        (link, used.reused) = match node.pool.reuse(endpoint, at, idle_reuse_limit(node)) {
             Some(link) => (link, true),
             None => {
                 let limit = Duration::from_secs_f64(node.config.connect_timeout);
@@ -451,7 +464,7 @@
         }
         // Connecting takes time: what is drained or gone by now gets nothing new, and no more does a process begin
         // that hands over.
-        if !open() || node.gate.phase() != Phase::Serving {
+        if !open() || node.serving_state.phase() != Phase::Serving {
             return Err(Outcome::Moot);
         }
         // The decisions may have learned meanwhile what forbids it. The connection is as good as new.
@@ -460,7 +473,7 @@
             return Err(Outcome::Moot);
         }
         if !std::mem::replace(&mut recorded, true)
-            && let Err(outcome) = node.record_start(items, zone)
+            && let Err(outcome) = node.record_call_start(items, zone)
         {
             used.kept = node.pool.put_back(endpoint, link);
             return Err(outcome);
@@ -469,7 +482,7 @@
         link.heard.clear();
         link.heard
             .relays
-            .replace((!messages.is_empty()).then(|| (node.figures.clone(), messages.len() as u64)));
+            .replace((!messages.is_empty()).then(|| (node.metrics.clone(), messages.len() as u64)));
         let heard = link.heard.clone();
         let mut sent = pin!(link.sender.try_send_request(request));
         let answer = loop {
@@ -517,7 +530,8 @@
 /// Reads the rest of an answer; the connection is kept if it is whole. It is waited for no longer than the call is: the
 /// ends of its messages are due.
 async fn rest(
-    node: &Node, endpoint: EndpointId, link: Link, answer: Response<Incoming>, until: Instant, told: bool,
+    node: &Node, endpoint: EndpointId, link: Connection, answer: Response<Incoming>, until: Instant,
+    told: bool,
 ) -> Answer {
     let (head, body) = answer.into_parts();
     // Where the head tells all, a body that did not come with it is not worth a slot.
@@ -529,13 +543,13 @@
     if body.is_err() {
         // A wait runs from when it was written, and the rest may take its time.
         if let Some(wait) = wait(&head.headers) {
-            node.tell(Event::WaitTold { endpoint, wait });
+            node.send_event(Event::WaitTold { endpoint, wait });
         }
         body = timeout_at(until, collected).await;
     }
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
     // What has left the list meanwhile gets nothing more.
-    let listed = node.directory.borrow().ready_at(endpoint) == Some(link.at);
+    let listed = node.directory.borrow().ready_at(endpoint) == Some(link.address);
     let kept = body.is_some() && listed && node.pool.put_back(endpoint, link);
     Answer { status: head.status, headers: head.headers, body, kept }
 }
@@ -564,7 +578,7 @@
 }
 
 /// The ends of the messages of one call. One that is not told may have run.
-fn many_ends(items: &[Item], body: &[u8]) -> Vec<End> {
+fn many_ends(items: &[Item], body: &[u8]) -> Vec<MessageEnd> {
     let text = String::from_utf8_lossy(body);
     let told: HashMap<&str, &str> = text.lines().filter_map(|line| line.trim().split_once(' ')).collect();
     let end = |item: &Item| {
@@ -576,9 +590,9 @@
             Some("spent") => (Outcome::Moot, false),
             _ => (Outcome::Reset, false),
         };
-        End { number: item.number, attempt: item.attempt, outcome, closed }
+        MessageEnd { number: item.number, attempt: item.attempt, outcome, settled: closed }
     };
-    let mut ends: Vec<End> = items.iter().map(end).collect();
+    let mut ends: Vec<MessageEnd> = items.iter().map(end).collect();
     // The end that comes last stands for the call: what was not sent tells nothing, a refusal most.
     ends.sort_by_key(|end| match end.outcome {
         Outcome::Moot => 0,
@@ -612,7 +626,7 @@
     async fn a_write_that_fails_is_known() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let wire = Wire::new(stream).unwrap();
+        let wire = SharedStream::new(stream).unwrap();
         let heard = Rc::new(Heard::default());
         let mut line = Line { wire: wire.clone(), heard: heard.clone() };
         let (peer, _) = listener.accept().await.unwrap();
@@ -621,7 +635,7 @@
         // Closed so, the peer resets the connection.
         SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
         drop(peer);
-        while wire.unread() != Unread::End {
+        while wire.unread() != Unread::Closed {
             tokio::task::yield_now().await;
         }
         // The first write after it may only bring the fault that is kept at the socket.
--- a/crates/node/src/inherited.rs
+++ b/crates/node/src/client_listener.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// One line that names the address or the variable, and what is wrong.
-pub async fn listener(at: SocketAddr, given: Option<OwnedFd>) -> Result<TcpListener, String> {
+pub async fn open(at: SocketAddr, given: Option<OwnedFd>) -> Result<TcpListener, String> {
     let Ok(number) = std::env::var(VARIABLE) else {
         if let Some(given) = given {
             let listener = std::net::TcpListener::from(given);
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -1,11 +1,11 @@
 //! Clients' connections: how many there are, how long each may take, and when one has to go.
 
-use crate::gate::Phase;
-use crate::intake;
-use crate::rest::Rest;
-use crate::rounds::Input;
-use crate::sizes::{BODY_MOST, HEAD_MOST};
-use crate::wire::{Head, Unread, Wire};
+use crate::event_loop::Input;
+use crate::requests;
+use crate::serving::Phase;
+use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
+use crate::stream::{HeadScanner, SharedStream, Unread};
+use crate::transfer::Transfer;
 use crate::{Node, log};
 use hyper::body::Bytes;
 use hyper::header::CONNECTION;
@@ -42,7 +42,7 @@
 /// Before the next accept after one that failed for want of something.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// What is kept of a request that is not whole; a longer one is refused in the end.
-const RECORD_MOST: usize = HEAD_MOST + BODY_MOST;
+const RECORD_MOST: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// Header lines of a request.
 const HEADERS_MOST: usize = 64;
 
@@ -54,7 +54,7 @@
 }
 
 impl Clients {
-    fn add(&self, wire: Wire) -> (u64, Rc<Client>) {
+    fn add(&self, wire: SharedStream) -> (u64, Rc<Client>) {
         let (number, client) = (self.count.get(), Rc::new(Client::new(wire)));
         self.count.set(number + 1);
         self.open.borrow_mut().insert(number, client.clone());
@@ -112,12 +112,12 @@
 
 /// One client's connection, as those see it who do not read it.
 pub struct Client {
-    pub wire: Wire,
+    pub wire: SharedStream,
     /// When a byte came last, or an answer was ready.
     heard_at: Cell<Instant>,
     /// Since when a request is awaited or read. A new connection owes one, a kept one does not.
     asked_at: Cell<Option<Instant>>,
-    head: RefCell<Head>,
+    head: RefCell<HeadScanner>,
     /// What was read of the request that is awaited or read.
     record: RefCell<Vec<u8>>,
     /// When its socket was last found open, if that was looked at.
@@ -135,7 +135,7 @@
 }
 
 impl Client {
-    fn new(wire: Wire) -> Client {
+    fn new(wire: SharedStream) -> Client {
         let now = Instant::now();
         Client {
             wire,
@@ -161,7 +161,7 @@
         if unread == Unread::Nothing {
             self.open_at.set(Some(Instant::now()));
         }
-        match self.head.borrow().behind() {
+        match self.head.borrow().bytes_after_head() {
             Some(behind) if behind <= body => unread,
             _ => Unread::Bytes,
         }
@@ -170,7 +170,7 @@
     /// Whether the client has closed; one that was there a moment ago is not asked for again.
     fn closed(&self) -> bool {
         let there = self.open_at.get().is_some_and(|at| at.elapsed() <= STILL_THERE);
-        !there && self.wire.unread() == Unread::End
+        !there && self.wire.unread() == Unread::Closed
     }
 
     fn idle(&self) -> bool {
@@ -211,7 +211,7 @@
         }
         self.heard_at.set(now);
         self.asked_at.set(self.asked_at.get().or(Some(now)));
-        self.head.borrow_mut().follow(bytes);
+        self.head.borrow_mut().scan(bytes);
         let mut record = self.record.borrow_mut();
         if record.len() <= RECORD_MOST {
             record.extend_from_slice(bytes);
@@ -221,15 +221,15 @@
     /// The body of the request, which is whole and of this length.
     pub fn body(&self, length: usize) -> Option<Bytes> {
         let record = self.record.borrow();
-        let head = record.len().checked_sub(self.head.borrow().behind()?)?;
+        let head = record.len().checked_sub(self.head.borrow().bytes_after_head()?)?;
         record.get(head..head + length).map(Bytes::copy_from_slice)
     }
 
     /// What another process needs to go on with it; none where a request is longer than any that is taken.
-    fn moved(&self) -> Option<Rest> {
+    fn moved(&self) -> Option<Transfer> {
         let read = self.record.take();
         let asked_ms = self.asked_at.get().map(|at| at.elapsed().as_millis() as u32);
-        (read.len() <= RECORD_MOST).then(|| Rest::Client { wire: self.wire.clone(), read, asked_ms })
+        (read.len() <= RECORD_MOST).then(|| Transfer::Client { stream: self.wire.clone(), read, asked_ms })
     }
 }
 
@@ -248,14 +248,14 @@
 
 /// Accepts clients for as long as this process serves.
 pub async fn serve(node: Rc<Node>) {
-    node.gate.while_serving(|| accept(node.clone())).await;
+    node.serving_state.run_while_serving(|| accept(node.clone())).await;
 }
 
 async fn accept(node: Rc<Node>) {
     let listener = node.listener.clone();
     let (most, most_idle) = (node.config.limits.clients(), node.config.limits.idle_clients());
     loop {
-        let accepted = listener.accept().await.and_then(|(stream, _)| Wire::new(stream));
+        let accepted = listener.accept().await.and_then(|(stream, _)| SharedStream::new(stream));
         let short = accepted.as_ref().is_err_and(is_short_of_descriptors);
         let full = short || node.clients.open.borrow().len() >= most;
         if full || node.clients.idle() > most_idle {
@@ -270,9 +270,9 @@
                 spawn_local(connection(node.clone(), number, client, Vec::new()));
             }
             // It concerns one connection that is gone, or a call that was interrupted.
-            Err(error) if is_of_one_connection(&error) => log::line(format_args!("accept: {error}")),
+            Err(error) if is_of_one_connection(&error) => log::info_limited(format_args!("accept: {error}")),
             Err(error) => {
-                log::line(format_args!("accept: {error}"));
+                log::info_limited(format_args!("accept: {error}"));
                 sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -281,7 +281,7 @@
 
 /// Takes a client's connection over: what was read of its request, and for how long that is awaited.
 pub fn adopt(node: &Rc<Node>, stream: TcpStream, read: Vec<u8>, asked_ms: Option<u32>) -> io::Result<()> {
-    let (number, client) = node.clients.add(Wire::new(stream)?);
+    let (number, client) = node.clients.add(SharedStream::new(stream)?);
     let asked_at = asked_ms.and_then(|ms| Instant::now().checked_sub(Duration::from_millis(ms.into())));
     client.asked_at.set(asked_at);
     spawn_local(connection(node.clone(), number, client, read));
@@ -295,7 +295,7 @@
     let service = service_fn(|request| {
         let (node, client) = (node.clone(), client.clone());
         async move {
-            let answer = intake::answer(&node, &client, request).await;
+            let answer = requests::answer(&node, &client, request).await;
             let is_last = answer.as_ref().is_ok_and(|answer| answer.headers().contains_key(CONNECTION));
             client.last_answer.set(is_last);
             client.answered();
@@ -305,9 +305,9 @@
     let mut server = http1::Builder::new();
     // Whoever ends its sending behind its request still hears the answer.
     server.half_close(true);
-    server.max_buf_size(HEAD_MOST).max_headers(HEADERS_MOST).header_read_timeout(None);
+    server.max_buf_size(MAX_HEAD_BYTES).max_headers(HEADERS_MOST).header_read_timeout(None);
     let mut served = pin!(server.serve_connection(TokioIo::new(line), service));
-    let mut stopping = node.stopping.subscribe();
+    let mut stopping = node.close_clients.subscribe();
     // What was there before this connection is heard of too. The sender lives as long as the node.
     let stopping = async { drop(stopping.wait_for(|stopping| *stopping).await) };
     let ended = async {
@@ -330,15 +330,15 @@
             client.ended_at_rest.set(client.is_between_requests());
             end(&client).await;
         }
-        _ = node.gate.until(|phase| phase == Phase::Over) => {
+        _ = node.serving_state.wait_for(|phase| phase == Phase::HandedOver) => {
             if !client.going.get() && let Some(rest) = client.moved() {
-                node.hand(rest);
+                node.transfer(rest);
             }
         }
     }
     node.clients.open.borrow_mut().remove(&number);
     if let Some(number) = client.unheard.take() {
-        intake::withdraw(&node, number);
+        requests::withdraw(&node, number);
     }
 }
 
@@ -353,7 +353,7 @@
 }
 
 /// Ends the writing and reads on until the client has closed.
-async fn linger(mut wire: Wire) -> io::Result<()> {
+async fn linger(mut wire: SharedStream) -> io::Result<()> {
     wire.shutdown().await?;
     let (mut bytes, mut left) = ([0; 4096], LINGER_MOST);
     loop {
@@ -379,7 +379,7 @@
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         // While this process hands over, what comes stays with the socket: whoever owns reads it.
-        ready!(self.node.gate.poll_serving(cx));
+        ready!(self.node.serving_state.poll_serving(cx));
         if !self.before.is_empty() {
             let read = self.before.len().min(buf.remaining());
             let rest = self.before.split_off(read);
@@ -422,8 +422,8 @@
         if written > 0
             && let Some(number) = client.unheard.take()
         {
-            self.node.unheard.borrow_mut().remove(&number);
-            self.node.send(Input::Taken { number });
+            self.node.unacknowledged.borrow_mut().remove(&number);
+            self.node.send_input(Input::Accepted { number });
         }
         Poll::Ready(Ok(written))
     }
--- a/crates/node/src/space.rs
+++ b/crates/node/src/compaction.rs
@@ -8,7 +8,7 @@
 
 /// What the steps took.
 #[derive(Default)]
-pub struct Space {
+pub struct Compactor {
     steps: u64,
     time: Duration,
     longest: Duration,
@@ -16,9 +16,9 @@
     told: (u64, u64),
 }
 
-impl Space {
+impl Compactor {
     /// One step, where there is work.
-    pub fn work(&mut self, node: &Node) {
+    pub fn step(&mut self, node: &Node) {
         let begun = Instant::now();
         let mut journal = node.journal.borrow_mut();
         match journal.step() {
@@ -28,7 +28,7 @@
                 (self.steps, self.time, self.longest) =
                     (self.steps + 1, self.time + took, self.longest.max(took));
             }
-            Err(error) => node.record(Err(error)),
+            Err(error) => node.observe_journal_write(Err(error)),
         }
         let counts = journal.counts();
         let since = *self.reported.get_or_insert(begun);
@@ -37,7 +37,7 @@
             let segments = journal.segments();
             let (bytes, live) =
                 segments.iter().fold((0, 0), |(b, l), (_, length, live)| (b + length, l + live));
-            log::line(format_args!(
+            log::info_limited(format_args!(
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
                  {:.3} ms on average and {:.3} at most; {} removed, {} messages refused for room, {} calls failed",
                 segments.len(),
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration: one JSON file and a few variables, checked once at the start.
 
-use crate::sizes::{BODY_MOST, HEAD_MOST};
+use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use fawnspoke_cluster::file::File;
 use fawnspoke_cluster::shell;
 use fawnspoke_control::{door, record};
@@ -70,7 +70,7 @@
 
     /// Connections of clients: half of the descriptors, and no more than can be read at once.
     pub fn clients(&self) -> usize {
-        let each = (HEAD_MOST + BODY_MOST) as f64;
+        let each = (MAX_HEAD_BYTES + MAX_BODY_BYTES) as f64;
         let read_at_once = (self.memory_mb * 1e6 * Limits::READING / each) as usize;
         (self.sockets.saturating_sub(self.own()) / 2).min(read_at_once).max(1)
     }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,7 +1,7 @@
 //! Where the operators' door meets the dispatcher: orders are put on record and carried out, gauges read.
 
-use crate::gate::Phase;
-use crate::rest::Rest;
+use crate::serving::Phase;
+use crate::transfer::Transfer;
 use crate::{Node, log};
 use fawnspoke_control::door::Asked;
 use fawnspoke_control::figures::Gauges;
@@ -31,11 +31,11 @@
     pub fn open(folder: &Path) -> Control {
         let file = File::new(folder);
         let orders = file.read().unwrap_or_else(|error| {
-            log::line(format_args!("orders: {error}; none is in force"));
+            log::info_limited(format_args!("orders: {error}; none is in force"));
             Orders::default()
         });
         for (id, _) in orders.held() {
-            log::say(format_args!("orders: {id} is out by hand"));
+            log::info(format_args!("orders: {id} is out by hand"));
         }
         Control { orders: RefCell::new(orders), file, unrecorded: Cell::new(false), cold: RefCell::default() }
     }
@@ -53,7 +53,7 @@
     /// Records orders that the folder refused when they were given.
     pub fn catch_up(&self) {
         if self.unrecorded.get() && self.record().is_ok() {
-            log::line(format_args!("orders: on record again"));
+            log::info_limited(format_args!("orders: on record again"));
         }
     }
 
@@ -70,13 +70,13 @@
             Asked::Order(order) => order,
             Asked::Fleet(answer) => {
                 let node = node.clone();
-                spawn_local(async move { answer.send(node.bounds.show().await) });
+                spawn_local(async move { answer.send(node.fleet.show().await) });
                 continue;
             }
         };
         // While this process hands over, nobody owns the orders; then they are the other one's.
-        if node.gate.settled().await == Phase::Over {
-            node.hand(Rest::Order(order));
+        if node.serving_state.wait_until_settled().await == Phase::HandedOver {
+            node.transfer(Transfer::Order(order));
             continue;
         }
         let answer = carry_out(&node, &order.subject, order.given);
@@ -87,7 +87,7 @@
 
 /// Carries out one order: on record, then in force.
 pub fn carry_out(node: &Node, subject: &Subject, given: bool) -> Result<String, String> {
-    let control = &node.control;
+    let control = &node.overrides;
     let id = &subject.id;
     let known = node.directory.borrow().ever_listed(id);
     let now = node.unix_now() / 1000;
@@ -113,9 +113,9 @@
         Step::Changes(change) => {
             let entry = node.directory.borrow_mut().hold(id, change == Change::Began);
             if let Some(entry) = entry {
-                node.tell(Event::ListChanged(vec![entry]));
+                node.send_event(Event::ListChanged(vec![entry]));
                 if change == Change::Began {
-                    node.pool.close(entry.endpoint);
+                    node.pool.close_idle(entry.endpoint);
                 }
             }
             // It was restarted meanwhile.
@@ -129,7 +129,10 @@
             }
             drop(cold);
             restarted(node);
-            log::line(format_args!("orders: {id} {}", if given { "out by hand" } else { "may serve" }));
+            log::info_limited(format_args!(
+                "orders: {id} {}",
+                if given { "out by hand" } else { "may serve" }
+            ));
         }
     }
     match record {
@@ -142,9 +145,9 @@
 /// Tells the decisions of endpoints that were called back and are in service now: they were restarted meanwhile.
 pub fn restarted(node: &Node) {
     let directory = node.directory.borrow();
-    node.control.cold.borrow_mut().retain(|id| {
+    node.overrides.cold.borrow_mut().retain(|id| {
         let serving = directory.serving(id);
-        serving.inspect(|endpoint| node.tell(Event::Restarted(*endpoint)));
+        serving.inspect(|endpoint| node.send_event(Event::Restarted(*endpoint)));
         serving.is_none()
     });
 }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -185,12 +185,15 @@
             let host = match Host::deserialize(&value) {
                 Ok(host) => host,
                 Err(error) => {
-                    log::line(format_args!("discovery: entry left out: {error}"));
+                    log::info_limited(format_args!("discovery: entry left out: {error}"));
                     continue;
                 }
             };
             let Some(kind) = kinds.iter().position(|kind| *kind == host.class) else {
-                log::line(format_args!("discovery: entry left out: {} is of no known class", host.host));
+                log::info_limited(format_args!(
+                    "discovery: entry left out: {} is of no known class",
+                    host.host
+                ));
                 continue;
             };
             let zone = zones.iter().position(|zone| *zone == host.site).unwrap_or(zones.len()) as u16;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The platform: the list of endpoints comes from it, notices go to it.
 
-use crate::calls::{self, Link};
+use crate::calls::{self, Connection};
 use crate::{Node, control, log};
 use fawnspoke_journal::Notice;
 use http_body_util::{BodyExt, Full};
@@ -40,12 +40,12 @@
     match serde_json::from_slice(value) {
         Ok(list) => {
             let (kinds, zones) = (&node.config.kinds, &node.config.zones);
-            let held = |host: &str| node.control.holds(host);
+            let held = |host: &str| node.overrides.holds(host);
             let (event, left) = node.directory.borrow_mut().enrol(list, kinds, zones, &held);
             // Nothing goes there any more, and somebody else may come to the address.
-            left.into_iter().for_each(|endpoint| node.pool.close(endpoint));
-            node.tell(event);
-            node.bounds.list_came(node.directory.borrow().seq());
+            left.into_iter().for_each(|endpoint| node.pool.close_idle(endpoint));
+            node.send_event(event);
+            node.fleet.list_came(node.directory.borrow().seq());
             control::restarted(node);
         }
         Err(error) => return Err(format!("no list: {error}").into()),
@@ -56,11 +56,11 @@
 /// Watches the list for as long as the process runs. Where all dispatchers ask one discovery, it is the decisions
 /// that say when to ask: nothing here begins by itself.
 pub async fn watch(node: Rc<Node>) {
-    node.gate.while_serving(|| watching(node.clone())).await;
+    node.serving_state.run_while_serving(|| watching(node.clone())).await;
 }
 
 async fn watching(node: Rc<Node>) {
-    let mut moved = node.discovery.subscribe();
+    let mut moved = node.discovery_address.subscribe();
     let mut backoff = BACKOFF;
     let asked = asked(&node);
     if asked {
@@ -71,9 +71,9 @@
         let began = Instant::now();
         tokio::select! {
             heard = follow(&node, at, seq) => {
-                log::line(format_args!("discovery: watch ended: {}", heard.unwrap_or_else(|error| error.to_string())));
-                node.tell(Event::ListFailed);
-                node.bounds.list_failed();
+                log::info_limited(format_args!("discovery: watch ended: {}", heard.unwrap_or_else(|error| error.to_string())));
+                node.send_event(Event::ListFailed);
+                node.fleet.list_failed();
             }
             () = node.resubscribe.notified() => {
                 if asked {
@@ -98,7 +98,7 @@
         let good = node.directory.borrow().seq() != seq || began.elapsed() >= SILENCE;
         backoff = if good { BACKOFF } else { (backoff * 2).min(BACKOFF_MOST) };
         // A new address is tried at once, and so is the known one where another dispatcher has heard it answer.
-        let pause = node.bounds.slowly().map_or(backoff, |slow| slow.max(backoff));
+        let pause = node.fleet.slowly().map_or(backoff, |slow| slow.max(backoff));
         tokio::select! {
             _ = timeout(pause, moved.wait_for(|now| *now != at)) => {}
             () = node.resubscribe.notified() => {}
@@ -135,8 +135,8 @@
         let Some(frame) = frame else { return Ok("closed".into()) };
         let Ok(data) = frame?.into_data() else { continue };
         if !stream.add(&data, |value| list(node, value))? {
-            node.tell(Event::ListAlive);
-            node.bounds.list_alive(node.directory.borrow().seq());
+            node.send_event(Event::ListAlive);
+            node.fleet.list_alive(node.directory.borrow().seq());
         }
     }
 }
@@ -207,11 +207,11 @@
 
 /// Brings notices to the platform until it has heard each.
 pub async fn notices(node: Rc<Node>) {
-    node.gate.while_serving(|| bring(node.clone())).await;
+    node.serving_state.run_while_serving(|| bring(node.clone())).await;
 }
 
 async fn bring(node: Rc<Node>) {
-    let mut moved = node.discovery.subscribe();
+    let mut moved = node.discovery_address.subscribe();
     let mut link = None;
     let mut backoff = BACKOFF;
     let mut at_once = NOTICES;
@@ -224,7 +224,7 @@
             if waits {
                 sleep(UNRECORDED_PAUSE).await;
             } else {
-                node.notices.notified().await;
+                node.notice_due.notified().await;
             }
             continue;
         }
@@ -242,7 +242,7 @@
             Ok(StatusCode::NO_CONTENT) => {
                 (backoff, at_once, patience) = (BACKOFF, NOTICES, NOTICE_ANSWER);
                 for (number, ..) in owed {
-                    node.record(node.journal.borrow_mut().over(number));
+                    node.observe_journal_write(node.journal.borrow_mut().over(number));
                 }
                 continue;
             }
@@ -252,13 +252,16 @@
                 continue;
             }
             Ok(StatusCode::BAD_REQUEST) => {
-                log::line(format_args!("notice for {}: the platform cannot read it; left out", owed[0].1));
-                node.record(node.journal.borrow_mut().over(owed[0].0));
+                log::info_limited(format_args!(
+                    "notice for {}: the platform cannot read it; left out",
+                    owed[0].1
+                ));
+                node.observe_journal_write(node.journal.borrow_mut().over(owed[0].0));
                 continue;
             }
-            Ok(status) => log::line(format_args!("notices: answered {status}")),
+            Ok(status) => log::info_limited(format_args!("notices: answered {status}")),
             Err(error) => {
-                log::line(format_args!("notices: {error}"));
+                log::info_limited(format_args!("notices: {error}"));
                 patience = (patience * 2).min(ANSWER);
                 // A new connection may do at once what the kept one did not.
                 if kept {
@@ -276,7 +279,8 @@
 /// One request with notices, over the connection that is kept from the last one where it is to the same
 /// address.
 async fn post(
-    at: SocketAddr, kept: &mut Option<(SocketAddr, Link)>, owed: &[(u64, String, Notice)], patience: Duration,
+    at: SocketAddr, kept: &mut Option<(SocketAddr, Connection)>, owed: &[(u64, String, Notice)],
+    patience: Duration,
 ) -> Result<StatusCode, Failure> {
     let mut lines = Vec::new();
     for (_, id, notice) in owed {
@@ -291,7 +295,7 @@
     }
     let until = Instant::now() + patience;
     let mut link = match kept.take() {
-        Some((to, link)) if to == at && link.sound() => link,
+        Some((to, link)) if to == at && link.is_reusable() => link,
         _ => timeout_at(until, calls::connect(at)).await??,
     };
     let request = Request::builder()
--- a/crates/node/src/rounds.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,10 +1,10 @@
 //! The rounds: what has happened goes to the decisions, and what they ask for is done. Nothing is decided here.
 
-use crate::acts::act;
+use crate::actions::execute;
 use crate::calls::{self, CallEnd};
 use crate::handover::{self, After, Asked};
-use crate::rest::Rest;
-use crate::{Node, control, log, space};
+use crate::transfer::Transfer;
+use crate::{Node, compaction, control, log};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::Signal;
@@ -30,10 +30,10 @@
 pub enum Input {
     Event(Event),
     /// The client was told that the message is taken.
-    Taken {
+    Accepted {
         number: u64,
     },
-    Ended {
+    CallEnded {
         endpoint: EndpointId,
         sent_at: Seconds,
         end: CallEnd,
@@ -41,21 +41,27 @@
 }
 
 /// Hands one input to the decisions.
-pub fn hear(node: &Node, now: Seconds, input: Input) {
+pub fn apply_input(node: &Node, now: Seconds, input: Input) {
     let mut dispatcher = node.dispatcher.borrow_mut();
     match input {
         Input::Event(event) => dispatcher.handle(now, event),
-        Input::Taken { number } => {
-            if let Some(message) = node.message(number) {
-                node.counts.count(message.destination.0, |count| count.taken += 1);
+        Input::Accepted { number } => {
+            if let Some(message) = node.journaled_message(number) {
+                node.traffic.count(message.destination.0, |count| count.taken += 1);
                 dispatcher.handle(now, Event::Taken(message));
             }
         }
-        Input::Ended { endpoint, sent_at, end } => {
-            let CallEnd { ends, wait, allowance, reused, kept } = end;
+        Input::CallEnded { endpoint, sent_at, end } => {
+            let CallEnd {
+                ends,
+                retry_after: wait,
+                rate_limit_report: allowance,
+                connection_reused: reused,
+                connection_kept: kept,
+            } = end;
             let latency = now - sent_at;
             for end in ends {
-                let calls::End { number, attempt, outcome, closed } = end;
+                let calls::MessageEnd { number, attempt, outcome, settled: closed } = end;
                 let id = MessageId(number);
                 dispatcher.handle(
                     now,
@@ -78,32 +84,32 @@
 }
 
 /// What the rounds hear from outside of them.
-pub struct Ears {
+pub struct EventSources {
     pub inbox: UnboundedReceiver<Input>,
     pub terminate: Signal,
     pub interrupt: Signal,
     /// Processes that are to take over.
     pub asked: UnboundedReceiver<Asked>,
-    pub rest: UnboundedReceiver<Rest>,
+    pub rest: UnboundedReceiver<Transfer>,
 }
 
 /// What the process does when the rounds have ended.
-pub enum Finish {
-    End,
+pub enum ExitAction {
+    Exit,
     /// It begins anew.
-    Again,
+    Restart,
 }
 
 /// Rounds, until the process is told to stop and has nothing out any more, or another one has taken over.
-pub async fn rounds(node: Rc<Node>, ears: Ears) -> Finish {
-    let Ears { mut inbox, mut terminate, mut interrupt, mut asked, mut rest } = ears;
+pub async fn run_event_loop(node: Rc<Node>, ears: EventSources) -> ExitAction {
+    let EventSources { mut inbox, mut terminate, mut interrupt, mut asked, mut rest } = ears;
     let tick = Duration::from_secs_f64(node.config.tick);
     let at = |seconds: Seconds| -> tokio::time::Instant {
-        (node.started + Duration::from_secs_f64(seconds.clamp(0.0, 1e9))).into()
+        (node.started_at + Duration::from_secs_f64(seconds.clamp(0.0, 1e9))).into()
     };
     let mut timer = None;
     let mut sweep_at = 0.0;
-    let mut space = space::Space::default();
+    let mut compactor = compaction::Compactor::default();
     let mut told_at = None;
     let mut counted_at = 0.0;
     let mut actions = Vec::new();
@@ -119,62 +125,64 @@
             _ = interrupt.recv() => { stop = true; None }
         };
         // What happens within a tick is one round.
-        let next = (node.started.elapsed().as_nanos() / tick.as_nanos() + 1) * tick.as_nanos();
-        sleep_until((node.started + Duration::from_nanos(next as u64)).into()).await;
+        let next = (node.started_at.elapsed().as_nanos() / tick.as_nanos() + 1) * tick.as_nanos();
+        sleep_until((node.started_at + Duration::from_nanos(next as u64)).into()).await;
         if let Some(taker) = taker {
             let stopping = told_at.is_some();
-            std::iter::from_fn(|| inbox.try_recv().ok()).for_each(|input| hear(&node, node.now(), input));
+            std::iter::from_fn(|| inbox.try_recv().ok())
+                .for_each(|input| apply_input(&node, node.now(), input));
             let signals = (&mut terminate, &mut interrupt);
             match handover::give(&node, stopping, taker, &mut asked, signals, &mut rest).await {
                 After::Resumed { stopping } => stop |= stopping,
-                After::Ended => return Finish::End,
-                After::Restart => return Finish::Again,
+                After::Ended => return ExitAction::Exit,
+                After::Restart => return ExitAction::Restart,
             }
         }
-        node.bounds.look(&node);
+        node.fleet.look(&node);
         let now = node.now();
         if stop && told_at.is_none() {
-            log::say(format_args!("{now:.3} told to stop"));
+            log::info(format_args!("{now:.3} told to stop"));
             told_at = Some(now);
-            node.closing.set(true);
+            node.shutting_down.set(true);
             let leaving = node.clone();
-            spawn_local(async move { leaving.bounds.leave(&leaving).await });
-            node.figures.set_ready(false);
+            spawn_local(async move { leaving.fleet.leave(&leaving).await });
+            node.metrics.set_ready(false);
             node.dispatcher.borrow_mut().handle(now, Event::Closing(now + CALLS_END));
         }
         let rest = std::iter::from_fn(|| inbox.try_recv().ok());
-        first.into_iter().chain(rest).for_each(|input| hear(&node, now, input));
+        first.into_iter().chain(rest).for_each(|input| apply_input(&node, now, input));
         if let Some((token, _)) = timer.take_if(|(_, at)| *at <= now) {
             node.dispatcher.borrow_mut().handle(now, Event::Timer(token));
         }
         actions.clear();
         node.dispatcher.borrow_mut().decide(now, &mut actions);
-        act(&node, now, &actions, &mut timer);
-        space.work(&node);
-        node.figures.set(control::gauges(&node));
+        execute(&node, now, &actions, &mut timer);
+        compactor.step(&node);
+        node.metrics.set(control::gauges(&node));
         if now >= counted_at + COUNT_EVERY {
             counted_at = now;
             let journal = node.journal.borrow();
             let open = journal.iter().filter(|(_, kept)| kept.notice.is_none());
-            let ages = open.map(|(_, kept)| (kept.handed.dest, -node.seconds(kept.handed.taken) + now));
-            node.counts.line(now, ages).inspect(|line| log::line(line));
+            let ages = open.map(|(_, kept)| (kept.handed.dest, -node.to_monotonic(kept.handed.taken) + now));
+            node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
         }
         if now >= sweep_at {
             sweep_at = now + if told_at.is_some() { 0.05 } else { 0.5 };
-            node.control.catch_up();
-            node.pool.sweep(calls::keepalive(&node), node.config.limits.idle(node.config.settings.slots));
+            node.overrides.catch_up();
+            node.pool
+                .sweep(calls::idle_reuse_limit(&node), node.config.limits.idle(node.config.settings.slots));
         }
         if let Some(told_at) = told_at {
             if now - told_at >= CLOSE_KEPT {
-                node.stopping.send_if_modified(|stopping| !std::mem::replace(stopping, true));
+                node.close_clients.send_if_modified(|stopping| !std::mem::replace(stopping, true));
             }
             let journal = node.journal.borrow();
             let idle = journal.iter().next().is_none() && now - told_at >= EXIT_LEAST;
-            let quiet = node.calls_out.get() == 0
+            let quiet = node.calls_in_flight.get() == 0
                 && node.clients.asking() == 0
                 && (idle || now - told_at >= CALLS_END);
             if quiet || now - told_at >= EXIT {
-                return Finish::End;
+                return ExitAction::Exit;
             }
         }
     }
--- a/crates/node/src/bounds.rs
+++ b/crates/node/src/fleet.rs
@@ -2,7 +2,7 @@
 //! A bound holds back or hastens, and ends by itself; nothing here waits for a part.
 
 use crate::config::Config;
-use crate::gate::Phase;
+use crate::serving::Phase;
 use crate::{Node, log};
 use fawnspoke_cluster::clock;
 use fawnspoke_cluster::shell::{self, Member};
@@ -89,7 +89,9 @@
         let part = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
         match shell::begin(of, part, self.news.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
-            Err(error) => log::line(format_args!("fleet: no thread: {error}; this dispatcher is alone")),
+            Err(error) => {
+                log::info_limited(format_args!("fleet: no thread: {error}; this dispatcher is alone"))
+            }
         }
     }
 
@@ -136,7 +138,7 @@
         }
         let endpoint = node.directory.borrow().endpoint_of(destination);
         let (outcome, latency, allowance) = (Outcome::Reset, 0.0, None);
-        endpoint.inspect(|at| node.tell(Event::Probed { endpoint: *at, outcome, latency, allowance }));
+        endpoint.inspect(|at| node.send_event(Event::Probed { endpoint: *at, outcome, latency, allowance }));
     }
 
     /// Discovery's watch has ended.
@@ -165,7 +167,7 @@
         let now = clock::now();
         match now_by(bound, now, self.hold_most) {
             Now::Mine(epoch) if self.history => {
-                log::say(format_args!(
+                log::info(format_args!(
                     "fleet: {:.6} acts tries/{destination} epoch {epoch}",
                     clock::of_all(now)
                 ));
@@ -194,7 +196,9 @@
         let due: BTreeSet<u32> =
             self.out.borrow().iter().filter(|(_, b)| held(b)).map(|(number, _)| *number).collect();
         if *self.back.borrow() != due {
-            self.hold_back(node, due).into_iter().for_each(|entries| node.tell(Event::ListChanged(entries)));
+            self.hold_back(node, due)
+                .into_iter()
+                .for_each(|entries| node.send_event(Event::ListChanged(entries)));
         }
     }
 
@@ -236,7 +240,7 @@
         let member = self.member.take();
         if let Some(member) = member {
             member.leave().await;
-            self.lift(node).into_iter().for_each(|entries| node.tell(Event::ListChanged(entries)));
+            self.lift(node).into_iter().for_each(|entries| node.send_event(Event::ListChanged(entries)));
         }
     }
 
@@ -252,12 +256,12 @@
 
 /// Hears what parts have to say, for as long as the process runs.
 pub async fn hear(node: Rc<Node>) {
-    let Some(mut heard) = node.bounds.heard.take() else { return };
+    let Some(mut heard) = node.fleet.heard.take() else { return };
     while let Some(news) = heard.recv().await {
-        if node.gate.phase() != Phase::Serving {
+        if node.serving_state.phase() != Phase::Serving {
             continue;
         }
-        let bounds = &node.bounds;
+        let bounds = &node.fleet;
         match news {
             News::Began => {
                 // It has forgotten what it was told.
@@ -275,27 +279,27 @@
             News::AskNow => node.resubscribe.notify_one(),
             News::Given(name, epoch, holder) => {
                 let who = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
-                log::say(format_args!(
+                log::info(format_args!(
                     "fleet: {:.6} given {name} epoch {epoch} to {who}",
                     clock::of_all(clock::now())
                 ));
             }
             News::Refused(name, epoch, now_at) => {
-                log::say(format_args!(
+                log::info(format_args!(
                     "fleet: {:.6} refused {name} epoch {epoch}, {now_at} is given",
                     clock::now()
                 ));
             }
             News::Told(name, epoch, word) => {
                 if bounds.history {
-                    log::say(format_args!("fleet: {:.6} told {name} epoch {epoch} {word:?}", clock::now()));
+                    log::info(format_args!("fleet: {:.6} told {name} epoch {epoch} {word:?}", clock::now()));
                 }
                 if let (Name::Tries(destination), Word::Out) = (name, word) {
                     bounds.out_still(&node, destination);
                 }
             }
             News::Acts(name, epoch, at) if bounds.history => {
-                log::say(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::of_all(at)));
+                log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::of_all(at)));
             }
             News::Acts(..) => {}
         }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,15 +1,15 @@
 //! Where the hand-over of an upgrade meets the dispatcher: what the two sides of `fawnspoke_handover` ask for is done
 //! here. Nothing is decided here.
 
-use crate::acts::call_ended;
-use crate::calls::{self, CallEnd, End};
+use crate::actions::complete_call;
+use crate::calls::{self, CallEnd, MessageEnd};
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::gate::Phase;
-use crate::rest::{Rest, Told};
-use crate::start::open_journal;
-use crate::wire::Wire;
-use crate::{Node, clients, control, intake, log};
+use crate::serving::Phase;
+use crate::startup::open_journal;
+use crate::stream::SharedStream;
+use crate::transfer::{Completion, Transfer};
+use crate::{Node, clients, control, log, requests};
 use fawnspoke_control::figures::Gauges;
 use fawnspoke_control::orders::{Kind, Subject};
 use fawnspoke_handover::frames::{self, CHUNK, FromGiver, FromTaker, Hello, STATE_MOST, VERSION};
@@ -113,7 +113,9 @@
         let listener = match Listener::bind(&self.folder) {
             Ok(listener) => listener,
             Err(error) => {
-                return log::line(format_args!("handover: no socket: {error}; an upgrade is a restart"));
+                return log::info_limited(format_args!(
+                    "handover: no socket: {error}; an upgrade is a restart"
+                ));
             }
         };
         let asked = self.asked.clone();
@@ -154,7 +156,7 @@
 }
 
 async fn refuse(link: &Link, why: &str) {
-    log::line(format_args!("handover: refused: {why}"));
+    log::info_limited(format_args!("handover: refused: {why}"));
     if let Ok(packet) = frames::packet(&FromGiver::Refused(why.into())) {
         let _ = timeout(PACKET_TIME, link.send(&packet, None)).await;
     }
@@ -163,7 +165,7 @@
 /// Hands the dispatcher over to a process that asks, and sees it through to its end.
 pub async fn give(
     node: &Rc<Node>, stopping: bool, first: Asked, asked: &mut UnboundedReceiver<Asked>,
-    (terminate, interrupt): (&mut Signal, &mut Signal), rest: &mut UnboundedReceiver<Rest>,
+    (terminate, interrupt): (&mut Signal, &mut Signal), rest: &mut UnboundedReceiver<Transfer>,
 ) -> After {
     if first.hello.version != VERSION {
         refuse(&first.link, &format!("version {VERSION} of the frames here, {} there", first.hello.version))
@@ -187,72 +189,74 @@
                     }
                 }
                 Action::Give => {
-                    log::line(format_args!("handover: asked; giving"));
+                    log::info_limited(format_args!("handover: asked; giving"));
                     if !first.hello.decisions {
                         // Who begins from the record takes them for ended.
-                        node.cut_calls().await;
+                        node.abort_calls().await;
                     }
-                    node.gate.set(Phase::Given);
+                    node.serving_state.set_phase(Phase::HandingOver);
                     for number in node.clients.leave_unheard() {
-                        intake::withdraw(node, number);
+                        requests::withdraw(node, number);
                     }
                     // The decisions' state goes over without what others have bound.
-                    node.bounds.give(node);
-                    node.lock.replace(None);
+                    node.fleet.give(node);
+                    node.owner_lock.replace(None);
                     let given = match &link {
                         Some(link) => send_all(node, link, first.hello.decisions).await,
                         None => Ok(()),
                     };
                     if let Err(error) = given {
-                        log::line(format_args!("handover: {error}"));
+                        log::info_limited(format_args!("handover: {error}"));
                         next = Some(Event::Broken);
                     }
                 }
                 Action::TryLock => {
                     let lock = lock::try_lock(&node.config.state).unwrap_or_else(|error| {
-                        log::line(format_args!("handover: lock: {error}"));
+                        log::info_limited(format_args!("handover: lock: {error}"));
                         None
                     });
                     next = Some(Event::Locked(lock.is_some()));
                     if lock.is_some() {
-                        node.lock.replace(lock);
+                        node.owner_lock.replace(lock);
                     }
                 }
                 Action::Resume => {
                     link = None;
                     // The one that died may have begun on it.
                     if let Err(error) = reopen(node) {
-                        log::line(format_args!("handover: {error}; beginning anew"));
+                        log::info_limited(format_args!("handover: {error}; beginning anew"));
                         return After::Restart;
                     }
-                    node.doorstep.open();
-                    node.gate.set(Phase::Serving);
-                    node.bounds.resume(node);
+                    node.handover_socket.open();
+                    node.serving_state.set_phase(Phase::Serving);
+                    node.fleet.resume(node);
                     let took = began.elapsed().as_secs_f64();
-                    log::line(format_args!("handover: not taken; serving again after {took:.3} s"));
+                    log::info_limited(format_args!("handover: not taken; serving again after {took:.3} s"));
                 }
                 Action::HandRest => {
-                    node.doorstep.close();
-                    node.figures.set_ready(false);
-                    node.figures.set(Gauges::default());
-                    node.gate.set(Phase::Over);
-                    for (endpoint, link) in node.pool.take_all() {
-                        node.hand(Rest::Idle { endpoint, link });
+                    node.handover_socket.close();
+                    node.metrics.set_ready(false);
+                    node.metrics.set(Gauges::default());
+                    node.serving_state.set_phase(Phase::HandedOver);
+                    for (endpoint, link) in node.pool.take_reusable() {
+                        node.transfer(Transfer::IdleConnection { endpoint, connection: link });
                     }
                     let took = began.elapsed().as_secs_f64();
-                    let out = node.calls_out.get();
-                    log::line(format_args!("handover: taken after {took:.3} s; {out} calls out"));
+                    let out = node.calls_in_flight.get();
+                    log::info_limited(format_args!("handover: taken after {took:.3} s; {out} calls out"));
                 }
                 Action::Cut => {
-                    node.cut_calls().await;
+                    node.abort_calls().await;
                     node.calls_lock.replace(None);
                 }
                 Action::Restart => {
-                    log::line(format_args!("handover: the process that took over has died; beginning anew"));
+                    log::info_limited(format_args!(
+                        "handover: the process that took over has died; beginning anew"
+                    ));
                     return After::Restart;
                 }
                 Action::Exit => {
-                    log::line(format_args!("handover: done; ending"));
+                    log::info_limited(format_args!("handover: done; ending"));
                     return After::Ended;
                 }
             }
@@ -264,8 +268,13 @@
             event = next;
             continue;
         }
-        let over = node.gate.phase() == Phase::Over;
-        if over && !finished && node.calls_out.get() == 0 && node.clients.count() == 0 && rest.is_empty() {
+        let over = node.serving_state.phase() == Phase::HandedOver;
+        if over
+            && !finished
+            && node.calls_in_flight.get() == 0
+            && node.clients.count() == 0
+            && rest.is_empty()
+        {
             finished = true;
             node.calls_lock.replace(None);
             event = Event::Finished;
@@ -275,7 +284,7 @@
             frame = hear(link.as_ref()) => match frame {
                 Some(FromTaker::Mine) => Event::Mine,
                 Some(FromTaker::Unusable(why)) => {
-                    log::line(format_args!("handover: what was given is of no use there: {why}"));
+                    log::info_limited(format_args!("handover: what was given is of no use there: {why}"));
                     link = None;
                     Event::Unusable
                 }
@@ -297,7 +306,7 @@
             Some(rest) = rest.recv(), if over => {
                 let Some(link) = &link else { continue };
                 if let Err(error) = hand(link, rest, &mut orders, &mut counted).await {
-                    log::line(format_args!("handover: {error}"));
+                    log::info_limited(format_args!("handover: {error}"));
                 }
                 continue;
             }
@@ -345,26 +354,26 @@
 }
 
 /// Hands one thing over, or tells it; what was handed is closed here.
-async fn hand(link: &Link, rest: Rest, orders: &mut Orders, counted: &mut u32) -> Result<(), Failure> {
+async fn hand(link: &Link, rest: Transfer, orders: &mut Orders, counted: &mut u32) -> Result<(), Failure> {
     let mut connection = None;
-    let (frame, wire) = match rest {
-        Rest::Client { wire, read, asked_ms } => (FromGiver::Client { read, asked_ms }, Some(wire)),
-        Rest::Idle { endpoint, link } => {
+    let (frame, stream) = match rest {
+        Transfer::Client { stream, read, asked_ms } => (FromGiver::Client { read, asked_ms }, Some(stream)),
+        Transfer::IdleConnection { endpoint, connection: link } => {
             let idle_ms = link.idle_since.elapsed().as_millis() as u32;
-            let frame = FromGiver::Idle { endpoint: endpoint.0, at: link.at, idle_ms };
-            let wire = link.wire.clone();
+            let frame = FromGiver::Idle { endpoint: endpoint.0, at: link.address, idle_ms };
+            let stream = link.stream.clone();
             connection = Some(link);
-            (frame, Some(wire))
+            (frame, Some(stream))
         }
-        Rest::Told(told) => (FromGiver::Ended(frames::packet(&told)?), None),
-        Rest::Order(order) => {
+        Transfer::Completion(told) => (FromGiver::Ended(frames::packet(&told)?), None),
+        Transfer::Order(order) => {
             *counted += 1;
             orders.insert(*counted, order.answer);
             (FromGiver::Order { number: *counted, given: order.given, id: order.subject.id }, None)
         }
     };
     let packet = frames::packet(&frame)?;
-    timeout(PACKET_TIME, link.send(&packet, wire.as_ref().map(Wire::descriptor))).await??;
+    timeout(PACKET_TIME, link.send(&packet, stream.as_ref().map(SharedStream::descriptor))).await??;
     drop(connection);
     Ok(())
 }
@@ -409,7 +418,7 @@
                         // Many ask at once.
                         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Event::Refused,
                         Err(error) => {
-                            log::line(format_args!("handover: no socket: {error}"));
+                            log::info_limited(format_args!("handover: no socket: {error}"));
                             Event::Nobody
                         }
                     });
@@ -436,13 +445,13 @@
                         held.owner = lock;
                     }
                     Err(error) if lock::is_unknown(&error) => {
-                        log::line(format_args!("handover: lock: {error}; going on without"));
+                        log::info_limited(format_args!("handover: lock: {error}; going on without"));
                         next = Some(Event::Locked(true));
                     }
                     // Somebody may hold it.
                     Err(error) => {
                         if !std::mem::replace(&mut refused, true) {
-                            log::line(format_args!("handover: lock: {error}; trying again"));
+                            log::info_limited(format_args!("handover: lock: {error}; trying again"));
                         }
                         next = Some(Event::Locked(false));
                     }
@@ -480,7 +489,7 @@
                             shared => break shared.unwrap_or_default(),
                         }
                     };
-                    log::say(format_args!("handover: taken from the process before, with {how}"));
+                    log::info(format_args!("handover: taken from the process before, with {how}"));
                     return (held, taken);
                 }
                 Action::Begin => return (held, None),
@@ -527,7 +536,7 @@
             Ok(FromGiver::State(piece)) if bytes.len() + piece.len() <= STATE_MOST => bytes.extend(piece),
             Ok(FromGiver::Refused(why)) => {
                 if !std::mem::replace(told, true) {
-                    log::line(format_args!("handover: not yet: {why}"));
+                    log::info_limited(format_args!("handover: not yet: {why}"));
                 }
                 return Event::Refused;
             }
@@ -543,13 +552,13 @@
             Event::Given(true)
         }
         Ok(_) => {
-            log::line(format_args!(
+            log::info_limited(format_args!(
                 "handover: the process before has other settings; only what is on record is taken"
             ));
             Event::Given(false)
         }
         Err(error) => {
-            log::line(format_args!("handover: {error}; only what is on record is taken"));
+            log::info_limited(format_args!("handover: {error}; only what is on record is taken"));
             Event::Given(false)
         }
     }
@@ -559,7 +568,7 @@
 pub async fn own(node: Rc<Node>, taken: Taken) {
     let link = taken.link;
     let mut out: HashMap<(u64, u32), Outstanding> = HashMap::new();
-    if node.adopted {
+    if node.adopted_state {
         let outstanding = node.dispatcher.borrow().outstanding();
         out.extend(outstanding.into_iter().map(|one| ((one.id.0, one.attempt), one)));
     }
@@ -572,18 +581,19 @@
         while let Ok(Some((packet, descriptor))) = link.receive().await {
             match frames::read(&packet) {
                 Ok(frame) => take(&node, &link, frame, descriptor, &mut out).await,
-                Err(error) => log::line(format_args!("handover: {error}")),
+                Err(error) => log::info_limited(format_args!("handover: {error}")),
             }
         }
     }
     // Its sockets closed with it: what it had out may have run, and no more can come of it.
     if !out.is_empty() {
-        log::line(format_args!("handover: the process before ended with {} messages out", out.len()));
+        log::info_limited(format_args!("handover: the process before ended with {} messages out", out.len()));
     }
     for one in out.into_values() {
-        let end = End { number: one.id.0, attempt: one.attempt, outcome: Outcome::Reset, closed: false };
+        let end =
+            MessageEnd { number: one.id.0, attempt: one.attempt, outcome: Outcome::Reset, settled: false };
         let dest = node.directory.borrow().place(one.endpoint).map_or(0, |place| place.dest);
-        call_ended(&node, one.endpoint, dest, one.sent_at, CallEnd::bare(vec![end], false));
+        complete_call(&node, one.endpoint, dest, one.sent_at, CallEnd::without_report(vec![end], false));
     }
 }
 
@@ -596,7 +606,7 @@
     match (frame, stream) {
         (FromGiver::Client { read, asked_ms }, Some(stream)) => {
             if let Err(error) = clients::adopt(node, stream, read, asked_ms) {
-                log::line(format_args!("handover: a client's connection: {error}"));
+                log::info_limited(format_args!("handover: a client's connection: {error}"));
             }
         }
         (FromGiver::Idle { endpoint, at, idle_ms }, Some(stream)) => {
@@ -605,22 +615,27 @@
             let endpoint = EndpointId(endpoint);
             // It is of use as long as the list says that it leads there.
             if node.directory.borrow().ready_at(endpoint) == Some(at)
-                && let Ok(link) = calls::establish(stream, at, since).await
+                && let Ok(link) = calls::wrap_stream(stream, at, since).await
             {
-                node.pool.keep(endpoint, link);
+                node.pool.add_idle(endpoint, link);
             }
         }
         (FromGiver::Ended(bytes), _) => match frames::read(&bytes) {
-            Ok(Told::Call { endpoint, dest, sent_at, mut end }) => {
+            Ok(Completion::Call { endpoint, dest, sent_at, mut end }) => {
                 end.ends.retain(|end| out.remove(&(end.number, end.attempt)).is_some());
                 if !end.ends.is_empty() {
-                    call_ended(node, EndpointId(endpoint), dest, sent_at, end);
+                    complete_call(node, EndpointId(endpoint), dest, sent_at, end);
                 }
             }
-            Ok(Told::Probe { endpoint, outcome, latency, allowance }) => {
-                node.tell(Happened::Probed { endpoint: EndpointId(endpoint), outcome, latency, allowance });
+            Ok(Completion::Probe { endpoint, outcome, latency, allowance }) => {
+                node.send_event(Happened::Probed {
+                    endpoint: EndpointId(endpoint),
+                    outcome,
+                    latency,
+                    allowance,
+                });
             }
-            Err(error) => log::line(format_args!("handover: {error}")),
+            Err(error) => log::info_limited(format_args!("handover: {error}")),
         },
         (FromGiver::Order { number, given, id }, _) => {
             let carried = control::carry_out(node, &Subject { kind: Kind::Hold, id }, given);
@@ -629,6 +644,6 @@
                 let _ = timeout(PACKET_TIME, link.send(&packet, None)).await;
             }
         }
-        (other, _) => log::line(format_args!("handover: out of place: {other:?}")),
+        (other, _) => log::info_limited(format_args!("handover: out of place: {other:?}")),
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,43 +3,42 @@
 //! All runs on one thread. What happens goes into one queue; once a tick the queue goes to the decisions,
 //! and what they ask for is done. Nothing is decided here.
 
-mod acts;
-mod bounds;
+mod actions;
 mod calls;
+mod client_listener;
 mod clients;
 mod clock;
+mod compaction;
 mod config;
 mod control;
-mod counts;
 mod directory;
 mod discovery;
-mod gate;
+mod event_loop;
+mod fleet;
 mod handover;
-mod inherited;
-mod intake;
+mod journaling;
 mod log;
-mod records;
-mod rest;
+mod requests;
 mod retry;
-mod rounds;
-mod sizes;
-mod space;
-mod start;
-mod wire;
+mod serving;
+mod size_limits;
+mod startup;
+mod stream;
+mod traffic;
+mod transfer;
 
-use calls::Pool;
+use calls::ConnectionPool;
 use clients::Clients;
 use clock::JournalClock;
 use config::Config;
 use directory::Directory;
+use event_loop::{ExitAction, Input};
 use fawnspoke_control::figures::Figures;
 use fawnspoke_handover::lock::Lock;
 use fawnspoke_journal::{Journal, UnixMicros};
-use gate::Gate;
-use rest::Rest;
-use rounds::{Finish, Input};
 use rustix::io::Errno;
-use start::Signals;
+use serving::ServingState;
+use startup::Signals;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -56,100 +55,101 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{Notify, watch};
 use tokio::task::LocalSet;
+use transfer::Transfer;
 use waydoor::{DestinationId, Dispatcher, Event, Seconds};
 
 /// What the parts of the dispatcher share.
 struct Node {
     config: Config,
-    started: Instant,
+    started_at: Instant,
     /// The clock of what is journaled.
-    clock: JournalClock,
-    inbox: UnboundedSender<Input>,
+    journal_clock: JournalClock,
+    input_sender: UnboundedSender<Input>,
     dispatcher: RefCell<Dispatcher>,
     journal: RefCell<Journal>,
     directory: RefCell<Directory>,
-    pool: Pool,
-    counts: counts::Counts,
+    pool: ConnectionPool,
+    traffic: traffic::Counts,
     /// What operators are shown.
-    figures: Arc<Figures>,
+    metrics: Arc<Figures>,
     /// What operators have ordered.
-    control: control::Control,
+    overrides: control::Control,
     /// What parts outside of the decisions say.
-    bounds: bounds::Bounds,
+    fleet: fleet::Bounds,
     /// Where discovery is now; a new configuration may move it.
-    discovery: watch::Sender<SocketAddr>,
+    discovery_address: watch::Sender<SocketAddr>,
     /// Since when writes to the folder that lasts fail.
-    storage_failed_at: Cell<Option<Instant>>,
+    journal_failing_since: Cell<Option<Instant>>,
     /// Taken in the journal, but the 202 is not written yet.
-    unheard: RefCell<HashSet<u64>>,
+    unacknowledged: RefCell<HashSet<u64>>,
     clients: Clients,
     /// Calls begun of which not all is done yet, and those of them that may have a connection open.
-    calls_out: Cell<usize>,
-    calls_open: Cell<usize>,
-    closing: Cell<bool>,
+    calls_in_flight: Cell<usize>,
+    calls_with_connection: Cell<usize>,
+    shutting_down: Cell<bool>,
     /// A notice is owed.
-    notices: Notify,
+    notice_due: Notify,
     /// The watch is to begin anew.
     resubscribe: Notify,
     /// Connections of clients end, each once it owes no answer.
-    stopping: watch::Sender<bool>,
+    close_clients: watch::Sender<bool>,
     listener: Rc<TcpListener>,
     /// Whether this process serves, or hands over.
-    gate: Gate,
+    serving_state: ServingState,
     /// Who holds it owns the folder that lasts.
-    lock: RefCell<Option<Lock>>,
+    owner_lock: RefCell<Option<Lock>>,
     /// Shared by all processes that may have calls out.
     calls_lock: RefCell<Option<Lock>>,
     /// Where a process comes that is to take over.
-    doorstep: handover::Doorstep,
+    handover_socket: handover::Doorstep,
     /// What goes over to it.
-    rest: UnboundedSender<Rest>,
+    transfers: UnboundedSender<Transfer>,
     /// Calls that are out break off: all of them, ...
-    cut: Notify,
+    abort_signal: Notify,
     /// ... or that of one message.
-    breaks: RefCell<HashMap<u64, Rc<Notify>>>,
+    cancellations: RefCell<HashMap<u64, Rc<Notify>>>,
     /// The decisions' state came from the process before.
-    adopted: bool,
+    adopted_state: bool,
 }
 
 impl Node {
     fn now(&self) -> Seconds {
-        self.started.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
-    fn send(&self, input: Input) {
+    fn send_input(&self, input: Input) {
         // The loop that reads it lives as long as the process.
-        let _ = self.inbox.send(input);
+        let _ = self.input_sender.send(input);
     }
 
     /// Breaks off all calls; when this returns none has a connection open.
-    async fn cut_calls(&self) {
-        while self.calls_open.get() > 0 {
-            self.cut.notify_waiters();
+    async fn abort_calls(&self) {
+        while self.calls_with_connection.get() > 0 {
+            self.abort_signal.notify_waiters();
             tokio::task::yield_now().await;
         }
     }
 
     /// Gives something to the process that has taken over.
-    fn hand(&self, rest: Rest) {
-        let _ = self.rest.send(rest);
+    fn transfer(&self, item: Transfer) {
+        let _ = self.transfers.send(item);
     }
 
-    fn tell(&self, event: Event) {
-        self.send(Input::Event(event));
+    fn send_event(&self, event: Event) {
+        self.send_input(Input::Event(event));
     }
 
     /// The time now on the clock of what is journaled.
     fn unix_now(&self) -> UnixMicros {
-        self.clock.now()
+        self.journal_clock.now()
     }
 
     /// A point of Unix time on the decisions' clock.
-    fn seconds(&self, at: UnixMicros) -> Seconds {
+    fn to_monotonic(&self, at: UnixMicros) -> Seconds {
         self.now() + (at as f64 - self.unix_now() as f64) / 1e6
     }
 
-    fn come_back(&self, destination: DestinationId) -> Seconds {
+    fn retry_after(&self, destination: DestinationId) -> Seconds {
         let at = self.dispatcher.borrow().come_back(self.now(), destination);
         at.min(self.config.max_retry_after)
     }
@@ -163,28 +163,28 @@
     let (runtime, signals) = match retry::blocking(runtime_with_signals) {
         Ok(heeded) => heeded,
         Err(error) => {
-            log::complain(format_args!("fawnspoke: runtime: {error}"));
+            log::error(format_args!("fawnspoke: runtime: {error}"));
             return ExitCode::FAILURE;
         }
     };
     let config = match Config::from_environment() {
         Ok(config) => config,
         Err(error) => {
-            log::complain(format_args!("fawnspoke: {error}"));
+            log::error(format_args!("fawnspoke: {error}"));
             return ExitCode::from(2);
         }
     };
-    let ran = LocalSet::new().block_on(&runtime, start::run(config, signals));
+    let ran = LocalSet::new().block_on(&runtime, startup::run(config, signals));
     match ran {
-        Ok(Finish::End) => ExitCode::SUCCESS,
-        Ok(Finish::Again) => {
+        Ok(ExitAction::Exit) => ExitCode::SUCCESS,
+        Ok(ExitAction::Restart) => {
             // All that this process had open closes with it; what is on record is taken up as after a kill.
             let error = Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
-            log::complain(format_args!("fawnspoke: beginning anew: {error}"));
+            log::error(format_args!("fawnspoke: beginning anew: {error}"));
             ExitCode::FAILURE
         }
         Err(error) => {
-            log::complain(format_args!("fawnspoke: {error}"));
+            log::error(format_args!("fawnspoke: {error}"));
             ExitCode::FAILURE
         }
     }
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -14,28 +14,28 @@
 }
 
 /// Writes one line. A log that takes nothing (a full disk, a reader that has left) costs its line and nothing else.
-pub fn say(text: impl Display) {
+pub fn info(text: impl Display) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
 /// Writes one line on standard error.
-pub fn complain(text: impl Display) {
+pub fn error(text: impl Display) {
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
 /// Writes a line that peers may cause.
-pub fn line(text: impl Display) {
+pub fn info_limited(text: impl Display) {
     let now = Instant::now();
     let (mut since, mut written, mut left_out) = COUNTED.get().unwrap_or((now, 0, 0));
     if now - since >= Duration::from_secs(1) {
         if left_out > 0 {
-            say(format_args!("{left_out} lines left out"));
+            info(format_args!("{left_out} lines left out"));
         }
         (since, written, left_out) = (now, 0, 0);
     }
     if written < LINES_A_SECOND {
         written += 1;
-        say(text);
+        info(text);
     } else {
         left_out += 1;
     }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/requests.rs
@@ -2,8 +2,8 @@
 
 use crate::Node;
 use crate::clients::Client;
-use crate::sizes::BODY_MOST;
-use crate::wire::Unread;
+use crate::size_limits::MAX_BODY_BYTES;
+use crate::stream::Unread;
 use fawnspoke_control::figures;
 use fawnspoke_journal::{End, Handed, UnixMicros};
 use http_body_util::{BodyExt, Full};
@@ -20,8 +20,8 @@
 
 /// The client was gone before it could hear that its message was taken: nothing is owed.
 pub fn withdraw(node: &Node, number: u64) {
-    node.unheard.borrow_mut().remove(&number);
-    node.record(node.journal.borrow_mut().over(number));
+    node.unacknowledged.borrow_mut().remove(&number);
+    node.observe_journal_write(node.journal.borrow_mut().over(number));
 }
 
 type Answer = Response<Full<Bytes>>;
@@ -35,7 +35,7 @@
 /// The answer to a request.
 pub async fn answer(node: &Node, client: &Client, request: Request<Incoming>) -> Result<Answer, Infallible> {
     let mut answer = match (request.method(), request.uri().path()) {
-        (&Method::GET, "/health/ready") if node.closing.get() => {
+        (&Method::GET, "/health/ready") if node.shutting_down.get() => {
             plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
         }
         (&Method::GET, "/health/ready" | "/health/live") => plain(StatusCode::OK, "ok\n"),
@@ -50,7 +50,7 @@
     };
     // Connections end one by one while this process stops. Behind a request that was wrong may stand more
     // than its sender says.
-    if node.closing.get() || answer.status().is_client_error() {
+    if node.shutting_down.get() || answer.status().is_client_error() {
         answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(answer)
@@ -65,7 +65,7 @@
         return plain(StatusCode::LENGTH_REQUIRED, "Content-Length alone tells the length\n");
     }
     let tenant = head.headers.get("Tenant").and_then(|name| name.to_str().ok()).map(str::trim);
-    let tenant = tenant.and_then(|name| node.tenant(name));
+    let tenant = tenant.and_then(|name| node.tenant_index(name));
     let handed = match read_head(node, class, &head.headers, received) {
         Ok(handed) => handed,
         Err(problem) => return plain(StatusCode::BAD_REQUEST, format!("{problem}\n")),
@@ -82,7 +82,7 @@
     let handed = Handed { body, ..handed };
     let dest = DestinationId(handed.dest);
     // It may have left, and then handed the message in elsewhere; if it listens still, it may come again.
-    if behind == Unread::End {
+    if behind == Unread::Closed {
         return refuse(node, class, dest);
     }
     // What no list has named may be a slip, or come with a later list.
@@ -92,7 +92,7 @@
     let mut journal = node.journal.borrow_mut();
     match journal.number(&handed.id) {
         // Still to be heard on another connection, which may yet fail.
-        Some(number) if node.unheard.borrow().contains(&number) => return refuse(node, class, dest),
+        Some(number) if node.unacknowledged.borrow().contains(&number) => return refuse(node, class, dest),
         // The same message once more: it is owed already.
         Some(number) if journal.get(number).is_some_and(|kept| kept.is(&handed)) => {
             return plain(StatusCode::ACCEPTED, "taken\n");
@@ -116,7 +116,7 @@
         id: MessageId(u64::MAX),
         class,
         destination: dest,
-        deadline: node.seconds(handed.deadline),
+        deadline: node.to_monotonic(handed.deadline),
         key: None,
         tenant: tenant.unwrap_or(usize::MAX),
         over_share: None,
@@ -132,18 +132,18 @@
     let handed = Handed { customer, ..handed };
     match journal.take(&handed) {
         Ok(Some(number)) => {
-            node.record(Ok(()));
+            node.observe_journal_write(Ok(()));
             if let Some((tenant, Share { left, .. })) = share {
                 let counted = Event::Counted { tenant, left, at: now };
                 node.dispatcher.borrow_mut().handle(now, counted);
             }
-            node.unheard.borrow_mut().insert(number);
+            node.unacknowledged.borrow_mut().insert(number);
             client.unheard.set(Some(number));
             plain(StatusCode::ACCEPTED, "taken\n")
         }
         Ok(None) => refuse(node, class, dest),
         Err(error) => {
-            node.record(Err(error));
+            node.observe_journal_write(Err(error));
             refuse(node, class, dest)
         }
     }
@@ -151,9 +151,9 @@
 
 /// Handing it in again is harmless, and is worth a try when the decisions say so.
 fn refuse(node: &Node, class: usize, dest: DestinationId) -> Answer {
-    node.figures.ended(class, figures::End::Throttled);
+    node.metrics.ended(class, figures::End::Throttled);
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
-    if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", node.come_back(dest))) {
+    if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", node.retry_after(dest))) {
         answer.headers_mut().insert(RETRY_AFTER, seconds);
     }
     answer
@@ -217,5 +217,5 @@
             return Ok(None);
         }
     }
-    Ok(Some(length).filter(|_| length <= BODY_MOST))
+    Ok(Some(length).filter(|_| length <= MAX_BODY_BYTES))
 }
--- a/crates/node/src/gate.rs
+++ b/crates/node/src/serving.rs
@@ -12,27 +12,27 @@
     #[default]
     Serving,
     /// It has given all away and not heard yet that it was taken: nothing begins, nothing is written.
-    Given,
+    HandingOver,
     /// The other one owns.
-    Over,
+    HandedOver,
 }
 
 /// The phase, and who waits for it to change.
 #[derive(Default)]
-pub struct Gate {
+pub struct ServingState {
     phase: watch::Sender<Phase>,
     /// Readers that found it shut: they are few moments from its opening, or from their end.
     shut_out: RefCell<Vec<Waker>>,
 }
 
-impl Gate {
+impl ServingState {
     /// The phase now.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
     /// The phase from now on.
-    pub fn set(&self, phase: Phase) {
+    pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
         self.shut_out.take().into_iter().for_each(Waker::wake);
     }
@@ -47,23 +47,23 @@
     }
 
     /// Waits until the phase is such a one.
-    pub async fn until(&self, such: impl Fn(Phase) -> bool) -> Phase {
+    pub async fn wait_for(&self, such: impl Fn(Phase) -> bool) -> Phase {
         // The sender lives as long as this does.
-        self.phase.subscribe().wait_for(|phase| such(*phase)).await.map_or(Phase::Over, |phase| *phase)
+        self.phase.subscribe().wait_for(|phase| such(*phase)).await.map_or(Phase::HandedOver, |phase| *phase)
     }
 
     /// Waits until it is known who owns.
-    pub async fn settled(&self) -> Phase {
-        self.until(|phase| phase != Phase::Given).await
+    pub async fn wait_until_settled(&self) -> Phase {
+        self.wait_for(|phase| phase != Phase::HandingOver).await
     }
 
     /// Does something while this process serves, from its beginning each time that it serves again.
-    pub async fn while_serving<F: Future>(&self, begin: impl Fn() -> F) {
+    pub async fn run_while_serving<F: Future>(&self, begin: impl Fn() -> F) {
         loop {
-            self.until(|phase| phase == Phase::Serving).await;
+            self.wait_for(|phase| phase == Phase::Serving).await;
             tokio::select! {
                 _ = begin() => return,
-                _ = self.until(|phase| phase != Phase::Serving) => {}
+                _ = self.wait_for(|phase| phase != Phase::Serving) => {}
             }
         }
     }
--- a/crates/node/src/start.rs
+++ b/crates/node/src/startup.rs
@@ -1,15 +1,15 @@
 //! The start of a dispatcher: the journal, the signals, the parts in their order.
 
-use crate::bounds::{self, Bounds};
-use crate::calls::Pool;
+use crate::calls::ConnectionPool;
 use crate::clients::{self, Clients};
 use crate::clock::JournalClock;
 use crate::config::Config;
 use crate::directory::Directory;
-use crate::gate::Gate;
+use crate::event_loop::{EventSources, ExitAction, apply_input, run_event_loop};
+use crate::fleet::{self, Bounds};
 use crate::retry::{self, Retry};
-use crate::rounds::{Ears, Finish, hear, rounds};
-use crate::{Node, clock, control, counts, discovery, handover, inherited, log};
+use crate::serving::ServingState;
+use crate::{Node, client_listener, clock, control, discovery, handover, log, traffic};
 use fawnspoke_control::door;
 use fawnspoke_control::figures::Figures;
 use fawnspoke_journal::plan::{self, Limits};
@@ -57,11 +57,11 @@
                 } else {
                     format!("; restart for {}", kept.join(", "))
                 };
-                log::say(format_args!("configuration read anew: discovery at {}{kept}", config.discovery));
-                node.discovery
+                log::info(format_args!("configuration read anew: discovery at {}{kept}", config.discovery));
+                node.discovery_address
                     .send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
             }
-            Err(error) => log::say(format_args!("configuration not read, the old one stays: {error}")),
+            Err(error) => log::info(format_args!("configuration not read, the old one stays: {error}")),
         }
     }
 }
@@ -81,20 +81,20 @@
     let (journal, recovery) = Journal::open(&config.state, options)?;
     let Recovery { torn, damage, carried, latest } = recovery;
     if torn > 0 {
-        log::say(format_args!("journal: {torn} bytes of a torn record left out"));
+        log::info(format_args!("journal: {torn} bytes of a torn record left out"));
     }
     if let Some(messages) = carried {
-        log::say(format_args!("journal: {messages} messages carried over from the format before"));
+        log::info(format_args!("journal: {messages} messages carried over from the format before"));
     }
     for damage in damage {
-        log::say(format_args!("journal: damaged: {damage}"));
+        log::info(format_args!("journal: damaged: {damage}"));
     }
     let clock = match known.filter(|clock| !clock.is_behind(latest)) {
         Some(clock) => clock,
         None => {
             let clock = JournalClock::begin(&config.state, latest)?;
             let ahead = clock.now().saturating_sub(clock::wall()) as f64 / 1e6;
-            log::say(format_args!(
+            log::info(format_args!(
                 "clock: a boot that is new to the folder; {ahead:.3} s ahead of the wall clock"
             ));
             clock
@@ -114,31 +114,31 @@
         };
         let Some((pause, first)) = retry.next_pause() else { return Err(named(&error)) };
         if first {
-            log::say(format_args!("{}; trying again", named(&error)));
+            log::info(format_args!("{}; trying again", named(&error)));
         }
         tokio::time::sleep(pause).await;
     }
 }
 
-pub async fn run(config: Config, mut signals: Signals) -> Result<Finish, String> {
+pub async fn run(config: Config, mut signals: Signals) -> Result<ExitAction, String> {
     let figures = Arc::new(Figures::new(&config.classes));
     let (asked, orders) = unbounded_channel();
     if let Some(control) = config.control {
         // Operators are answered from now on, while the journal is read too.
         let at = retry::blocking(|| door::open(control, figures.clone(), asked.clone()));
         let at = at.map_err(|error| format!("control: {control}: {error}"))?;
-        log::say(format_args!("{} answers operators at {at}", config.name));
+        log::info(format_args!("{} answers operators at {at}", config.name));
     }
     let (locks, taken) = tokio::select! {
         arrived = handover::arrive(&config) => arrived,
         // It owns nothing yet.
-        _ = signals.terminate.recv() => return Ok(Finish::End),
-        _ = signals.interrupt.recv() => return Ok(Finish::End),
+        _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
+        _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
     };
     let (mut journal, clock) = tokio::select! {
         opened = open_when_writable(&config) => opened?,
-        _ = signals.terminate.recv() => return Ok(Finish::End),
-        _ = signals.interrupt.recv() => return Ok(Finish::End),
+        _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
+        _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
     };
     let (state, given) = taken.map_or((None, None), |mut taken| (taken.state.take(), Some(taken)));
     let adopted = state.is_some();
@@ -155,8 +155,8 @@
         }
     };
     let (given, passed) = given.map_or((None, None), |mut given| (given.listener.take(), Some(given)));
-    let listener = inherited::listener(config.listen, given).await?;
-    log::say(format_args!(
+    let listener = client_listener::open(config.listen, given).await?;
+    log::info(format_args!(
         "{} listens at {}",
         config.name,
         listener.local_addr().map_err(|e| e.to_string())?
@@ -165,63 +165,64 @@
     let (doorstep, asked) = handover::Doorstep::new(&config.state);
     let (rest, handed) = unbounded_channel();
     let node = Rc::new(Node {
-        started,
-        clock,
-        inbox: sender,
+        started_at: started,
+        journal_clock: clock,
+        input_sender: sender,
         dispatcher: RefCell::new(dispatcher),
         journal: RefCell::new(journal),
         directory: RefCell::new(directory),
-        pool: Pool::default(),
-        counts: counts::Counts::default(),
-        figures,
-        bounds: Bounds::new(&config),
-        control: control::Control::open(&config.state),
-        discovery: watch::Sender::new(config.discovery),
-        storage_failed_at: Cell::new(None),
-        unheard: RefCell::default(),
+        pool: ConnectionPool::default(),
+        traffic: traffic::Counts::default(),
+        metrics: figures,
+        fleet: Bounds::new(&config),
+        overrides: control::Control::open(&config.state),
+        discovery_address: watch::Sender::new(config.discovery),
+        journal_failing_since: Cell::new(None),
+        unacknowledged: RefCell::default(),
         clients: Clients::default(),
-        calls_out: Cell::new(0),
-        calls_open: Cell::new(0),
-        closing: Cell::new(false),
-        notices: Notify::new(),
+        calls_in_flight: Cell::new(0),
+        calls_with_connection: Cell::new(0),
+        shutting_down: Cell::new(false),
+        notice_due: Notify::new(),
         resubscribe: Notify::new(),
-        stopping: watch::Sender::new(false),
+        close_clients: watch::Sender::new(false),
         listener: Rc::new(listener),
-        gate: Gate::default(),
-        lock: RefCell::new(locks.owner),
+        serving_state: ServingState::default(),
+        owner_lock: RefCell::new(locks.owner),
         calls_lock: RefCell::new(locks.calls),
-        doorstep,
-        rest,
-        cut: Notify::new(),
-        breaks: RefCell::default(),
-        adopted,
+        handover_socket: doorstep,
+        transfers: rest,
+        abort_signal: Notify::new(),
+        cancellations: RefCell::default(),
+        adopted_state: adopted,
         config,
     });
     if !adopted {
         let known = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
-        known.unwrap_or_else(|error| log::line(format_args!("known: left out: {error}")));
+        known.unwrap_or_else(|error| log::info_limited(format_args!("known: left out: {error}")));
     }
-    node.bounds.begin(&node.config);
-    node.resume();
+    node.fleet.begin(&node.config);
+    node.restore_from_journal();
     // The decisions know the list and what is owed before the first client is heard.
-    std::iter::from_fn(|| inbox.try_recv().ok()).for_each(|input| hear(&node, node.now(), input));
+    std::iter::from_fn(|| inbox.try_recv().ok()).for_each(|input| apply_input(&node, node.now(), input));
     if let Some(passed) = passed {
         spawn_local(handover::own(node.clone(), passed));
     }
-    node.doorstep.open();
+    node.handover_socket.open();
     spawn_local(discovery::watch(node.clone()));
     spawn_local(discovery::notices(node.clone()));
     // Clients come once all that was owed is taken up again; nothing here waits for discovery.
     spawn_local(clients::serve(node.clone()));
-    spawn_local(bounds::hear(node.clone()));
+    spawn_local(fleet::hear(node.clone()));
     spawn_local(control::obey(node.clone(), orders));
-    node.figures.set(control::gauges(&node));
-    node.figures.set_ready(true);
+    node.metrics.set(control::gauges(&node));
+    node.metrics.set_ready(true);
     spawn_local(reload(node.clone(), signals.hangup));
     let Signals { terminate, interrupt, .. } = signals;
-    let finish = rounds(node.clone(), Ears { inbox, terminate, interrupt, asked, rest: handed }).await;
+    let finish =
+        run_event_loop(node.clone(), EventSources { inbox, terminate, interrupt, asked, rest: handed }).await;
     // Idle clients hear that the connection ends; a request that is being answered is still answered.
-    node.stopping.send_replace(true);
+    node.close_clients.send_replace(true);
     tokio::time::sleep(Duration::from_millis(50)).await;
     Ok(finish)
 }
--- a/crates/node/src/wire.rs
+++ b/crates/node/src/stream.rs
@@ -17,7 +17,7 @@
 
 /// A connection, shared between the one who reads and writes it and those who look after it.
 #[derive(Clone)]
-pub struct Wire(Rc<TcpStream>);
+pub struct SharedStream(Rc<TcpStream>);
 
 /// What the socket holds that nobody has read yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +25,7 @@
     Nothing,
     Bytes,
     /// The other side has closed, or the connection is broken.
-    End,
+    Closed,
 }
 
 /// Whether a call is just made once more, when the socket is ready or at once.
@@ -33,11 +33,11 @@
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream) -> io::Result<Wire> {
+impl SharedStream {
+    pub fn new(stream: TcpStream) -> io::Result<SharedStream> {
         // Without it what is written may wait for an acknowledgement.
         stream.set_nodelay(true)?;
-        Ok(Wire(Rc::new(stream)))
+        Ok(SharedStream(Rc::new(stream)))
     }
 
     /// Writes what the socket takes at once.
@@ -57,13 +57,13 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => Unread::Nothing,
                 Ok(1..) => Unread::Bytes,
-                Ok(0) | Err(_) => Unread::End,
+                Ok(0) | Err(_) => Unread::Closed,
             };
         }
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for SharedStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(cx))?;
@@ -76,7 +76,7 @@
     }
 }
 
-impl Wire {
+impl SharedStream {
     fn poll_try<T>(
         &self, cx: &mut Context<'_>, mut write: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>> {
@@ -90,7 +90,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for SharedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_try(cx, |stream| stream.try_write(bytes))
     }
@@ -117,7 +117,7 @@
 /// Follows one head as its bytes pass, beside the parser: what hyper makes of a head that it cannot read,
 /// and what lies behind one that it can, is told by nobody else. The head of a 1xx answer is passed over.
 #[derive(Debug, Default)]
-pub struct Head {
+pub struct HeadScanner {
     first: Vec<u8>,
     /// Bytes of the line that is being read, its end not counted.
     line: usize,
@@ -127,8 +127,8 @@
     behind: usize,
 }
 
-impl Head {
-    pub fn follow(&mut self, mut bytes: &[u8]) {
+impl HeadScanner {
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while let Some((byte, rest)) = bytes.split_first() {
             if self.ended {
                 self.behind += bytes.len();
@@ -139,7 +139,7 @@
                 // Empty lines ahead of a head belong to it.
                 b'\n' if self.line == 0 && self.lines == 0 => {}
                 b'\n' if self.line == 0 => match self.status() {
-                    Some(status) if status.is_informational() => *self = Head::default(),
+                    Some(status) if status.is_informational() => *self = HeadScanner::default(),
                     _ => self.ended = true,
                 },
                 b'\n' => (self.line, self.lines) = (0, self.lines + 1),
@@ -163,12 +163,12 @@
     }
 
     /// Whether anything of it has come.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.line > 0 || self.lines > 0
     }
 
     /// How many bytes came behind the head; none while it has not ended.
-    pub fn behind(&self) -> Option<usize> {
+    pub fn bytes_after_head(&self) -> Option<usize> {
         self.ended.then_some(self.behind)
     }
 }
@@ -177,18 +177,18 @@
 mod tests {
     use super::*;
 
-    fn head(pieces: &[&str]) -> Head {
-        let mut head = Head::default();
-        pieces.iter().for_each(|piece| head.follow(piece.as_bytes()));
+    fn head(pieces: &[&str]) -> HeadScanner {
+        let mut head = HeadScanner::default();
+        pieces.iter().for_each(|piece| head.scan(piece.as_bytes()));
         head
     }
 
     #[test]
     fn a_head_is_followed_in_pieces() {
         let read = head(&["\r\nPOST /a HT", "TP/1.1\r\nA: b\r", "\n\r", "\nfour"]);
-        assert_eq!((read.behind(), read.status()), (Some(4), None));
-        assert_eq!(head(&["GET / HTTP/1.1\n\nx"]).behind(), Some(1));
-        assert_eq!(head(&["GET / HTTP/1.1\r\nA: b\r\n"]).behind(), None);
+        assert_eq!((read.bytes_after_head(), read.status()), (Some(4), None));
+        assert_eq!(head(&["GET / HTTP/1.1\n\nx"]).bytes_after_head(), Some(1));
+        assert_eq!(head(&["GET / HTTP/1.1\r\nA: b\r\n"]).bytes_after_head(), None);
     }
 
     #[test]
--- a/crates/node/src/counts.rs
+++ b/crates/node/src/traffic.rs
@@ -141,15 +141,15 @@
         let last = end.ends.last().map(|end| end.outcome);
         self.count(dest, |count| {
             count.served += served;
-            if let Some(Allowance { rate, left }) = end.allowance {
+            if let Some(Allowance { rate, left }) = end.rate_limit_report {
                 count.limit = rate as u64;
                 count.reports += u64::from(left.is_some());
                 count.left_pct += (left.unwrap_or(0.0) * 100.0) as u64;
             }
-            count.connects += u64::from(!end.reused && last != Some(Outcome::NoConnection));
+            count.connects += u64::from(!end.connection_reused && last != Some(Outcome::NoConnection));
             match last {
                 Some(Outcome::Full) => {
-                    let left = end.allowance.and_then(|told| told.left);
+                    let left = end.rate_limit_report.and_then(|told| told.left);
                     count.full += 1;
                     count.full_used += u64::from(left.is_some_and(|left| left < LEFT_NONE));
                     count.full_shut += u64::from(left.is_some_and(|left| left >= LEFT_MOST));
--- a/crates/node/src/rest.rs
+++ b/crates/node/src/transfer.rs
@@ -1,26 +1,26 @@
 //! What goes over to a process that has taken over.
 
-use crate::calls::{CallEnd, Link as Connection};
-use crate::wire::Wire;
+use crate::calls::{CallEnd, Connection};
+use crate::stream::SharedStream;
 use fawnspoke_control::door::Order;
 use serde::{Deserialize, Serialize};
 use waydoor::{Allowance, EndpointId, Outcome, Seconds};
 
 /// What is handed over once the other process owns, and what is told it then.
-pub enum Rest {
+pub enum Transfer {
     /// A client's connection.
-    Client { wire: Wire, read: Vec<u8>, asked_ms: Option<u32> },
+    Client { stream: SharedStream, read: Vec<u8>, asked_ms: Option<u32> },
     /// An idle connection to an endpoint.
-    Idle { endpoint: EndpointId, link: Connection },
+    IdleConnection { endpoint: EndpointId, connection: Connection },
     /// What came of something that was out.
-    Told(Told),
+    Completion(Completion),
     /// An order that came to this process's door.
     Order(Order),
 }
 
 /// What came of something that was out.
 #[derive(Debug, Deserialize, Serialize)]
-pub enum Told {
+pub enum Completion {
     /// A call.
     Call { endpoint: u64, dest: u32, sent_at: Seconds, end: CallEnd },
     /// A probe.
