--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,7 +1,7 @@
 //! What the decisions ask for, carried out: calls and their ends, final answers, probes.
 
 use crate::calls::{self, Call, CallEnd, Item};
-use crate::directory::Place;
+use crate::directory::ListedEndpoint;
 use crate::event_loop::Input;
 use crate::serving::Phase;
 use crate::transfer::{Completion, Transfer};
@@ -30,8 +30,8 @@
             });
         }
     }
-    node.traffic.ended(dest, &end);
-    node.fleet.ended(dest, end.ends.iter().map(|end| end.outcome));
+    node.traffic.record_call_end(dest, &end);
+    node.fleet.report_outcomes(dest, end.ends.iter().map(|end| end.outcome));
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
@@ -97,8 +97,9 @@
         let Send { number, endpoint, attempt, timeout, alone } = send;
         let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.message.clone()) else { return };
         let item = Item { number, attempt, handed };
-        let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.destination);
-        let Some(place) = place.filter(|place| node.fleet.may_try(place.dest)) else {
+        let place =
+            node.directory.borrow().get(endpoint).filter(|p| p.destination == item.handed.destination);
+        let Some(place) = place.filter(|place| node.fleet.may_send(place.destination)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
@@ -121,7 +122,7 @@
         if !alone {
             self.open.insert(alike, self.calls.len());
         }
-        let Place { dial: at, dest, zone, .. } = place;
+        let ListedEndpoint { address: at, destination: dest, zone, .. } = place;
         self.calls.push(Call { endpoint, at, dest, zone, items: vec![item], timeout });
     }
 }
@@ -138,14 +139,14 @@
             Action::Reject(id) => {
                 let dest =
                     node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.message.destination));
-                dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
+                dest.inspect(|dest| node.traffic.update(dest.0, |counters| counters.handed_back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
                 node.count_message_end(id.0, End::Throttled);
                 end(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
                 let dest = node.journal.borrow().get(id.0).map(|kept| kept.message.destination);
-                dest.inspect(|dest| node.traffic.count(*dest, |count| count.given_up += 1));
+                dest.inspect(|dest| node.traffic.update(*dest, |counters| counters.given_up += 1));
                 node.count_message_end(id.0, End::Faulted);
                 end(node, id.0, Notice::GivenUp);
             }
@@ -157,8 +158,8 @@
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
-                let dest = node.directory.borrow().place(endpoint).map(|place| place.dest);
-                dest.inspect(|dest| node.traffic.count(*dest, |count| count.probes += 1));
+                let dest = node.directory.borrow().get(endpoint).map(|info| info.destination);
+                dest.inspect(|dest| node.traffic.update(*dest, |counters| counters.probes += 1));
                 spawn_local(async move {
                     let (outcome, allowance) = calls::probe(&node, endpoint).await;
                     let latency = node.now() - now;
@@ -173,7 +174,7 @@
                             }));
                         }
                         _ => {
-                            dest.inspect(|dest| node.fleet.ended(*dest, [outcome]));
+                            dest.inspect(|dest| node.fleet.report_outcomes(*dest, [outcome]));
                             node.send_event(Event::ProbeEnded {
                                 endpoint,
                                 outcome,
@@ -189,16 +190,16 @@
             }
             Action::Subscribe => node.resubscribe.notify_one(),
             Action::RecordOutage { destination, ongoing: out } => {
-                node.fleet.out(node, destination.0, *out);
+                node.fleet.set_unavailable(node, destination.0, *out);
                 node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *out));
             }
             Action::Log(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
     for call in sends.calls {
-        node.traffic.count(call.dest, |count| {
-            count.calls += 1;
-            count.messages += call.items.len() as u64;
+        node.traffic.update(call.dest, |counters| {
+            counters.calls += 1;
+            counters.messages += call.items.len() as u64;
         });
         node.calls_in_flight.set(node.calls_in_flight.get() + 1);
         node.calls_with_connection.set(node.calls_with_connection.get() + 1);
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -340,7 +340,7 @@
 pub async fn call(node: &Node, call: &Call) -> CallEnd {
     let until = Instant::now() + Duration::from_secs_f64(call.timeout.clamp(0.0, 3600.0));
     let Call { endpoint, at, dest, ref items, .. } = *call;
-    let open = || node.directory.borrow().open(endpoint, at, dest);
+    let open = || node.directory.borrow().may_receive(endpoint, at, dest);
     let mut used = Used::default();
     let answer = match request(call) {
         Ok(request) => {
@@ -402,13 +402,14 @@
 
 /// Asks an endpoint whether it runs.
 pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<RateLimitReport>) {
-    let Some(place) = node.directory.borrow().place(endpoint) else { return (Outcome::NotSent, None) };
-    let until = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
-    let request = Request::get("/health/live").header("Host", place.dial.to_string()).body(Full::default());
+    let Some(place) = node.directory.borrow().get(endpoint) else { return (Outcome::NotSent, None) };
+    let until = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout_seconds);
+    let request =
+        Request::get("/health/live").header("Host", place.address.to_string()).body(Full::default());
     let Ok(request) = request else { return (Outcome::NotSent, None) };
-    let open = || node.directory.borrow().open(endpoint, place.dial, place.dest);
+    let open = || node.directory.borrow().may_receive(endpoint, place.address, place.destination);
     let none = (&[][..], place.zone);
-    match exchange(node, (endpoint, place.dial), request, until, &open, none, &mut Used::default()).await {
+    match exchange(node, (endpoint, place.address), request, until, &open, none, &mut Used::default()).await {
         Err(outcome) => (outcome, None),
         Ok(answer) if answer.body.is_none() => (Outcome::MalformedResponse, None),
         Ok(answer) => {
@@ -449,7 +450,7 @@
         (link, used.reused) = match node.pool.reuse(endpoint, at, idle_reuse_limit(node)) {
             Some(link) => (link, true),
             None => {
-                let limit = Duration::from_secs_f64(node.config.connect_timeout);
+                let limit = Duration::from_secs_f64(node.config.connect_timeout_seconds);
                 match timeout_at(until, timeout(limit, connect(at))).await {
                     Ok(Ok(Ok(link))) => (link, false),
                     // Nothing was sent: a connection that does not come up in time is no time-out.
@@ -549,7 +550,7 @@
     }
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
     // What has left the list meanwhile gets nothing more.
-    let listed = node.directory.borrow().ready_at(endpoint) == Some(link.address);
+    let listed = node.directory.borrow().ready_address(endpoint) == Some(link.address);
     let kept = body.is_some() && listed && node.pool.put_back(endpoint, link);
     Answer { status: head.status, headers: head.headers, body, kept }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -14,17 +14,17 @@
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
+    pub listen_address: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// Where operators call, where they do.
-    pub control: Option<SocketAddr>,
-    pub state: PathBuf,
+    pub control_address: Option<SocketAddr>,
+    pub state_dir: PathBuf,
     /// The operators' file of the fleet, where this dispatcher is a member of one.
     pub fleet: Option<File>,
     pub seed: u64,
     pub limits: Limits,
     /// The file as it was read; its `known` is the list of endpoints, in discovery's form.
-    pub file: Value,
+    pub document: Value,
     pub settings: Settings,
     pub classes: Vec<String>,
     pub kinds: Vec<String>,
@@ -32,9 +32,9 @@
     /// Names of the customers.
     pub tenants: Vec<String>,
     /// Events of so long are handled together.
-    pub tick: f64,
-    pub connect_timeout: f64,
-    pub max_retry_after: f64,
+    pub tick_seconds: f64,
+    pub connect_timeout_seconds: f64,
+    pub max_retry_after_seconds: f64,
     /// The fields of a report that tell an endpoint's limit and what is left of it, where answers carry reports.
     pub report_fields: Option<(&'static str, Option<&'static str>)>,
 }
@@ -47,12 +47,12 @@
     pub disk_mb: f64,
     /// Descriptors and bytes on disk that other parts of the process take.
     #[serde(skip)]
-    pub taken: Taken,
+    pub reserved: Reserved,
 }
 
 /// What the journal, clients and calls can't have.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Taken {
+pub struct Reserved {
     pub descriptors: usize,
     pub disk: u64,
 }
@@ -60,50 +60,50 @@
 impl Limits {
     /// Descriptors of the process itself: standard streams, the runtime's, the listener, the journal's segment and
     /// its successor, discovery's connections, and what is on its way to being closed.
-    const OWN: usize = 20;
+    const OWN_DESCRIPTORS: usize = 20;
     /// Share of the clients' connections that may stand idle.
-    const IDLE_CLIENTS: f64 = 1.0 / 3.0;
+    const IDLE_CLIENT_SHARE: f64 = 1.0 / 3.0;
     /// Share of the disk that the record of a fleet may take.
-    const FLEET: f64 = 0.5;
+    const FLEET_DISK_SHARE: f64 = 0.5;
     /// Share of the memory that clients' requests may take while they are read.
-    const READING: f64 = 0.5;
+    const READING_MEMORY_SHARE: f64 = 0.5;
 
     /// Connections of clients: half of the descriptors, and no more than can be read at once.
-    pub fn clients(&self) -> usize {
-        let each = (MAX_HEAD_BYTES + MAX_BODY_BYTES) as f64;
-        let read_at_once = (self.memory_mb * 1e6 * Limits::READING / each) as usize;
-        (self.sockets.saturating_sub(self.own()) / 2).min(read_at_once).max(1)
+    pub fn max_clients(&self) -> usize {
+        let bytes_per_request = (MAX_HEAD_BYTES + MAX_BODY_BYTES) as f64;
+        let read_at_once = (self.memory_mb * 1e6 * Limits::READING_MEMORY_SHARE / bytes_per_request) as usize;
+        (self.sockets.saturating_sub(self.used_descriptors()) / 2).min(read_at_once).max(1)
     }
 
     /// Connections of clients on which no request is owed. Guards against clients that ask once and keep their
     /// connection: those who hand messages in have a bounded number, too, and new ones would wait for the old
     /// ones to end. Harm: a client that comes back after a pause connects anew.
-    pub fn idle_clients(&self) -> usize {
-        ((self.clients() as f64 * Limits::IDLE_CLIENTS) as usize).max(1)
+    pub fn max_idle_clients(&self) -> usize {
+        ((self.max_clients() as f64 * Limits::IDLE_CLIENT_SHARE) as usize).max(1)
     }
 
     /// Calls that may be out at once: clients leave room for so many connections.
-    fn calls(&self) -> usize {
-        self.sockets.saturating_sub(self.own() + self.clients()).max(1)
+    fn max_calls(&self) -> usize {
+        self.sockets.saturating_sub(self.used_descriptors() + self.max_clients()).max(1)
     }
 
-    fn own(&self) -> usize {
-        Limits::OWN + self.taken.descriptors
+    fn used_descriptors(&self) -> usize {
+        Limits::OWN_DESCRIPTORS + self.reserved.descriptors
     }
 
     /// Bytes that the journal may take on disk.
-    pub fn journal(&self) -> u64 {
-        ((self.disk_mb * 1e6) as u64).saturating_sub(self.taken.disk)
+    pub fn journal_bytes(&self) -> u64 {
+        ((self.disk_mb * 1e6) as u64).saturating_sub(self.reserved.disk)
     }
 
     /// Idle connections to endpoints: what all calls leave.
-    pub fn idle(&self, calls: usize) -> usize {
-        self.calls().saturating_sub(calls).max(1)
+    pub fn max_idle_connections(&self, calls: usize) -> usize {
+        self.max_calls().saturating_sub(calls).max(1)
     }
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct RawConfig {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -212,11 +212,11 @@
 }
 
 /// Shortest tick, and shortest time for a connection, in seconds.
-const TICK_LEAST: f64 = 1e-4;
-const TIME_LEAST: f64 = 1e-3;
+const MIN_TICK_SECONDS: f64 = 1e-4;
+const MIN_CONNECT_TIMEOUT_SECONDS: f64 = 1e-3;
 
 /// The keys under which the file has what the module calls otherwise.
-const KEYS: [(&str, &str); 10] = [
+const SETTING_KEYS: [(&str, &str); 10] = [
     ("slots", "family_info.call_slots"),
     ("room", "limits.open_cap"),
     ("attempts", "limits.send_cap"),
@@ -234,13 +234,13 @@
     pub fn from_environment() -> Result<Config, String> {
         let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG: not set".to_string())?;
         let text = std::fs::read(&path).map_err(|error| format!("GW_CONFIG: {path}: {error}"))?;
-        let state = std::env::var_os("GW_STATE").ok_or("GW_STATE: not set")?;
-        let control = match std::env::var("GW_CONTROL") {
+        let state_dir = std::env::var_os("GW_STATE").ok_or("GW_STATE: not set")?;
+        let control_address = match std::env::var("GW_CONTROL") {
             Ok(at) => Some(at.parse().map_err(|error| format!("GW_CONTROL: {at}: {error}"))?),
             Err(_) => None,
         };
         let fleet = std::env::var_os("FAWNSPOKE_FLEET").map(PathBuf::from);
-        Config::read(&text, state.into(), control, fleet.as_deref())
+        Config::read(&text, state_dir.into(), control_address, fleet.as_deref())
     }
 
     /// Reads a configuration that is not to be run: it has no folder.
@@ -251,21 +251,21 @@
 
     /// `control`: the door's address by the environment, which is this process's own; the file may be another's too.
     fn read(
-        text: &[u8], state: PathBuf, control: Option<SocketAddr>, fleet: Option<&Path>,
+        text: &[u8], state_dir: PathBuf, control_address: Option<SocketAddr>, fleet: Option<&Path>,
     ) -> Result<Config, String> {
         let mut reader = serde_json::Deserializer::from_slice(text);
-        let mut raw: Raw = serde_path_to_error::deserialize(&mut reader)
+        let mut raw: RawConfig = serde_path_to_error::deserialize(&mut reader)
             .map_err(|error| format!("{}: {}", error.path(), error.inner()))?;
-        let control = control.or(raw.control);
-        if control.is_some() {
-            raw.limits.taken = Taken { descriptors: door::DESCRIPTORS, disk: record::BYTES_MOST };
+        let control_address = control_address.or(raw.control);
+        if control_address.is_some() {
+            raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk: record::BYTES_MOST };
         }
         let fleet = fleet.map(|path| File::read(path, &raw.name)).transpose()?;
         if let Some(file) = &fleet {
-            raw.limits.taken.descriptors += shell::descriptors(file, &raw.name);
-            raw.limits.taken.disk += shell::disk(file);
-            let most = raw.limits.disk_mb * 1e6 * Limits::FLEET;
-            if shell::disk(file) as f64 > most {
+            raw.limits.reserved.descriptors += shell::descriptors(file, &raw.name);
+            raw.limits.reserved.disk += shell::disk(file);
+            let max_fleet_bytes = raw.limits.disk_mb * 1e6 * Limits::FLEET_DISK_SHARE;
+            if shell::disk(file) as f64 > max_fleet_bytes {
                 return Err(format!(
                     "FAWNSPOKE_FLEET: disk_mb: {} of {} MB; the journal needs at least half of them",
                     file.disk_mb, raw.limits.disk_mb
@@ -273,9 +273,9 @@
             }
         }
         let seed = u64::from_str_radix(&raw.seed, 16).map_err(|error| format!("seed: {error}"))?;
-        let given = raw.settings;
+        let raw_settings = raw.settings;
         let mut classes = Vec::new();
-        for (i, class) in given.grades.iter().enumerate() {
+        for (i, class) in raw_settings.grades.iter().enumerate() {
             if class.serial_by_key {
                 return Err(format!(
                     "settings.grades[{i}].serial_by_key: messages carry no key of order here"
@@ -291,108 +291,112 @@
                     by_zone: class.group != "all",
                 },
             };
-            let (aim, deadline, worth) = (class.goal_time, class.deadline, class.gain);
+            let (target_latency, deadline, value) = (class.goal_time, class.deadline, class.gain);
             classes.push(Class {
-                target_latency: aim,
+                target_latency,
                 deadline,
-                value: worth,
+                value,
                 late_value_share: class.late_share,
                 effect,
                 ordered: false,
             });
         }
-        let family = &given.family_info;
+        let family = &raw_settings.family_info;
         let kind = |i: usize| DestinationKind {
             independent_endpoints: family.kind_apart.get(i).copied().unwrap_or(false),
             max_batch: family.kind_batch.get(i).copied().unwrap_or(1),
         };
         let settings = Settings {
-            dispatcher_count: given.balancers,
-            max_concurrent_calls: family.call_slots.min(raw.limits.calls()),
-            max_messages: given.limits.open_cap,
-            max_attempts: u32::try_from(given.limits.send_cap)
+            dispatcher_count: raw_settings.balancers,
+            max_concurrent_calls: family.call_slots.min(raw.limits.max_calls()),
+            max_messages: raw_settings.limits.open_cap,
+            max_attempts: u32::try_from(raw_settings.limits.send_cap)
                 .map_err(|_| "settings.limits.send_cap: too large")?,
-            keepalive: given.limits.keepalive,
-            probes: given.limits.probes,
-            cancel: given.limits.cancel,
-            zone: given.zone,
+            keepalive: raw_settings.limits.keepalive,
+            probes: raw_settings.limits.probes,
+            cancel: raw_settings.limits.cancel,
+            zone: raw_settings.zone,
             classes,
-            kinds: (0..given.kinds.len()).map(kind).collect(),
+            kinds: (0..raw_settings.kinds.len()).map(kind).collect(),
             decay: match family.loses_worth {
                 RawDecay::Even => ValueDecay::Linear,
                 RawDecay::ByHalf => ValueDecay::Exponential,
             },
-            discovery_mode: match given.discovery {
+            discovery_mode: match raw_settings.discovery {
                 RawListing::Automatic => DiscoveryMode::Pushed,
                 RawListing::Subscribe => DiscoveryMode::Subscription {
-                    max_renewal_interval: given
+                    max_renewal_interval: raw_settings
                         .safety
                         .must_ask_in
                         .ok_or("settings.safety.must_ask_in: missing")?,
                 },
             },
-            use_listed_rates: given.weights != "off",
+            use_listed_rates: raw_settings.weights != "off",
             slow_start: SlowStart {
-                cold_capacity_share: given.safety.cold_share,
-                warm_up_time: given.safety.cold,
-                overload_multiple: given.safety.tip_multiple,
-                overload_window: given.safety.fall,
+                cold_capacity_share: raw_settings.safety.cold_share,
+                warm_up_time: raw_settings.safety.cold,
+                overload_multiple: raw_settings.safety.tip_multiple,
+                overload_window: raw_settings.safety.fall,
             },
-            tenants: given.orgs.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
-            over_quota_value: given.over_share_worth.unwrap_or(1.0),
+            tenants: raw_settings.orgs.iter().map(|tenant| Tenant { quota: tenant.quota_per_s }).collect(),
+            over_quota_value: raw_settings.over_share_worth.unwrap_or(1.0),
             order_key_cooldown: 0.0,
         };
         waydoor::Dispatcher::new(settings.clone(), seed).map_err(|error| {
-            let key = KEYS.iter().find(|(name, _)| *name == error.name).map_or(&*error.name, |(_, key)| key);
+            let key = SETTING_KEYS
+                .iter()
+                .find(|(name, _)| *name == error.name)
+                .map_or(&*error.name, |(_, key)| key);
             let key = key.replace("tenants[", "orgs[").replace("].quota", "].quota_per_s");
             let key = key.replace("classes[", "grades[").replace("].worth", "].gain");
             let key = key.replace("].aim", "].goal_time").replace("].effect.window", "].repeat_window");
             format!("settings.{key}: {}", error.problem)
         })?;
-        for (key, x, least) in [
-            ("tick", given.tick, TICK_LEAST),
-            ("limits.connect_timeout", given.limits.connect_timeout, TIME_LEAST),
+        for (key, seconds, minimum) in [
+            ("tick", raw_settings.tick, MIN_TICK_SECONDS),
+            ("limits.connect_timeout", raw_settings.limits.connect_timeout, MIN_CONNECT_TIMEOUT_SECONDS),
         ] {
-            if !(least..60.0).contains(&x) {
+            if !(minimum..60.0).contains(&seconds) {
                 return Err(format!(
-                    "settings.{key}: must be a number of seconds, {least} at least and under 60"
+                    "settings.{key}: must be a number of seconds, at least {minimum} and under 60"
                 ));
             }
         }
-        if given.limits.max_retry_after.is_some_and(|x| x < 0.0) {
+        if raw_settings.limits.max_retry_after.is_some_and(|seconds| seconds < 0.0) {
             return Err("settings.limits.max_retry_after: must be a number of seconds, 0 or more".into());
         }
-        for (i, class) in given.grades.iter().enumerate() {
+        for (i, class) in raw_settings.grades.iter().enumerate() {
             // It is a part of a path.
-            let fits = |b: u8| b.is_ascii_graphic() && !b"/?#".contains(&b);
-            if class.name.is_empty() || !class.name.bytes().all(fits) {
+            let is_path_byte = |b: u8| b.is_ascii_graphic() && !b"/?#".contains(&b);
+            if class.name.is_empty() || !class.name.bytes().all(is_path_byte) {
                 return Err(format!("settings.grades[{i}].name: {:?}: no part of a path", class.name));
             }
-            if given.grades[..i].iter().any(|other| other.name == class.name) {
+            if raw_settings.grades[..i].iter().any(|other| other.name == class.name) {
                 return Err(format!("settings.grades[{i}].name: {} stands twice", class.name));
             }
         }
-        let told =
-            |field: &str| given.report.source == "inline" && given.report.fields.iter().any(|f| f == field);
+        let is_reported = |field: &str| {
+            raw_settings.report.source == "inline" && raw_settings.report.fields.iter().any(|f| f == field)
+        };
         Ok(Config {
             name: raw.name,
-            listen: raw.listen,
-            discovery: raw.discovery,
-            control,
-            state,
+            listen_address: raw.listen,
+            discovery_address: raw.discovery,
+            control_address,
+            state_dir,
             fleet,
             seed,
             limits: raw.limits,
-            file: serde_json::from_slice(text).map_err(|error| error.to_string())?,
+            document: serde_json::from_slice(text).map_err(|error| error.to_string())?,
             settings,
-            classes: given.grades.into_iter().map(|class| class.name).collect(),
-            kinds: given.kinds,
-            zones: given.zones,
-            tenants: given.orgs.into_iter().map(|tenant| tenant.name).collect(),
-            tick: given.tick,
-            connect_timeout: given.limits.connect_timeout,
-            max_retry_after: given.limits.max_retry_after.unwrap_or(f64::INFINITY),
-            report_fields: told("x1").then_some(("x1", told("x0").then_some("x0"))),
+            classes: raw_settings.grades.into_iter().map(|class| class.name).collect(),
+            kinds: raw_settings.kinds,
+            zones: raw_settings.zones,
+            tenants: raw_settings.orgs.into_iter().map(|tenant| tenant.name).collect(),
+            tick_seconds: raw_settings.tick,
+            connect_timeout_seconds: raw_settings.limits.connect_timeout,
+            max_retry_after_seconds: raw_settings.limits.max_retry_after.unwrap_or(f64::INFINITY),
+            report_fields: is_reported("x1").then_some(("x1", is_reported("x0").then_some("x0"))),
         })
     }
 
@@ -400,7 +404,7 @@
     /// followed, and the seed and the list that was known matter to a start alone.
     pub fn differences(&self, other: &Config) -> Vec<String> {
         let mut keys = Vec::new();
-        differences("", &self.file, &other.file, &mut keys);
+        collect_differences("", &self.document, &other.document, &mut keys);
         keys.retain(|key| {
             !["control", "discovery", "seed"].contains(&key.as_str()) && !key.starts_with("known.")
         });
@@ -409,14 +413,14 @@
 }
 
 /// Adds the paths at which two values differ; what is no object is one leaf.
-fn differences(path: &str, one: &Value, other: &Value, keys: &mut Vec<String>) {
+fn collect_differences(path: &str, one: &Value, other: &Value, keys: &mut Vec<String>) {
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
             let added = other.keys().filter(|key| !one.contains_key(*key));
             for key in one.keys().chain(added) {
                 let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
                 let (one, other) = (one.get(key), other.get(key));
-                differences(&path, one.unwrap_or(&Value::Null), other.unwrap_or(&Value::Null), keys);
+                collect_differences(&path, one.unwrap_or(&Value::Null), other.unwrap_or(&Value::Null), keys);
             }
         }
         _ if one != other => keys.push(path.to_string()),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -17,101 +17,106 @@
 use waydoor::Event;
 
 /// The orders in force, and where they are on record.
-pub struct Control {
-    orders: RefCell<Orders>,
+pub struct OperatorOverrides {
+    overrides: RefCell<Orders>,
     file: File,
     /// What is on record is not what is in force: the folder refused it.
-    unrecorded: Cell<bool>,
+    unsaved: Cell<bool>,
     /// Called back while no list had them in service: they come back cold. No more than orders may be in force.
-    cold: RefCell<VecDeque<String>>,
+    restored: RefCell<VecDeque<String>>,
 }
 
-impl Control {
+impl OperatorOverrides {
     /// Orders that an earlier life left. One that can't be read is said, and holds nothing: the dispatcher serves.
-    pub fn open(folder: &Path) -> Control {
-        let file = File::new(folder);
-        let orders = file.read().unwrap_or_else(|error| {
+    pub fn open(state_dir: &Path) -> OperatorOverrides {
+        let file = File::new(state_dir);
+        let overrides = file.read().unwrap_or_else(|error| {
             log::info_limited(format_args!("orders: {error}; none is in force"));
             Orders::default()
         });
-        for (id, _) in orders.held() {
+        for (id, _) in overrides.held() {
             log::info(format_args!("orders: {id} is out by hand"));
         }
-        Control { orders: RefCell::new(orders), file, unrecorded: Cell::new(false), cold: RefCell::default() }
+        OperatorOverrides {
+            overrides: RefCell::new(overrides),
+            file,
+            unsaved: Cell::new(false),
+            restored: RefCell::default(),
+        }
     }
 
     /// Puts the orders in force on record.
     ///
     /// # Errors
-    /// Those of the folder; [`Control::catch_up`] tries again.
-    fn record(&self) -> io::Result<()> {
-        let recorded = self.file.write(&self.orders.borrow());
-        self.unrecorded.set(recorded.is_err());
-        recorded
+    /// Those of the folder; [`Control::retry_save`] tries again.
+    fn save(&self) -> io::Result<()> {
+        let saved = self.file.write(&self.overrides.borrow());
+        self.unsaved.set(saved.is_err());
+        saved
     }
 
     /// Records orders that the folder refused when they were given.
-    pub fn catch_up(&self) {
-        if self.unrecorded.get() && self.record().is_ok() {
+    pub fn retry_save(&self) {
+        if self.unsaved.get() && self.save().is_ok() {
             log::info_limited(format_args!("orders: on record again"));
         }
     }
 
     /// Whether an endpoint is out by hand.
-    pub fn holds(&self, host: &str) -> bool {
-        self.orders.borrow().holds(host)
+    pub fn is_suspended(&self, host: &str) -> bool {
+        self.overrides.borrow().holds(host)
     }
 }
 
 /// Carries out what operators order, for as long as the process runs.
-pub async fn obey(node: Rc<Node>, mut orders: UnboundedReceiver<Asked>) {
-    while let Some(asked) = orders.recv().await {
-        let order = match asked {
-            Asked::Order(order) => order,
+pub async fn process_commands(node: Rc<Node>, mut commands: UnboundedReceiver<Asked>) {
+    while let Some(asked) = commands.recv().await {
+        let command = match asked {
+            Asked::Order(command) => command,
             Asked::Fleet(answer) => {
                 let node = node.clone();
-                spawn_local(async move { answer.send(node.fleet.show().await) });
+                spawn_local(async move { answer.send(node.fleet.status().await) });
                 continue;
             }
         };
         // While this process hands over, nobody owns the orders; then they are the other one's.
         if node.serving_state.wait_until_settled().await == Phase::HandedOver {
-            node.transfer(Transfer::Order(order));
+            node.transfer(Transfer::Order(command));
             continue;
         }
-        let answer = carry_out(&node, &order.subject, order.given);
+        let answer = apply_command(&node, &command.subject, command.given);
         // A caller that has left was told that it may be carried out yet.
-        let _ = order.answer.send(answer);
+        let _ = command.answer.send(answer);
     }
 }
 
 /// Carries out one order: on record, then in force.
-pub fn carry_out(node: &Node, subject: &Subject, given: bool) -> Result<String, String> {
-    let control = &node.overrides;
+pub fn apply_command(node: &Node, subject: &Subject, suspend: bool) -> Result<String, String> {
+    let operator_overrides = &node.overrides;
     let id = &subject.id;
-    let known = node.directory.borrow().ever_listed(id);
+    let ever_listed = node.directory.borrow().ever_listed(id);
     let now = node.unix_now() / 1000;
     let step = {
-        let mut orders = control.orders.borrow_mut();
-        match given {
-            true => orders.give(subject.clone(), known, now),
-            false => orders.call_back(subject, known),
+        let mut overrides = operator_overrides.overrides.borrow_mut();
+        match suspend {
+            true => overrides.give(subject.clone(), ever_listed, now),
+            false => overrides.call_back(subject, ever_listed),
         }
     };
     // Also where it stands already, but is not on record.
-    let due = matches!(step, Step::Changes(_)) || control.unrecorded.get();
-    let record = if due { control.record() } else { Ok(()) };
-    let unrecorded =
+    let must_save = matches!(step, Step::Changes(_)) || operator_overrides.unsaved.get();
+    let saved = if must_save { operator_overrides.save() } else { Ok(()) };
+    let unsaved_text =
         |error: &io::Error| format!("in force, but not on record yet, and gone with this process: {error}");
-    if let (Step::Stands, Err(error)) = (&step, &record) {
-        return Err(unrecorded(error));
+    if let (Step::Stands, Err(error)) = (&step, &saved) {
+        return Err(unsaved_text(error));
     }
     match step {
-        Step::Stands if given => return Ok(format!("{id} is out already")),
+        Step::Stands if suspend => return Ok(format!("{id} is out already")),
         Step::Stands => return Ok(format!("{id} may serve")),
         Step::Refused(refusal) => return Err(refusal.to_string()),
         Step::Changes(change) => {
-            let entry = node.directory.borrow_mut().hold(id, change == Change::Began);
+            let entry = node.directory.borrow_mut().set_suspended(id, change == Change::Began);
             if let Some(entry) = entry {
                 node.send_event(Event::ListUpdate(vec![entry]));
                 if change == Change::Began {
@@ -119,36 +124,36 @@
                 }
             }
             // It was restarted meanwhile.
-            let mut cold = control.cold.borrow_mut();
-            cold.retain(|other| other != id);
+            let mut restored = operator_overrides.restored.borrow_mut();
+            restored.retain(|other| other != id);
             if change == Change::Ended {
-                cold.push_back(id.clone());
-                if cold.len() > ORDERS_MOST {
-                    cold.pop_front();
+                restored.push_back(id.clone());
+                if restored.len() > ORDERS_MOST {
+                    restored.pop_front();
                 }
             }
-            drop(cold);
-            restarted(node);
+            drop(restored);
+            report_restored(node);
             log::info_limited(format_args!(
                 "orders: {id} {}",
-                if given { "out by hand" } else { "may serve" }
+                if suspend { "out by hand" } else { "may serve" }
             ));
         }
     }
-    match record {
-        Err(error) => Err(unrecorded(&error)),
-        _ if given => Ok(format!("{id} is out until RESTORE")),
+    match saved {
+        Err(error) => Err(unsaved_text(&error)),
+        _ if suspend => Ok(format!("{id} is out until RESTORE")),
         _ => Ok(format!("{id} may serve, cold at first")),
     }
 }
 
 /// Tells the decisions of endpoints that were called back and are in service now: they were restarted meanwhile.
-pub fn restarted(node: &Node) {
+pub fn report_restored(node: &Node) {
     let directory = node.directory.borrow();
-    node.overrides.cold.borrow_mut().retain(|id| {
-        let serving = directory.serving(id);
-        serving.inspect(|endpoint| node.send_event(Event::EndpointRestored(*endpoint)));
-        serving.is_none()
+    node.overrides.restored.borrow_mut().retain(|id| {
+        let ready_endpoint = directory.ready_endpoint(id);
+        ready_endpoint.inspect(|endpoint| node.send_event(Event::EndpointRestored(*endpoint)));
+        ready_endpoint.is_none()
     });
 }
 
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -10,9 +10,11 @@
 
 /// Where an endpoint is and what may go there.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct Place {
-    pub dial: SocketAddr,
-    pub dest: u32,
+pub struct ListedEndpoint {
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
+    #[serde(rename = "dest")]
+    pub destination: u32,
     /// Its destination's kind, an index of the settings' kinds.
     pub kind: usize,
     pub zone: u16,
@@ -20,28 +22,29 @@
     /// What the list says of it, orders of operators and bounds aside.
     up: bool,
     /// Out by hand.
-    held: bool,
+    #[serde(rename = "held")]
+    suspended: bool,
     rate: f64,
 }
 
 /// Names of endpoints that lists have told; beyond this many the oldest is forgotten.
-const NAMES_MOST: usize = 1024;
+const MAX_KNOWN_NAMES: usize = 1024;
 
 /// Who was ever listed, as far as that is remembered.
 #[derive(Default, Deserialize, Serialize)]
-struct Names {
+struct KnownNames {
     known: HashSet<String>,
     order: VecDeque<String>,
 }
 
-impl Names {
+impl KnownNames {
     fn add(&mut self, name: &str) {
         if self.known.contains(name) {
             return;
         }
         self.known.insert(name.to_string());
         self.order.push_back(name.to_string());
-        if self.order.len() > NAMES_MOST
+        if self.order.len() > MAX_KNOWN_NAMES
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
@@ -52,14 +55,17 @@
 /// The endpoints that are listed and not gone. Names come ever new: nothing is kept of one that has left but its name.
 #[derive(Default, Deserialize, Serialize)]
 pub struct Directory {
-    hosts: HashMap<String, EndpointId>,
-    places: BTreeMap<EndpointId, Place>,
-    names: Names,
+    #[serde(rename = "hosts")]
+    ids_by_name: HashMap<String, EndpointId>,
+    #[serde(rename = "places")]
+    endpoints: BTreeMap<EndpointId, ListedEndpoint>,
+    names: KnownNames,
     seq: u64,
-    named: u64,
+    #[serde(rename = "named")]
+    last_id: u64,
     /// Destinations held back by a bound, which no other process of this dispatcher knows.
     #[serde(skip)]
-    back: HashSet<u32>,
+    restricted: HashSet<u32>,
 }
 
 /// A list in discovery's form.
@@ -73,12 +79,17 @@
 #[derive(Deserialize)]
 struct Host {
     host: String,
-    dial: SocketAddr,
-    site: String,
-    class: String,
-    block: u32,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
+    #[serde(rename = "site")]
+    zone: String,
+    #[serde(rename = "class")]
+    kind: String,
+    #[serde(rename = "block")]
+    destination: u32,
     health: Health,
-    share: f64,
+    #[serde(rename = "share")]
+    rate: f64,
 }
 
 #[derive(Clone, Copy, Deserialize, PartialEq)]
@@ -89,81 +100,92 @@
     Removed,
 }
 
-impl Place {
+impl ListedEndpoint {
     /// Whether anything may go there; whether that has changed.
-    fn judge(&mut self, back: &HashSet<u32>) -> bool {
-        let ready = self.up && !self.held && !back.contains(&self.dest);
+    fn update_ready(&mut self, restricted: &HashSet<u32>) -> bool {
+        let ready = self.up && !self.suspended && !restricted.contains(&self.destination);
         std::mem::replace(&mut self.ready, ready) != ready
     }
 
     /// The entry that tells the decisions.
     fn entry(&self, endpoint: EndpointId) -> EndpointEntry {
-        let listed = if self.ready { EndpointState::Ready } else { EndpointState::Draining };
-        entry(endpoint, *self, self.rate, listed)
+        let state = if self.ready { EndpointState::Ready } else { EndpointState::Draining };
+        entry(endpoint, *self, self.rate, state)
     }
 }
 
 impl Directory {
-    pub fn place(&self, endpoint: EndpointId) -> Option<Place> {
-        self.places.get(&endpoint).copied()
+    pub fn get(&self, endpoint: EndpointId) -> Option<ListedEndpoint> {
+        self.endpoints.get(&endpoint).copied()
     }
 
     /// Whether a message for `dest` may go to the endpoint at this address as listed now.
-    pub fn open(&self, endpoint: EndpointId, at: SocketAddr, dest: u32) -> bool {
-        self.ready_at(endpoint) == Some(at) && self.places.get(&endpoint).is_some_and(|p| p.dest == dest)
+    pub fn may_receive(&self, endpoint: EndpointId, at: SocketAddr, destination: u32) -> bool {
+        self.ready_address(endpoint) == Some(at)
+            && self.endpoints.get(&endpoint).is_some_and(|p| p.destination == destination)
     }
 
     /// Where the endpoint is, if it may get anything.
-    pub fn ready_at(&self, endpoint: EndpointId) -> Option<SocketAddr> {
-        self.places.get(&endpoint).filter(|place| place.ready).map(|place| place.dial)
+    pub fn ready_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
+        self.endpoints
+            .get(&endpoint)
+            .filter(|endpoint_info| endpoint_info.ready)
+            .map(|endpoint_info| endpoint_info.address)
     }
 
     /// Whether a list has named this endpoint, now or earlier.
     pub fn ever_listed(&self, host: &str) -> bool {
-        self.hosts.contains_key(host) || self.names.known.contains(host)
+        self.ids_by_name.contains_key(host) || self.names.known.contains(host)
     }
 
     /// The endpoint of this name, where it may get something.
-    pub fn serving(&self, host: &str) -> Option<EndpointId> {
-        let endpoint = self.hosts.get(host)?;
-        self.ready_at(*endpoint).map(|_| *endpoint)
+    pub fn ready_endpoint(&self, host: &str) -> Option<EndpointId> {
+        let endpoint = self.ids_by_name.get(host)?;
+        self.ready_address(*endpoint).map(|_| *endpoint)
     }
 
     /// The endpoints in the list, and whether each may get anything as far as list and orders go.
     pub fn listed(&self) -> impl Iterator<Item = (EndpointId, bool)> {
-        self.places.iter().map(|(id, place)| (*id, place.ready))
+        self.endpoints.iter().map(|(id, endpoint_info)| (*id, endpoint_info.ready))
     }
 
     /// An endpoint is out by hand from now on, or no more. The entry tells the decisions, where that changes what
     /// may go there.
-    pub fn hold(&mut self, host: &str, held: bool) -> Option<EndpointEntry> {
-        let endpoint = *self.hosts.get(host)?;
-        let place = self.places.get_mut(&endpoint)?;
-        place.held = held;
-        place.judge(&self.back).then(|| place.entry(endpoint))
+    pub fn set_suspended(&mut self, host: &str, suspended: bool) -> Option<EndpointEntry> {
+        let endpoint = *self.ids_by_name.get(host)?;
+        let endpoint_info = self.endpoints.get_mut(&endpoint)?;
+        endpoint_info.suspended = suspended;
+        endpoint_info.update_ready(&self.restricted).then(|| endpoint_info.entry(endpoint))
     }
 
     /// Nothing goes to a destination from now on, or that is no more so. The entries tell the decisions.
-    pub fn hold_back(&mut self, destination: u32, back: bool) -> Vec<EndpointEntry> {
-        if back {
-            self.back.insert(destination);
+    pub fn set_restricted(&mut self, destination: u32, restricted: bool) -> Vec<EndpointEntry> {
+        if restricted {
+            self.restricted.insert(destination);
         } else {
-            self.back.remove(&destination);
+            self.restricted.remove(&destination);
         }
-        let there = self.places.iter_mut().filter(|(_, place)| place.dest == destination);
-        let changed = there.filter_map(|(id, place)| place.judge(&self.back).then(|| place.entry(*id)));
+        let endpoints =
+            self.endpoints.iter_mut().filter(|(_, endpoint_info)| endpoint_info.destination == destination);
+        let changed = endpoints.filter_map(|(id, endpoint_info)| {
+            endpoint_info.update_ready(&self.restricted).then(|| endpoint_info.entry(*id))
+        });
         changed.collect()
     }
 
     /// One endpoint of a destination.
-    pub fn endpoint_of(&self, destination: u32) -> Option<EndpointId> {
-        self.places.iter().find(|(_, place)| place.dest == destination).map(|(id, _)| *id)
+    pub fn any_endpoint_of(&self, destination: u32) -> Option<EndpointId> {
+        self.endpoints
+            .iter()
+            .find(|(_, endpoint_info)| endpoint_info.destination == destination)
+            .map(|(id, _)| *id)
     }
 
     /// Whether the endpoints of a destination are routes of their own, each with its own outages.
-    pub fn routes_apart(&self, config: &Config, destination: u32) -> bool {
-        let place = self.places.values().find(|place| place.dest == destination);
-        let kind = place.and_then(|place| config.settings.kinds.get(place.kind));
+    pub fn has_independent_endpoints(&self, config: &Config, destination: u32) -> bool {
+        let endpoint_info =
+            self.endpoints.values().find(|endpoint_info| endpoint_info.destination == destination);
+        let kind = endpoint_info.and_then(|endpoint_info| config.settings.kinds.get(endpoint_info.kind));
         kind.is_some_and(|kind| kind.independent_endpoints)
     }
 
@@ -175,12 +197,12 @@
     /// Takes one list; an entry that cannot be read is left out. An endpoint that is `held` by hand is draining,
     /// whatever the list says. Returns the event for the decisions, and the endpoints to which connections are of
     /// no more use.
-    pub fn enrol(
-        &mut self, list: List, kinds: &[String], zones: &[String], held: &dyn Fn(&str) -> bool,
+    pub fn apply(
+        &mut self, list: List, kinds: &[String], zones: &[String], is_suspended: &dyn Fn(&str) -> bool,
     ) -> (Event, Vec<EndpointId>) {
         let mut entries = Vec::new();
-        let mut named = Vec::new();
-        let before = self.places.clone();
+        let mut listed_ids = Vec::new();
+        let previous = self.endpoints.clone();
         for value in list.hosts {
             let host = match Host::deserialize(&value) {
                 Ok(host) => host,
@@ -189,71 +211,91 @@
                     continue;
                 }
             };
-            let Some(kind) = kinds.iter().position(|kind| *kind == host.class) else {
+            let Some(kind) = kinds.iter().position(|kind| *kind == host.kind) else {
                 log::info_limited(format_args!(
                     "discovery: entry left out: {} is of no known class",
                     host.host
                 ));
                 continue;
             };
-            let zone = zones.iter().position(|zone| *zone == host.site).unwrap_or(zones.len()) as u16;
-            let (up, rate) = (host.health == Health::Up, host.share);
-            let held = held(&host.host);
-            let mut place =
-                Place { dial: host.dial, dest: host.block, kind, zone, ready: false, up, held, rate };
-            place.judge(&self.back);
-            let ready = place.ready;
+            let zone = zones.iter().position(|zone| *zone == host.zone).unwrap_or(zones.len()) as u16;
+            let (up, rate) = (host.health == Health::Up, host.rate);
+            let suspended = is_suspended(&host.host);
+            let mut endpoint_info = ListedEndpoint {
+                address: host.address,
+                destination: host.destination,
+                kind,
+                zone,
+                ready: false,
+                up,
+                suspended,
+                rate,
+            };
+            endpoint_info.update_ready(&self.restricted);
+            let ready = endpoint_info.ready;
             self.names.add(&host.host);
             // One that serves another destination now is another endpoint.
-            let old = self.hosts.get(&host.host).copied();
-            let moved = old.filter(|old| self.places.get(old).is_some_and(|place| place.dest != host.block));
-            entries.extend(moved.and_then(|old| self.leave(old)));
+            let previous_id = self.ids_by_name.get(&host.host).copied();
+            let reassigned = previous_id.filter(|old| {
+                self.endpoints
+                    .get(old)
+                    .is_some_and(|endpoint_info| endpoint_info.destination != host.destination)
+            });
+            entries.extend(reassigned.and_then(|old| self.remove(old)));
             // Of two at one address the one that is up holds it: the other has made place, though no list
             // has said so yet. What was sent there for it would come to the wrong one.
-            let there = self.places.iter().find(|(id, p)| p.dial == place.dial && old != Some(**id));
-            let there = there.map(|(id, place)| (*id, place.up));
-            let gone = host.health == Health::Removed || (!up && there.is_some_and(|(_, up)| up));
-            if let Some((other, _)) = there.filter(|_| !gone) {
-                entries.extend(self.leave(other));
+            let same_address = self
+                .endpoints
+                .iter()
+                .find(|(id, p)| p.address == endpoint_info.address && previous_id != Some(**id));
+            let same_address = same_address.map(|(id, endpoint_info)| (*id, endpoint_info.up));
+            let gone = host.health == Health::Removed || (!up && same_address.is_some_and(|(_, up)| up));
+            if let Some((other, _)) = same_address.filter(|_| !gone) {
+                entries.extend(self.remove(other));
             }
-            let endpoint = *self.hosts.entry(host.host).or_insert_with(|| {
-                self.named += 1;
-                EndpointId(self.named)
+            let endpoint = *self.ids_by_name.entry(host.host).or_insert_with(|| {
+                self.last_id += 1;
+                EndpointId(self.last_id)
             });
-            self.places.insert(endpoint, place);
-            named.push(endpoint);
+            self.endpoints.insert(endpoint, endpoint_info);
+            listed_ids.push(endpoint);
             if gone {
-                entries.extend(self.leave(endpoint));
+                entries.extend(self.remove(endpoint));
             } else {
-                let listed = if ready { EndpointState::Ready } else { EndpointState::Draining };
-                entries.push(entry(endpoint, place, rate, listed));
+                let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
+                entries.push(entry(endpoint, endpoint_info, rate, state));
             }
         }
         if list.whole {
             // What it does not name is gone.
-            let unnamed: Vec<_> = self.places.keys().filter(|id| !named.contains(id)).copied().collect();
-            for endpoint in unnamed {
-                self.leave(endpoint);
+            let unlisted: Vec<_> =
+                self.endpoints.keys().filter(|id| !listed_ids.contains(id)).copied().collect();
+            for endpoint in unlisted {
+                self.remove(endpoint);
             }
         }
         self.seq = list.seq;
-        let left = before.iter().filter(|(id, place)| self.ready_at(**id) != Some(place.dial));
-        let left = left.map(|(id, _)| *id).collect();
+        let unusable = previous
+            .iter()
+            .filter(|(id, endpoint_info)| self.ready_address(**id) != Some(endpoint_info.address));
+        let unusable = unusable.map(|(id, _)| *id).collect();
         let event = if list.whole { Event::ListSnapshot(entries) } else { Event::ListUpdate(entries) };
-        (event, left)
+        (event, unusable)
     }
 
     /// Forgets an endpoint; the entry tells the decisions.
-    fn leave(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
-        self.hosts.retain(|_, id| *id != endpoint);
-        let place = self.places.remove(&endpoint)?;
-        Some(entry(endpoint, place, f64::NAN, EndpointState::Removed))
+    fn remove(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
+        self.ids_by_name.retain(|_, id| *id != endpoint);
+        let endpoint_info = self.endpoints.remove(&endpoint)?;
+        Some(entry(endpoint, endpoint_info, f64::NAN, EndpointState::Removed))
     }
 }
 
-fn entry(endpoint: EndpointId, place: Place, rate: f64, listed: EndpointState) -> EndpointEntry {
-    let Place { dest, kind, zone, .. } = place;
-    EndpointEntry { endpoint, destination: DestinationId(dest), kind, zone, rate, state: listed }
+fn entry(
+    endpoint: EndpointId, endpoint_info: ListedEndpoint, rate: f64, state: EndpointState,
+) -> EndpointEntry {
+    let ListedEndpoint { destination, kind, zone, .. } = endpoint_info;
+    EndpointEntry { endpoint, destination: DestinationId(destination), kind, zone, rate, state }
 }
 
 #[cfg(test)]
@@ -261,9 +303,9 @@
     use super::*;
 
     /// Name, port, block and health.
-    type Line<'a> = (&'a str, u16, u32, &'a str);
+    type HostFixture<'a> = (&'a str, u16, u32, &'a str);
 
-    fn directory(lists: &[(bool, &[Line])]) -> (Directory, Vec<Event>) {
+    fn directory(lists: &[(bool, &[HostFixture])]) -> (Directory, Vec<Event>) {
         let mut directory = Directory::default();
         let events = lists.iter().enumerate().map(|(i, (whole, hosts))| {
             let hosts = hosts.iter().map(|(host, port, block, health)| {
@@ -271,18 +313,18 @@
                     "class": "k", "block": block, "health": health, "share": 1.0})
             });
             let list = List { seq: i as u64, whole: *whole, hosts: hosts.collect() };
-            directory.enrol(list, &["k".into()], &["a".into()], &|_| false).0
+            directory.apply(list, &["k".into()], &["a".into()], &|_| false).0
         });
         let events = events.collect();
         (directory, events)
     }
 
     fn ready(directory: &Directory) -> Vec<(u16, u32)> {
-        directory.places.values().filter(|p| p.ready).map(|p| (p.dial.port(), p.dest)).collect()
+        directory.endpoints.values().filter(|p| p.ready).map(|p| (p.address.port(), p.destination)).collect()
     }
 
     #[test]
-    fn a_newcomer_takes_the_address_over() {
+    fn a_new_endpoint_takes_over_an_address() {
         let one = ("one", 1, 7, "up");
         for later in [
             &[("two", 1, 8, "up")][..],
@@ -293,33 +335,33 @@
             for whole in [false, true] {
                 let (directory, _) = directory(&[(true, &[one]), (whole, later)]);
                 assert_eq!(ready(&directory), [(1, 8)], "{later:?}");
-                assert_eq!(directory.hosts.len(), 1);
+                assert_eq!(directory.ids_by_name.len(), 1);
             }
         }
     }
 
     #[test]
-    fn a_host_that_serves_another_destination_is_another_endpoint() {
+    fn a_host_with_a_new_destination_is_a_new_endpoint() {
         let (directory, events) =
             directory(&[(true, &[("one", 1, 7, "up")]), (false, &[("one", 1, 8, "up")])]);
         assert_eq!(ready(&directory), [(1, 8)]);
         let Event::ListUpdate(entries) = &events[1] else { panic!("{events:?}") };
-        let told: Vec<_> = entries.iter().map(|e| (e.endpoint.0, e.destination.0, e.state)).collect();
-        assert_eq!(told, [(1, 7, EndpointState::Removed), (2, 8, EndpointState::Ready)]);
+        let reported: Vec<_> = entries.iter().map(|e| (e.endpoint.0, e.destination.0, e.state)).collect();
+        assert_eq!(reported, [(1, 7, EndpointState::Removed), (2, 8, EndpointState::Ready)]);
     }
 
     #[test]
-    fn names_that_are_ever_new_leave_nothing_behind() {
+    fn endpoints_that_have_left_are_not_retained() {
         let names: Vec<String> = (0..200).map(|i| format!("host-{i}")).collect();
-        let hosts: Vec<[Line; 1]> =
+        let hosts: Vec<[HostFixture; 1]> =
             names.iter().enumerate().map(|(i, name)| [(&**name, i as u16 % 10, 7, "up")]).collect();
         let lists: Vec<(bool, &[_])> = hosts.iter().map(|host| (false, &host[..])).collect();
         let (mut directory, _) = directory(&lists);
-        assert_eq!((directory.hosts.len(), directory.places.len()), (10, 10));
+        assert_eq!((directory.ids_by_name.len(), directory.endpoints.len()), (10, 10));
         let gone = serde_json::json!({"host": "host-199", "dial": "127.0.0.1:9", "site": "a", "class": "k",
             "block": 7, "health": "removed", "share": 1.0});
         let list = List { seq: 300, whole: false, hosts: vec![gone] };
-        let (_, left) = directory.enrol(list, &["k".into()], &["a".into()], &|_| false);
-        assert_eq!((directory.hosts.len(), directory.places.len(), left.len()), (9, 9, 1));
+        let (_, unusable) = directory.apply(list, &["k".into()], &["a".into()], &|_| false);
+        assert_eq!((directory.ids_by_name.len(), directory.endpoints.len(), unusable.len()), (9, 9, 1));
     }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::actions::execute;
 use crate::calls::{self, CallEnd};
-use crate::handover::{self, After, Asked};
+use crate::handover::{self, HandoverRequest, HandoverResult};
 use crate::transfer::Transfer;
 use crate::{Node, compaction, control, log};
 use std::rc::Rc;
@@ -47,7 +47,7 @@
         Input::Event(event) => dispatcher.handle(now, event),
         Input::Accepted { number } => {
             if let Some(message) = node.journaled_message(number) {
-                node.traffic.count(message.destination.0, |count| count.taken += 1);
+                node.traffic.update(message.destination.0, |counters| counters.accepted += 1);
                 dispatcher.handle(now, Event::Accepted(message));
             }
         }
@@ -89,7 +89,7 @@
     pub terminate: Signal,
     pub interrupt: Signal,
     /// Processes that are to take over.
-    pub asked: UnboundedReceiver<Asked>,
+    pub asked: UnboundedReceiver<HandoverRequest>,
     pub rest: UnboundedReceiver<Transfer>,
 }
 
@@ -103,7 +103,7 @@
 /// Rounds, until the process is told to stop and has nothing out any more, or another one has taken over.
 pub async fn run_event_loop(node: Rc<Node>, ears: EventSources) -> ExitAction {
     let EventSources { mut inbox, mut terminate, mut interrupt, mut asked, mut rest } = ears;
-    let tick = Duration::from_secs_f64(node.config.tick);
+    let tick = Duration::from_secs_f64(node.config.tick_seconds);
     let at = |seconds: Seconds| -> tokio::time::Instant {
         (node.started_at + Duration::from_secs_f64(seconds.clamp(0.0, 1e9))).into()
     };
@@ -132,20 +132,20 @@
             std::iter::from_fn(|| inbox.try_recv().ok())
                 .for_each(|input| apply_input(&node, node.now(), input));
             let signals = (&mut terminate, &mut interrupt);
-            match handover::give(&node, stopping, taker, &mut asked, signals, &mut rest).await {
-                After::Resumed { stopping } => stop |= stopping,
-                After::Ended => return ExitAction::Exit,
-                After::Restart => return ExitAction::Restart,
+            match handover::hand_over(&node, stopping, taker, &mut asked, signals, &mut rest).await {
+                HandoverResult::Resumed { stopping } => stop |= stopping,
+                HandoverResult::Ended => return ExitAction::Exit,
+                HandoverResult::Restart => return ExitAction::Restart,
             }
         }
-        node.fleet.look(&node);
+        node.fleet.refresh(&node);
         let now = node.now();
         if stop && told_at.is_none() {
             log::info(format_args!("{now:.3} told to stop"));
             told_at = Some(now);
             node.shutting_down.set(true);
             let leaving = node.clone();
-            spawn_local(async move { leaving.fleet.leave(&leaving).await });
+            spawn_local(async move { leaving.fleet.leave_fleet(&leaving).await });
             node.metrics.set_ready(false);
             node.dispatcher.borrow_mut().handle(now, Event::ShutdownAt(now + CALLS_END));
         }
@@ -166,14 +166,14 @@
             let ages = open.map(|(_, kept)| {
                 (kept.message.destination, -node.to_monotonic(kept.message.accepted_at) + now)
             });
-            node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
+            node.traffic.take_line(now, ages).inspect(|line| log::info_limited(line));
         }
         if now >= sweep_at {
             sweep_at = now + if told_at.is_some() { 0.05 } else { 0.5 };
-            node.overrides.catch_up();
+            node.overrides.retry_save();
             node.pool.sweep(
                 calls::idle_reuse_limit(&node),
-                node.config.limits.idle(node.config.settings.max_concurrent_calls),
+                node.config.limits.max_idle_connections(node.config.settings.max_concurrent_calls),
             );
         }
         if let Some(told_at) = told_at {
@@ -183,7 +183,7 @@
             let journal = node.journal.borrow();
             let idle = journal.iter().next().is_none() && now - told_at >= EXIT_LEAST;
             let quiet = node.calls_in_flight.get() == 0
-                && node.clients.asking() == 0
+                && node.clients.awaiting_response() == 0
                 && (idle || now - told_at >= CALLS_END);
             if quiet || now - told_at >= EXIT {
                 return ExitAction::Exit;
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -10,7 +10,7 @@
 use fawnspoke_duty::duties::{Duties, Fact, News, Settings};
 use fawnspoke_duty::lists::Pace;
 use fawnspoke_duty::roll::{Name, Word};
-use fawnspoke_duty::tries::{Bound, Fact as Of};
+use fawnspoke_duty::tries::{Bound, Fact as AttemptFact};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -19,75 +19,78 @@
 use waydoor::{EndpointEntry, Event, Outcome};
 
 /// The thread answers an operator by then, or the answer is no.
-const SHOW_TIME: Duration = Duration::from_millis(500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What binds this dispatcher, and the parts that say so. Without the fleet's file there are none.
-pub struct Bounds {
+pub struct FleetConstraints {
     member: RefCell<Option<Member<Fact>>>,
-    news: UnboundedSender<News>,
-    heard: RefCell<Option<UnboundedReceiver<News>>>,
+    update_sender: UnboundedSender<News>,
+    updates: RefCell<Option<UnboundedReceiver<News>>>,
     /// Destinations that are out for the decisions, and what binds tries there.
-    out: RefCell<BTreeMap<u32, Bound>>,
+    outages: RefCell<BTreeMap<u32, Bound>>,
     /// Destinations held back now.
-    back: RefCell<BTreeSet<u32>>,
-    pace: Cell<Pace>,
-    seq: Cell<Option<u64>>,
+    restricted: RefCell<BTreeSet<u32>>,
+    discovery_pace: Cell<Pace>,
+    list_seq: Cell<Option<u64>>,
     /// How long a bound holds back that nobody renews.
-    hold_most: BootSeconds,
+    max_hold_seconds: BootSeconds,
     /// Discovery's watch has ended, and nothing has come since.
-    unlisted: Cell<bool>,
+    watch_ended: Cell<bool>,
     /// Each act under a duty is a line in the log.
-    history: bool,
+    log_actions: bool,
 }
 
 /// What a bound lets this dispatcher do now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Now {
+enum Permission {
     /// As alone.
-    Free,
+    Unrestricted,
     /// Nothing goes there.
-    Held,
+    Restricted,
     /// It tries for all, under this epoch.
-    Mine(u64),
+    Holder(u64),
 }
 
 /// A bound ends by itself, also where the member's thread has ended with it: a holder whose term is over holds back for as
 /// long as others would, and is alone then.
-fn now_by(bound: Bound, now: BootSeconds, hold_most: BootSeconds) -> Now {
+fn permission(bound: Bound, now: BootSeconds, max_hold_seconds: BootSeconds) -> Permission {
     match bound {
-        Bound::Mine(epoch, until) if now < until => Now::Mine(epoch),
-        Bound::Mine(_, until) if now < until + hold_most => Now::Held,
-        Bound::Held(until) if now < until => Now::Held,
-        _ => Now::Free,
+        Bound::Mine(epoch, until) if now < until => Permission::Holder(epoch),
+        Bound::Mine(_, until) if now < until + max_hold_seconds => Permission::Restricted,
+        Bound::Held(until) if now < until => Permission::Restricted,
+        _ => Permission::Unrestricted,
     }
 }
 
-impl Bounds {
+impl FleetConstraints {
     /// None are in force.
-    pub fn new(config: &Config) -> Bounds {
-        let (news, heard) = unbounded_channel();
-        Bounds {
+    pub fn new(config: &Config) -> FleetConstraints {
+        let (update_sender, updates) = unbounded_channel();
+        FleetConstraints {
             member: RefCell::default(),
-            news,
-            heard: RefCell::new(Some(heard)),
-            out: RefCell::default(),
-            back: RefCell::default(),
-            pace: Cell::new(Pace::Own),
-            seq: Cell::new(None),
-            hold_most: config.fleet.as_ref().map_or(0.0, |file| file.hold_most_s),
-            unlisted: Cell::new(false),
-            history: config.fleet.as_ref().is_some_and(|file| file.history),
+            update_sender,
+            updates: RefCell::new(Some(updates)),
+            outages: RefCell::default(),
+            restricted: RefCell::default(),
+            discovery_pace: Cell::new(Pace::Own),
+            list_seq: Cell::new(None),
+            max_hold_seconds: config.fleet.as_ref().map_or(0.0, |file| file.hold_most_s),
+            watch_ended: Cell::new(false),
+            log_actions: config.fleet.as_ref().is_some_and(|file| file.history),
         }
     }
 
     /// Begins the member, where this dispatcher is to be one. It takes its record once whoever has it lets it go.
-    pub fn begin(&self, config: &Config) {
+    pub fn start_member(&self, config: &Config) {
         let Some(file) = &config.fleet else { return };
-        let of =
-            shell::Settings { file: file.clone(), name: config.name.clone(), state: config.state.clone() };
-        let duties = Settings { rules: planted(), ..Settings::of(file) };
-        let part = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
-        match shell::begin(of, part, self.news.clone()) {
+        let member_settings = shell::Settings {
+            file: file.clone(),
+            name: config.name.clone(),
+            state: config.state_dir.clone(),
+        };
+        let duties = Settings { rules: duty_rules(), ..Settings::of(file) };
+        let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
+        match shell::begin(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
             Err(error) => {
                 log::info_limited(format_args!("fleet: no thread: {error}; this dispatcher is alone"))
@@ -95,35 +98,37 @@
         }
     }
 
-    fn tell(&self, fact: Fact) {
+    fn report(&self, fact: Fact) {
         if let Some(member) = &*self.member.borrow() {
             member.tell(fact);
         }
     }
 
     /// The decisions take a destination for out, or no more.
-    pub fn out(&self, node: &Node, destination: u32, out: bool) {
-        if self.member.borrow().is_none() || node.directory.borrow().routes_apart(&node.config, destination) {
+    pub fn set_unavailable(&self, node: &Node, destination: u32, unavailable: bool) {
+        if self.member.borrow().is_none()
+            || node.directory.borrow().has_independent_endpoints(&node.config, destination)
+        {
             return;
         }
-        if out {
-            self.out.borrow_mut().entry(destination).or_insert(Bound::Free);
-            self.tell(Fact::Tries(Of::Out(destination)));
-        } else if self.out.borrow_mut().remove(&destination).is_some() {
-            self.tell(Fact::Tries(Of::Well(destination)));
+        if unavailable {
+            self.outages.borrow_mut().entry(destination).or_insert(Bound::Free);
+            self.report(Fact::Tries(AttemptFact::Out(destination)));
+        } else if self.outages.borrow_mut().remove(&destination).is_some() {
+            self.report(Fact::Tries(AttemptFact::Well(destination)));
         }
     }
 
     /// How a call or a probe ended at a destination.
-    pub fn ended(&self, destination: u32, outcomes: impl IntoIterator<Item = Outcome>) {
-        if !self.out.borrow().contains_key(&destination) {
+    pub fn report_outcomes(&self, destination: u32, outcomes: impl IntoIterator<Item = Outcome>) {
+        if !self.outages.borrow().contains_key(&destination) {
             return;
         }
         for outcome in outcomes {
             match outcome {
-                Outcome::Served => self.tell(Fact::Tries(Of::Served(destination))),
+                Outcome::Served => self.report(Fact::Tries(AttemptFact::Served(destination))),
                 Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
-                    self.tell(Fact::Tries(Of::Failed(destination)));
+                    self.report(Fact::Tries(AttemptFact::Failed(destination)));
                 }
                 _ => {}
             }
@@ -132,122 +137,124 @@
 
     /// Another member, which tries for this one, has found a destination out still: as if a probe of the own had failed.
     /// Without it the decisions would date its return by their own last failure, and fill it too fast.
-    fn out_still(&self, node: &Node, destination: u32) {
-        if !matches!(self.out.borrow().get(&destination), Some(Bound::Held(_))) {
+    fn still_unavailable(&self, node: &Node, destination: u32) {
+        if !matches!(self.outages.borrow().get(&destination), Some(Bound::Held(_))) {
             return;
         }
-        let endpoint = node.directory.borrow().endpoint_of(destination);
-        let (outcome, latency, allowance) = (Outcome::ConnectionReset, 0.0, None);
+        let endpoint = node.directory.borrow().any_endpoint_of(destination);
+        let (outcome, latency, rate_limit_report) = (Outcome::ConnectionReset, 0.0, None);
         endpoint.inspect(|at| {
-            node.send_event(Event::ProbeEnded {
-                endpoint: *at,
-                outcome,
-                latency,
-                rate_limit_report: allowance,
-            })
+            node.send_event(Event::ProbeEnded { endpoint: *at, outcome, latency, rate_limit_report })
         });
     }
 
     /// Discovery's watch has ended.
     pub fn list_failed(&self) {
-        self.unlisted.set(true);
-        self.tell(Fact::ListFailed);
+        self.watch_ended.set(true);
+        self.report(Fact::ListFailed);
     }
 
     /// A list has come.
-    pub fn list_came(&self, seq: u64) {
-        self.seq.set(Some(seq));
-        self.unlisted.set(false);
-        self.tell(Fact::List(seq));
+    pub fn list_received(&self, seq: u64) {
+        self.list_seq.set(Some(seq));
+        self.watch_ended.set(false);
+        self.report(Fact::List(seq));
     }
 
     /// A watch brought a sign of life: discovery answers, and has nothing new.
-    pub fn list_alive(&self, seq: u64) {
-        if self.unlisted.get() {
-            self.list_came(seq);
+    pub fn watch_alive(&self, seq: u64) {
+        if self.watch_ended.get() {
+            self.list_received(seq);
         }
     }
 
     /// Whether a call may go to a destination now. A holder looks at its term here, right before the act.
-    pub fn may_try(&self, destination: u32) -> bool {
-        let Some(bound) = self.out.borrow().get(&destination).copied() else { return true };
+    pub fn may_send(&self, destination: u32) -> bool {
+        let Some(bound) = self.outages.borrow().get(&destination).copied() else { return true };
         let now = clock::now();
-        match now_by(bound, now, self.hold_most) {
-            Now::Mine(epoch) if self.history => {
+        match permission(bound, now, self.max_hold_seconds) {
+            Permission::Holder(epoch) if self.log_actions => {
                 log::info(format_args!(
                     "fleet: {:.6} acts tries/{destination} epoch {epoch}",
                     clock::of_all(now)
                 ));
                 true
             }
-            Now::Mine(_) | Now::Free => true,
-            Now::Held => false,
+            Permission::Holder(_) | Permission::Unrestricted => true,
+            Permission::Restricted => false,
         }
     }
 
     /// Whether discovery is asked slowly now, because another member asks: how long to wait.
-    pub fn slowly(&self) -> Option<Duration> {
-        match self.pace.get() {
-            Pace::Slow(spacing, until) if clock::now() < until => Some(Duration::from_secs_f64(spacing)),
+    pub fn discovery_interval(&self) -> Option<Duration> {
+        match self.discovery_pace.get() {
+            Pace::Slow(interval, until) if clock::now() < until => Some(Duration::from_secs_f64(interval)),
             _ => None,
         }
     }
 
     /// Puts bounds that have begun or ended in force.
-    pub fn look(&self, node: &Node) {
-        if self.out.borrow().is_empty() && self.back.borrow().is_empty() {
+    pub fn refresh(&self, node: &Node) {
+        if self.outages.borrow().is_empty() && self.restricted.borrow().is_empty() {
             return;
         }
         let now = clock::now();
-        let held = |bound: &Bound| now_by(*bound, now, self.hold_most) == Now::Held;
-        let due: BTreeSet<u32> =
-            self.out.borrow().iter().filter(|(_, b)| held(b)).map(|(number, _)| *number).collect();
-        if *self.back.borrow() != due {
-            self.hold_back(node, due)
+        let is_restricted =
+            |bound: &Bound| permission(*bound, now, self.max_hold_seconds) == Permission::Restricted;
+        let to_restrict: BTreeSet<u32> = self
+            .outages
+            .borrow()
+            .iter()
+            .filter(|(_, bound)| is_restricted(bound))
+            .map(|(destination, _)| *destination)
+            .collect();
+        if *self.restricted.borrow() != to_restrict {
+            self.set_restricted(node, to_restrict)
                 .into_iter()
                 .for_each(|entries| node.send_event(Event::ListUpdate(entries)));
         }
     }
 
     /// Holds back these destinations and no others; what that changes in the list.
-    fn hold_back(&self, node: &Node, due: BTreeSet<u32>) -> Vec<Vec<EndpointEntry>> {
-        let before = self.back.replace(due.clone());
+    fn set_restricted(&self, node: &Node, to_restrict: BTreeSet<u32>) -> Vec<Vec<EndpointEntry>> {
+        let previous = self.restricted.replace(to_restrict.clone());
         let mut directory = node.directory.borrow_mut();
-        let changed = before.symmetric_difference(&due);
-        let entries = changed.map(|destination| directory.hold_back(*destination, due.contains(destination)));
+        let changed = previous.symmetric_difference(&to_restrict);
+        let entries = changed
+            .map(|destination| directory.set_restricted(*destination, to_restrict.contains(destination)));
         entries.filter(|entries| !entries.is_empty()).collect()
     }
 
     /// Lifts all bounds, and lets the member's record go: another process of this dispatcher goes on.
-    pub fn give(&self, node: &Node) {
+    pub fn stop_member(&self, node: &Node) {
         if let Some(member) = self.member.take() {
             member.stop();
         }
-        for entries in self.lift(node) {
+        for entries in self.lift_all(node) {
             node.dispatcher.borrow_mut().handle(node.now(), Event::ListUpdate(entries));
         }
     }
 
     /// No bound is in force any more; what that changes in the list.
-    fn lift(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
-        self.out.borrow_mut().clear();
-        self.pace.set(Pace::Own);
-        self.hold_back(node, BTreeSet::new())
+    fn lift_all(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
+        self.outages.borrow_mut().clear();
+        self.discovery_pace.set(Pace::Own);
+        self.set_restricted(node, BTreeSet::new())
     }
 
     /// The other process has not taken over: the member goes on here.
     pub fn resume(&self, node: &Node) {
-        self.begin(&node.config);
-        let out: Vec<u32> = node.journal.borrow().outages().collect();
-        out.into_iter().for_each(|destination| self.out(node, destination, true));
+        self.start_member(&node.config);
+        let outages: Vec<u32> = node.journal.borrow().outages().collect();
+        outages.into_iter().for_each(|destination| self.set_unavailable(node, destination, true));
     }
 
     /// The dispatcher stops: what its member holds is given on, and it does the rest as alone.
-    pub async fn leave(&self, node: &Node) {
+    pub async fn leave_fleet(&self, node: &Node) {
         let member = self.member.take();
         if let Some(member) = member {
             member.leave().await;
-            self.lift(node).into_iter().for_each(|entries| node.send_event(Event::ListUpdate(entries)));
+            self.lift_all(node).into_iter().for_each(|entries| node.send_event(Event::ListUpdate(entries)));
         }
     }
 
@@ -255,57 +262,59 @@
     ///
     /// # Errors
     /// Where there is none, or it does not answer.
-    pub async fn show(&self) -> Result<String, String> {
+    pub async fn status(&self) -> Result<String, String> {
         let member = self.member.borrow().clone().ok_or("this dispatcher is no member of a fleet")?;
-        member.show(SHOW_TIME).await.ok_or_else(|| "the member does not answer".into())
+        member.show(STATUS_TIMEOUT).await.ok_or_else(|| "the member does not answer".into())
     }
 }
 
 /// Hears what parts have to say, for as long as the process runs.
-pub async fn hear(node: Rc<Node>) {
-    let Some(mut heard) = node.fleet.heard.take() else { return };
-    while let Some(news) = heard.recv().await {
+pub async fn process_updates(node: Rc<Node>) {
+    let Some(mut updates) = node.fleet.updates.take() else { return };
+    while let Some(update) = updates.recv().await {
         if node.serving_state.phase() != Phase::Serving {
             continue;
         }
-        let bounds = &node.fleet;
-        match news {
+        let constraints = &node.fleet;
+        match update {
             News::Began => {
                 // It has forgotten what it was told.
-                let out: Vec<u32> = bounds.out.borrow().keys().copied().collect();
-                out.iter().for_each(|number| bounds.tell(Fact::Tries(Of::Out(*number))));
-                bounds.seq.get().into_iter().for_each(|seq| bounds.tell(Fact::List(seq)));
+                let outages: Vec<u32> = constraints.outages.borrow().keys().copied().collect();
+                outages
+                    .iter()
+                    .for_each(|destination| constraints.report(Fact::Tries(AttemptFact::Out(*destination))));
+                constraints.list_seq.get().into_iter().for_each(|seq| constraints.report(Fact::List(seq)));
             }
             News::Tries(destination, bound) => {
-                if let Some(known) = bounds.out.borrow_mut().get_mut(&destination) {
-                    *known = bound;
+                if let Some(current) = constraints.outages.borrow_mut().get_mut(&destination) {
+                    *current = bound;
                 }
-                bounds.look(&node);
+                constraints.refresh(&node);
             }
-            News::Lists(pace) => bounds.pace.set(pace),
+            News::Lists(pace) => constraints.discovery_pace.set(pace),
             News::AskNow => node.resubscribe.notify_one(),
             News::Given(name, epoch, holder) => {
-                let who = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
+                let holder_name = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
                 log::info(format_args!(
-                    "fleet: {:.6} given {name} epoch {epoch} to {who}",
+                    "fleet: {:.6} given {name} epoch {epoch} to {holder_name}",
                     clock::of_all(clock::now())
                 ));
             }
-            News::Refused(name, epoch, now_at) => {
+            News::Refused(name, epoch, current_epoch) => {
                 log::info(format_args!(
-                    "fleet: {:.6} refused {name} epoch {epoch}, {now_at} is given",
+                    "fleet: {:.6} refused {name} epoch {epoch}, {current_epoch} is given",
                     clock::now()
                 ));
             }
             News::Told(name, epoch, word) => {
-                if bounds.history {
+                if constraints.log_actions {
                     log::info(format_args!("fleet: {:.6} told {name} epoch {epoch} {word:?}", clock::now()));
                 }
                 if let (Name::Tries(destination), Word::Out) = (name, word) {
-                    bounds.out_still(&node, destination);
+                    constraints.still_unavailable(&node, destination);
                 }
             }
-            News::Acts(name, epoch, at) if bounds.history => {
+            News::Acts(name, epoch, at) if constraints.log_actions => {
                 log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::of_all(at)));
             }
             News::Acts(..) => {}
@@ -314,7 +323,7 @@
 }
 
 /// All rules hold; with the feature `planted`, which is for tests alone, all but the one that a variable names.
-fn planted() -> fawnspoke_duty::Rules {
+fn duty_rules() -> fawnspoke_duty::Rules {
     #[cfg(feature = "planted")]
     if let Some(rules) =
         std::env::var("FAWNSPOKE_PLANTED").ok().and_then(|name| fawnspoke_duty::Rules::without(&name))
@@ -329,14 +338,17 @@
     use super::*;
 
     #[test]
-    fn no_bound_outlasts_its_time_though_nobody_lifts_it() {
-        let held = |at| now_by(Bound::Held(10.0), at, 3.0);
-        assert_eq!((held(9.9), held(10.0)), (Now::Held, Now::Free));
-        let mine = |at| now_by(Bound::Mine(4, 10.0), at, 3.0);
+    fn a_restriction_expires_though_nobody_lifts_it() {
+        let restricted_at = |at| permission(Bound::Held(10.0), at, 3.0);
         assert_eq!(
-            (mine(9.9), mine(10.0), mine(12.9), mine(13.0)),
-            (Now::Mine(4), Now::Held, Now::Held, Now::Free)
+            (restricted_at(9.9), restricted_at(10.0)),
+            (Permission::Restricted, Permission::Unrestricted)
         );
-        assert_eq!(now_by(Bound::Free, 0.0, 3.0), Now::Free);
+        let holder_at = |at| permission(Bound::Mine(4, 10.0), at, 3.0);
+        assert_eq!(
+            (holder_at(9.9), holder_at(10.0), holder_at(12.9), holder_at(13.0)),
+            (Permission::Holder(4), Permission::Restricted, Permission::Restricted, Permission::Unrestricted)
+        );
+        assert_eq!(permission(Bound::Free, 0.0, 3.0), Permission::Unrestricted);
     }
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -34,50 +34,57 @@
 use tokio::sync::{Semaphore, oneshot};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
-use waydoor::{Dispatcher, EndpointId, Event as Happened, InFlightAttempt, Outcome};
+use waydoor::{Dispatcher, EndpointId, Event as DispatcherEvent, InFlightAttempt, Outcome};
 
 /// How often the giver looks at the time while it hands over.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Takers that have not said yet what they want; more are hung up on, and come again.
-const UNHEARD_MOST: usize = 4;
+const MAX_PENDING_REQUESTS: usize = 4;
 /// A taker says what it wants by then.
-const HELLO_TIME: Duration = Duration::from_secs(1);
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 /// A packet of the state has gone, or come, by then.
-const PACKET_TIME: Duration = Duration::from_secs(1);
+const PACKET_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// All that the dispatcher knows and that is not on record.
 #[derive(Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// When the dispatcher's clock began, on the system's monotonic one, in seconds.
-    started: f64,
+    #[serde(rename = "started")]
+    clock_start_seconds: f64,
     /// What the decisions hold in mind.
-    pub decisions: Dispatcher,
+    #[serde(rename = "decisions")]
+    pub dispatcher: Dispatcher,
     /// The list.
     pub directory: Directory,
     /// Messages that have ended.
-    pub ended: RecentOutcomes,
+    #[serde(rename = "ended")]
+    pub ended_messages: RecentOutcomes,
 }
 
 /// The same, where it is.
 #[derive(Serialize)]
-struct Known<'a> {
-    started: f64,
-    decisions: &'a Dispatcher,
+struct HandoverStateRef<'a> {
+    #[serde(rename = "started")]
+    clock_start_seconds: f64,
+    #[serde(rename = "decisions")]
+    dispatcher: &'a Dispatcher,
     directory: &'a Directory,
-    ended: &'a RecentOutcomes,
+    #[serde(rename = "ended")]
+    ended_messages: &'a RecentOutcomes,
 }
 
 /// The system's monotonic clock, which both processes read, in seconds.
-fn monotonic() -> f64 {
+fn monotonic_seconds() -> f64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
-impl State {
+impl HandoverState {
     /// When the dispatcher's clock began.
-    pub fn started(&self) -> Instant {
+    pub fn clock_start(&self) -> Instant {
         let now = Instant::now();
-        let age = Duration::try_from_secs_f64(monotonic() - self.started).unwrap_or_default();
+        let age =
+            Duration::try_from_secs_f64(monotonic_seconds() - self.clock_start_seconds).unwrap_or_default();
         now.checked_sub(age).unwrap_or(now)
     }
 }
@@ -85,32 +92,39 @@
 // ---- the old process ----------------------------------------------------------------------------------------------
 
 /// Orders that the other process carries out, by number, and who waits for it.
-type Orders = BTreeMap<u32, oneshot::Sender<Result<String, String>>>;
+type ForwardedCommands = BTreeMap<u32, oneshot::Sender<Result<String, String>>>;
 
 /// A taker that asks.
-pub struct Asked {
+pub struct HandoverRequest {
     link: Link,
     hello: Hello,
 }
 
 /// Hears takers for as long as this process owns.
-pub struct Doorstep {
-    folder: PathBuf,
-    asked: UnboundedSender<Asked>,
-    listening: RefCell<Option<AbortHandle>>,
+pub struct HandoverListener {
+    state_dir: PathBuf,
+    requests: UnboundedSender<HandoverRequest>,
+    listen_task: RefCell<Option<AbortHandle>>,
 }
 
-impl Doorstep {
+impl HandoverListener {
     /// For the folder that lasts; takers come to the receiver.
-    pub fn new(folder: &Path) -> (Doorstep, UnboundedReceiver<Asked>) {
-        let (asked, receiver) = unbounded_channel();
-        (Doorstep { folder: folder.to_path_buf(), asked, listening: RefCell::default() }, receiver)
+    pub fn new(state_dir: &Path) -> (HandoverListener, UnboundedReceiver<HandoverRequest>) {
+        let (requests, receiver) = unbounded_channel();
+        (
+            HandoverListener {
+                state_dir: state_dir.to_path_buf(),
+                requests,
+                listen_task: RefCell::default(),
+            },
+            receiver,
+        )
     }
 
     /// Listens from now on, in the place of whoever did. Where that can't be, upgrades are restarts.
     pub fn open(&self) {
         self.close();
-        let listener = match Listener::bind(&self.folder) {
+        let listener = match Listener::bind(&self.state_dir) {
             Ok(listener) => listener,
             Err(error) => {
                 return log::info_limited(format_args!(
@@ -118,35 +132,35 @@
                 ));
             }
         };
-        let asked = self.asked.clone();
-        let unheard = Arc::new(Semaphore::new(UNHEARD_MOST));
+        let requests = self.requests.clone();
+        let pending = Arc::new(Semaphore::new(MAX_PENDING_REQUESTS));
         let task = spawn_local(async move {
             while let Ok(link) = listener.accept().await {
-                let Ok(permit) = unheard.clone().try_acquire_owned() else { continue };
-                let asked = asked.clone();
+                let Ok(permit) = pending.clone().try_acquire_owned() else { continue };
+                let requests = requests.clone();
                 spawn_local(async move {
                     let _permit = permit;
-                    let hello = timeout(HELLO_TIME, link.receive()).await;
+                    let hello = timeout(HELLO_TIMEOUT, link.receive()).await;
                     if let Ok(Ok(Some((packet, _)))) = hello
                         && let Ok(hello) = Hello::read(&packet)
                     {
-                        let _ = asked.send(Asked { link, hello });
+                        let _ = requests.send(HandoverRequest { link, hello });
                     }
                 });
             }
         });
-        self.listening.replace(Some(task.abort_handle()));
+        self.listen_task.replace(Some(task.abort_handle()));
     }
 
     fn close(&self) {
-        if let Some(listening) = self.listening.take() {
-            listening.abort();
+        if let Some(task) = self.listen_task.take() {
+            task.abort();
         }
     }
 }
 
 /// What becomes of the process that gave.
-pub enum After {
+pub enum HandoverResult {
     /// It goes on as before; told to stop meanwhile, or not.
     Resumed { stopping: bool },
     /// It ends.
@@ -155,63 +169,69 @@
     Restart,
 }
 
-async fn refuse(link: &Link, why: &str) {
-    log::info_limited(format_args!("handover: refused: {why}"));
-    if let Ok(packet) = frames::packet(&FromGiver::Refused(why.into())) {
-        let _ = timeout(PACKET_TIME, link.send(&packet, None)).await;
+async fn refuse(link: &Link, reason: &str) {
+    log::info_limited(format_args!("handover: refused: {reason}"));
+    if let Ok(packet) = frames::packet(&FromGiver::Refused(reason.into())) {
+        let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
     }
 }
 
 /// Hands the dispatcher over to a process that asks, and sees it through to its end.
-pub async fn give(
-    node: &Rc<Node>, stopping: bool, first: Asked, asked: &mut UnboundedReceiver<Asked>,
-    (terminate, interrupt): (&mut Signal, &mut Signal), rest: &mut UnboundedReceiver<Transfer>,
-) -> After {
-    if first.hello.version != VERSION {
-        refuse(&first.link, &format!("version {VERSION} of the frames here, {} there", first.hello.version))
-            .await;
-        return After::Resumed { stopping };
+pub async fn hand_over(
+    node: &Rc<Node>, stopping: bool, first_request: HandoverRequest,
+    requests: &mut UnboundedReceiver<HandoverRequest>, (terminate, interrupt): (&mut Signal, &mut Signal),
+    transfers: &mut UnboundedReceiver<Transfer>,
+) -> HandoverResult {
+    if first_request.hello.version != VERSION {
+        refuse(
+            &first_request.link,
+            &format!("version {VERSION} of the frames here, {} there", first_request.hello.version),
+        )
+        .await;
+        return HandoverResult::Resumed { stopping };
     }
-    let began = Instant::now();
-    let (mut giver, mut link) = (Giver::Owner { stopping }, Some(first.link));
+    let started_at = Instant::now();
+    let (mut state_machine, mut link) = (Giver::Owner { stopping }, Some(first_request.link));
     let (mut event, mut finished) = (Event::Asked, false);
-    let (mut orders, mut counted) = (Orders::new(), 0);
-    let mut other: Option<Asked> = None;
+    let (mut commands, mut command_count) = (ForwardedCommands::new(), 0);
+    let mut later_request: Option<HandoverRequest> = None;
     loop {
         // What an action brings about is heard before anything else.
         let mut next = None;
-        for action in giver.step(node.now(), event) {
+        for action in state_machine.step(node.now(), event) {
             match action {
-                Action::Refuse(why) => {
+                Action::Refuse(reason) => {
                     // The first one, where this process is stopping, or one that came meanwhile.
-                    if let Some(refused) = other.take().map(|other| other.link).or_else(|| link.take()) {
-                        refuse(&refused, why).await;
+                    if let Some(refused_link) =
+                        later_request.take().map(|request| request.link).or_else(|| link.take())
+                    {
+                        refuse(&refused_link, reason).await;
                     }
                 }
                 Action::Give => {
                     log::info_limited(format_args!("handover: asked; giving"));
-                    if !first.hello.decisions {
+                    if !first_request.hello.decisions {
                         // Who begins from the record takes them for ended.
                         node.abort_calls().await;
                     }
                     node.serving_state.set_phase(Phase::HandingOver);
-                    for number in node.clients.leave_unheard() {
-                        requests::withdraw(node, number);
+                    for number in node.clients.close_unacknowledged() {
+                        requests::withdraw_unacknowledged(node, number);
                     }
                     // The decisions' state goes over without what others have bound.
-                    node.fleet.give(node);
+                    node.fleet.stop_member(node);
                     node.owner_lock.replace(None);
-                    let given = match &link {
-                        Some(link) => send_all(node, link, first.hello.decisions).await,
+                    let sent = match &link {
+                        Some(link) => send_state(node, link, first_request.hello.decisions).await,
                         None => Ok(()),
                     };
-                    if let Err(error) = given {
+                    if let Err(error) = sent {
                         log::info_limited(format_args!("handover: {error}"));
                         next = Some(Event::Broken);
                     }
                 }
                 Action::TryLock => {
-                    let lock = lock::try_lock(&node.config.state).unwrap_or_else(|error| {
+                    let lock = lock::try_lock(&node.config.state_dir).unwrap_or_else(|error| {
                         log::info_limited(format_args!("handover: lock: {error}"));
                         None
                     });
@@ -223,14 +243,14 @@
                 Action::Resume => {
                     link = None;
                     // The one that died may have begun on it.
-                    if let Err(error) = reopen(node) {
+                    if let Err(error) = reopen_journal(node) {
                         log::info_limited(format_args!("handover: {error}; beginning anew"));
-                        return After::Restart;
+                        return HandoverResult::Restart;
                     }
                     node.handover_socket.open();
                     node.serving_state.set_phase(Phase::Serving);
                     node.fleet.resume(node);
-                    let took = began.elapsed().as_secs_f64();
+                    let took = started_at.elapsed().as_secs_f64();
                     log::info_limited(format_args!("handover: not taken; serving again after {took:.3} s"));
                 }
                 Action::HandRest => {
@@ -238,12 +258,14 @@
                     node.metrics.set_ready(false);
                     node.metrics.set(Gauges::default());
                     node.serving_state.set_phase(Phase::HandedOver);
-                    for (endpoint, link) in node.pool.take_reusable() {
-                        node.transfer(Transfer::IdleConnection { endpoint, connection: link });
+                    for (endpoint, connection) in node.pool.take_reusable() {
+                        node.transfer(Transfer::IdleConnection { endpoint, connection });
                     }
-                    let took = began.elapsed().as_secs_f64();
-                    let out = node.calls_in_flight.get();
-                    log::info_limited(format_args!("handover: taken after {took:.3} s; {out} calls out"));
+                    let took = started_at.elapsed().as_secs_f64();
+                    let in_flight = node.calls_in_flight.get();
+                    log::info_limited(format_args!(
+                        "handover: taken after {took:.3} s; {in_flight} calls out"
+                    ));
                 }
                 Action::Cut => {
                     node.abort_calls().await;
@@ -253,27 +275,27 @@
                     log::info_limited(format_args!(
                         "handover: the process that took over has died; beginning anew"
                     ));
-                    return After::Restart;
+                    return HandoverResult::Restart;
                 }
                 Action::Exit => {
                     log::info_limited(format_args!("handover: done; ending"));
-                    return After::Ended;
+                    return HandoverResult::Ended;
                 }
             }
         }
-        if let Giver::Owner { stopping } = giver {
-            return After::Resumed { stopping };
+        if let Giver::Owner { stopping } = state_machine {
+            return HandoverResult::Resumed { stopping };
         }
         if let Some(next) = next {
             event = next;
             continue;
         }
-        let over = node.serving_state.phase() == Phase::HandedOver;
-        if over
+        let handed_over = node.serving_state.phase() == Phase::HandedOver;
+        if handed_over
             && !finished
             && node.calls_in_flight.get() == 0
             && node.clients.count() == 0
-            && rest.is_empty()
+            && transfers.is_empty()
         {
             finished = true;
             node.calls_lock.replace(None);
@@ -281,15 +303,15 @@
             continue;
         }
         event = tokio::select! {
-            frame = hear(link.as_ref()) => match frame {
+            frame = next_frame(link.as_ref()) => match frame {
                 Some(FromTaker::Mine) => Event::Mine,
-                Some(FromTaker::Unusable(why)) => {
-                    log::info_limited(format_args!("handover: what was given is of no use there: {why}"));
+                Some(FromTaker::Unusable(reason)) => {
+                    log::info_limited(format_args!("handover: what was given is of no use there: {reason}"));
                     link = None;
                     Event::Unusable
                 }
                 Some(FromTaker::Carried { number, yes, text }) => {
-                    if let Some(answer) = orders.remove(&number) {
+                    if let Some(answer) = commands.remove(&number) {
                         let _ = answer.send(if yes { Ok(text) } else { Err(text) });
                     }
                     continue;
@@ -299,35 +321,35 @@
                     Event::Broken
                 }
             },
-            Some(asked) = asked.recv() => {
-                other = Some(asked);
+            Some(request) = requests.recv() => {
+                later_request = Some(request);
                 Event::Asked
             }
-            Some(rest) = rest.recv(), if over => {
+            Some(transfer) = transfers.recv(), if handed_over => {
                 let Some(link) = &link else { continue };
-                if let Err(error) = hand(link, rest, &mut orders, &mut counted).await {
+                if let Err(error) = send_transfer(link, transfer, &mut commands, &mut command_count).await {
                     log::info_limited(format_args!("handover: {error}"));
                 }
                 continue;
             }
             _ = terminate.recv() => Event::Terminate,
             _ = interrupt.recv() => Event::Terminate,
-            () = sleep(LOOK) => Event::Tick,
+            () = sleep(POLL_INTERVAL) => Event::Tick,
         };
     }
 }
 
 /// The next frame; none once the link has ended. Without a link it never comes.
-async fn hear(link: Option<&Link>) -> Option<FromTaker> {
+async fn next_frame(link: Option<&Link>) -> Option<FromTaker> {
     let Some(link) = link else { return std::future::pending().await };
     let (packet, _) = link.receive().await.ok()??;
     frames::read(&packet).ok()
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 /// Opens the journal anew; the messages that ended in this life are remembered.
-fn reopen(node: &Node) -> Result<(), OpenError> {
+fn reopen_journal(node: &Node) -> Result<(), OpenError> {
     let (mut journal, _) = open_journal(&node.config)?;
     journal.restore_recent_outcomes(node.journal.borrow().recent_outcomes().clone());
     node.journal.replace(journal);
@@ -335,56 +357,61 @@
 }
 
 /// Sends all that is known and not on record.
-async fn send_all(node: &Node, link: &Link, decisions: bool) -> Result<(), Failure> {
+async fn send_state(node: &Node, link: &Link, include_state: bool) -> Result<(), BoxError> {
     let mut state = Vec::new();
-    if decisions {
-        let (decisions, directory, journal) =
+    if include_state {
+        let (dispatcher, directory, journal) =
             (node.dispatcher.borrow(), node.directory.borrow(), node.journal.borrow());
-        let started = monotonic() - node.now();
-        let (decisions, directory, ended) = (&*decisions, &*directory, journal.recent_outcomes());
-        ciborium::into_writer(&Known { started, decisions, directory, ended }, &mut state)?;
+        let clock_start_seconds = monotonic_seconds() - node.now();
+        let (dispatcher, directory, ended_messages) = (&*dispatcher, &*directory, journal.recent_outcomes());
+        ciborium::into_writer(
+            &HandoverStateRef { clock_start_seconds, dispatcher, directory, ended_messages },
+            &mut state,
+        )?;
     }
-    for piece in state.chunks(CHUNK) {
-        let packet = frames::packet(&FromGiver::State(piece.to_vec()))?;
-        timeout(PACKET_TIME, link.send(&packet, None)).await??;
+    for chunk in state.chunks(CHUNK) {
+        let packet = frames::packet(&FromGiver::State(chunk.to_vec()))?;
+        timeout(PACKET_TIMEOUT, link.send(&packet, None)).await??;
     }
     let packet = frames::packet(&FromGiver::State(Vec::new()))?;
-    timeout(PACKET_TIME, link.send(&packet, Some(node.listener.as_fd()))).await??;
+    timeout(PACKET_TIMEOUT, link.send(&packet, Some(node.listener.as_fd()))).await??;
     Ok(())
 }
 
 /// Hands one thing over, or tells it; what was handed is closed here.
-async fn hand(link: &Link, rest: Transfer, orders: &mut Orders, counted: &mut u32) -> Result<(), Failure> {
-    let mut connection = None;
-    let (frame, stream) = match rest {
+async fn send_transfer(
+    link: &Link, transfer: Transfer, commands: &mut ForwardedCommands, command_count: &mut u32,
+) -> Result<(), BoxError> {
+    let mut sent_connection = None;
+    let (frame, stream) = match transfer {
         Transfer::Client { stream, read, asked_ms } => (FromGiver::Client { read, asked_ms }, Some(stream)),
-        Transfer::IdleConnection { endpoint, connection: link } => {
-            let idle_ms = link.idle_since.elapsed().as_millis() as u32;
-            let frame = FromGiver::Idle { endpoint: endpoint.0, at: link.address, idle_ms };
-            let stream = link.stream.clone();
-            connection = Some(link);
+        Transfer::IdleConnection { endpoint, connection } => {
+            let idle_ms = connection.idle_since.elapsed().as_millis() as u32;
+            let frame = FromGiver::Idle { endpoint: endpoint.0, at: connection.address, idle_ms };
+            let stream = connection.stream.clone();
+            sent_connection = Some(connection);
             (frame, Some(stream))
         }
-        Transfer::Completion(told) => (FromGiver::Ended(frames::packet(&told)?), None),
-        Transfer::Order(order) => {
-            *counted += 1;
-            orders.insert(*counted, order.answer);
-            (FromGiver::Order { number: *counted, given: order.given, id: order.subject.id }, None)
+        Transfer::Completion(completion) => (FromGiver::Ended(frames::packet(&completion)?), None),
+        Transfer::Order(command) => {
+            *command_count += 1;
+            commands.insert(*command_count, command.answer);
+            (FromGiver::Order { number: *command_count, given: command.given, id: command.subject.id }, None)
         }
     };
     let packet = frames::packet(&frame)?;
-    timeout(PACKET_TIME, link.send(&packet, stream.as_ref().map(SharedStream::descriptor))).await??;
-    drop(connection);
+    timeout(PACKET_TIMEOUT, link.send(&packet, stream.as_ref().map(SharedStream::descriptor))).await??;
+    drop(sent_connection);
     Ok(())
 }
 
 // ---- the new process ----------------------------------------------------------------------------------------------
 
 /// What came from the process before.
-pub struct Taken {
+pub struct ReceivedHandover {
     link: Link,
     /// What it knew; none where that is of no use here.
-    pub state: Option<State>,
+    pub state: Option<HandoverState>,
     /// The clients' listening socket.
     pub listener: Option<OwnedFd>,
 }
@@ -397,21 +424,21 @@
 }
 
 /// Waits until this process owns the folder: at once where no other does, else by a hand-over, or when the other ends.
-pub async fn arrive(config: &Config) -> (Locks, Option<Taken>) {
+pub async fn acquire_ownership(config: &Config) -> (Locks, Option<ReceivedHandover>) {
     use taker::{Action, Event};
-    let (mut taker, mut link, mut held) = (Taker::default(), None, Locks::default());
-    let (mut without, mut state, mut listener) = (false, None, None);
+    let (mut state_machine, mut link, mut locks) = (Taker::default(), None, Locks::default());
+    let (mut journal_only, mut state, mut listener) = (false, None, None);
     let mut event = Event::Begin;
-    let (mut told, mut refused) = (false, false);
+    let (mut refusal_logged, mut lock_error_logged) = (false, false);
     loop {
         let mut next = None;
-        for action in taker.step(event) {
+        for action in state_machine.step(event) {
             match action {
                 Action::Connect => {
                     link = None;
-                    next = Some(match Link::connect(&config.state) {
-                        Ok(Some(there)) => {
-                            link = Some(there);
+                    next = Some(match Link::connect(&config.state_dir) {
+                        Ok(Some(connected)) => {
+                            link = Some(connected);
                             Event::Connected
                         }
                         Ok(None) => Event::Nobody,
@@ -424,10 +451,18 @@
                     });
                 }
                 Action::Ask { decisions } => {
-                    without = !decisions;
+                    journal_only = !decisions;
                     next = Some(match &link {
                         Some(link) => {
-                            ask(link, config, decisions, &mut state, &mut listener, &mut told).await
+                            request_state(
+                                link,
+                                config,
+                                decisions,
+                                &mut state,
+                                &mut listener,
+                                &mut refusal_logged,
+                            )
+                            .await
                         }
                         None => Event::Broken,
                     });
@@ -435,14 +470,14 @@
                 Action::SayUnusable => {
                     let frame = FromTaker::Unusable("another program's, or other settings".into());
                     if let (Some(link), Ok(packet)) = (link.take(), frames::packet(&frame)) {
-                        let _ = timeout(PACKET_TIME, link.send(&packet, None)).await;
+                        let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
                     }
                     (state, listener) = (None, None);
                 }
-                Action::TryLock => match lock::try_lock(&config.state) {
+                Action::TryLock => match lock::try_lock(&config.state_dir) {
                     Ok(lock) => {
                         next = Some(Event::Locked(lock.is_some()));
-                        held.owner = lock;
+                        locks.owner = lock;
                     }
                     Err(error) if lock::is_unknown(&error) => {
                         log::info_limited(format_args!("handover: lock: {error}; going on without"));
@@ -450,7 +485,7 @@
                     }
                     // Somebody may hold it.
                     Err(error) => {
-                        if !std::mem::replace(&mut refused, true) {
+                        if !std::mem::replace(&mut lock_error_logged, true) {
                             log::info_limited(format_args!("handover: lock: {error}; trying again"));
                         }
                         next = Some(Event::Locked(false));
@@ -460,39 +495,39 @@
                     let linked = link.as_ref().is_some_and(|link| !link.has_ended());
                     next = Some(Event::Linked(linked));
                 }
-                Action::Unlock => held = Locks::default(),
+                Action::Unlock => locks = Locks::default(),
                 Action::TryQuiet => {
-                    let quiet = lock::quiet_calls(&config.state);
+                    let quiet = lock::quiet_calls(&config.state_dir);
                     let unknown = quiet.as_ref().is_err_and(lock::is_unknown);
-                    held.calls = quiet.unwrap_or_default();
-                    next = Some(Event::Quiet(held.calls.is_some() || unknown));
+                    locks.calls = quiet.unwrap_or_default();
+                    next = Some(Event::Quiet(locks.calls.is_some() || unknown));
                 }
                 Action::Drop => (link, state, listener) = (None, None, None),
                 Action::Wait => {
                     next = Some(tokio::select! {
-                        true = ended(link.as_ref()) => Event::Broken,
+                        true = link_ended(link.as_ref()) => Event::Broken,
                         () = sleep(Duration::from_secs_f64(taker::AGAIN)) => Event::Again,
                     });
                 }
                 Action::Own => {
-                    let taken = link.take().map(|link| Taken {
+                    let received = link.take().map(|link| ReceivedHandover {
                         link,
                         state: state.take(),
                         listener: listener.take(),
                     });
-                    let how = if without { "what is on record" } else { "all that it knew" };
+                    let source = if journal_only { "what is on record" } else { "all that it knew" };
                     // Whoever looks just now whether anybody has calls out is done in a moment.
-                    held.calls = loop {
-                        match lock::share_calls(&config.state) {
+                    locks.calls = loop {
+                        match lock::share_calls(&config.state_dir) {
                             Ok(None) => sleep(Duration::from_millis(1)).await,
-                            Err(error) if !lock::is_unknown(&error) => sleep(LOOK).await,
+                            Err(error) if !lock::is_unknown(&error) => sleep(POLL_INTERVAL).await,
                             shared => break shared.unwrap_or_default(),
                         }
                     };
-                    log::info(format_args!("handover: taken from the process before, with {how}"));
-                    return (held, taken);
+                    log::info(format_args!("handover: taken from the process before, with {source}"));
+                    return (locks, received);
                 }
-                Action::Begin => return (held, None),
+                Action::Begin => return (locks, None),
             }
         }
         match next {
@@ -507,16 +542,16 @@
 }
 
 /// Comes back once the link has ended.
-async fn ended(link: Option<&Link>) -> bool {
+async fn link_ended(link: Option<&Link>) -> bool {
     let Some(link) = link else { return std::future::pending().await };
     while let Ok(Some(_)) = link.receive().await {}
     true
 }
 
 /// Asks for all that the giver knows.
-async fn ask(
-    link: &Link, config: &Config, decisions: bool, state: &mut Option<State>, listener: &mut Option<OwnedFd>,
-    told: &mut bool,
+async fn request_state(
+    link: &Link, config: &Config, decisions: bool, state: &mut Option<HandoverState>,
+    listener: &mut Option<OwnedFd>, refusal_logged: &mut bool,
 ) -> taker::Event {
     use taker::Event;
     let Ok(hello) = (Hello { version: VERSION, decisions }).packet() else { return Event::Broken };
@@ -525,18 +560,18 @@
     }
     let mut bytes = Vec::new();
     loop {
-        let Ok(Ok(Some((packet, descriptor)))) = timeout(PACKET_TIME, link.receive()).await else {
+        let Ok(Ok(Some((packet, descriptor)))) = timeout(PACKET_TIMEOUT, link.receive()).await else {
             return Event::Broken;
         };
         match frames::read(&packet) {
-            Ok(FromGiver::State(piece)) if piece.is_empty() => {
+            Ok(FromGiver::State(chunk)) if chunk.is_empty() => {
                 *listener = descriptor;
                 break;
             }
-            Ok(FromGiver::State(piece)) if bytes.len() + piece.len() <= STATE_MOST => bytes.extend(piece),
-            Ok(FromGiver::Refused(why)) => {
-                if !std::mem::replace(told, true) {
-                    log::info_limited(format_args!("handover: not yet: {why}"));
+            Ok(FromGiver::State(chunk)) if bytes.len() + chunk.len() <= STATE_MOST => bytes.extend(chunk),
+            Ok(FromGiver::Refused(reason)) => {
+                if !std::mem::replace(refusal_logged, true) {
+                    log::info_limited(format_args!("handover: not yet: {reason}"));
                 }
                 return Event::Refused;
             }
@@ -546,9 +581,9 @@
     if !decisions {
         return Event::Given(true);
     }
-    match ciborium::from_reader::<State, _>(&bytes[..]) {
-        Ok(given) if *given.decisions.settings() == config.settings => {
-            *state = Some(given);
+    match ciborium::from_reader::<HandoverState, _>(&bytes[..]) {
+        Ok(received) if *received.dispatcher.settings() == config.settings => {
+            *state = Some(received);
             Event::Given(true)
         }
         Ok(_) => {
@@ -565,45 +600,54 @@
 }
 
 /// Tells the giver that this process owns, and takes the rest: connections, and how the calls end that are out there.
-pub async fn own(node: Rc<Node>, taken: Taken) {
-    let link = taken.link;
-    let mut out: HashMap<(u64, u32), InFlightAttempt> = HashMap::new();
+pub async fn complete_takeover(node: Rc<Node>, received: ReceivedHandover) {
+    let link = received.link;
+    let mut in_flight: HashMap<(u64, u32), InFlightAttempt> = HashMap::new();
     if node.adopted_state {
-        let outstanding = node.dispatcher.borrow().in_flight();
-        out.extend(outstanding.into_iter().map(|one| ((one.id.0, one.attempt), one)));
+        let attempts = node.dispatcher.borrow().in_flight();
+        in_flight.extend(attempts.into_iter().map(|attempt| ((attempt.id.0, attempt.attempt), attempt)));
     }
-    let mine = frames::packet(&FromTaker::Mine);
-    let told = match &mine {
-        Ok(packet) => timeout(PACKET_TIME, link.send(packet, None)).await,
+    let ownership = frames::packet(&FromTaker::Mine);
+    let sent = match &ownership {
+        Ok(packet) => timeout(PACKET_TIMEOUT, link.send(packet, None)).await,
         Err(_) => Ok(Err(std::io::ErrorKind::InvalidData.into())),
     };
-    if matches!(told, Ok(Ok(()))) {
+    if matches!(sent, Ok(Ok(()))) {
         while let Ok(Some((packet, descriptor))) = link.receive().await {
             match frames::read(&packet) {
-                Ok(frame) => take(&node, &link, frame, descriptor, &mut out).await,
+                Ok(frame) => receive_transfer(&node, &link, frame, descriptor, &mut in_flight).await,
                 Err(error) => log::info_limited(format_args!("handover: {error}")),
             }
         }
     }
     // Its sockets closed with it: what it had out may have run, and no more can come of it.
-    if !out.is_empty() {
-        log::info_limited(format_args!("handover: the process before ended with {} messages out", out.len()));
+    if !in_flight.is_empty() {
+        log::info_limited(format_args!(
+            "handover: the process before ended with {} messages out",
+            in_flight.len()
+        ));
     }
-    for one in out.into_values() {
+    for attempt in in_flight.into_values() {
         let end = MessageEnd {
-            number: one.id.0,
-            attempt: one.attempt,
+            number: attempt.id.0,
+            attempt: attempt.attempt,
             outcome: Outcome::ConnectionReset,
             settled: false,
         };
-        let dest = node.directory.borrow().place(one.endpoint).map_or(0, |place| place.dest);
-        complete_call(&node, one.endpoint, dest, one.sent_at, CallEnd::without_report(vec![end], false));
+        let dest = node.directory.borrow().get(attempt.endpoint).map_or(0, |info| info.destination);
+        complete_call(
+            &node,
+            attempt.endpoint,
+            dest,
+            attempt.sent_at,
+            CallEnd::without_report(vec![end], false),
+        );
     }
 }
 
-async fn take(
+async fn receive_transfer(
     node: &Rc<Node>, link: &Link, frame: FromGiver, descriptor: Option<OwnedFd>,
-    out: &mut HashMap<(u64, u32), InFlightAttempt>,
+    in_flight: &mut HashMap<(u64, u32), InFlightAttempt>,
 ) {
     let stream =
         descriptor.and_then(|descriptor| TcpStream::from_std(std::net::TcpStream::from(descriptor)).ok());
@@ -615,24 +659,24 @@
         }
         (FromGiver::Idle { endpoint, at, idle_ms }, Some(stream)) => {
             let now = tokio::time::Instant::now();
-            let since = now.checked_sub(Duration::from_millis(idle_ms.into())).unwrap_or(now);
+            let idle_since = now.checked_sub(Duration::from_millis(idle_ms.into())).unwrap_or(now);
             let endpoint = EndpointId(endpoint);
             // It is of use as long as the list says that it leads there.
-            if node.directory.borrow().ready_at(endpoint) == Some(at)
-                && let Ok(link) = calls::wrap_stream(stream, at, since).await
+            if node.directory.borrow().ready_address(endpoint) == Some(at)
+                && let Ok(connection) = calls::wrap_stream(stream, at, idle_since).await
             {
-                node.pool.add_idle(endpoint, link);
+                node.pool.add_idle(endpoint, connection);
             }
         }
         (FromGiver::Ended(bytes), _) => match frames::read(&bytes) {
             Ok(Completion::Call { endpoint, dest, sent_at, mut end }) => {
-                end.ends.retain(|end| out.remove(&(end.number, end.attempt)).is_some());
+                end.ends.retain(|end| in_flight.remove(&(end.number, end.attempt)).is_some());
                 if !end.ends.is_empty() {
                     complete_call(node, EndpointId(endpoint), dest, sent_at, end);
                 }
             }
             Ok(Completion::Probe { endpoint, outcome, latency, allowance }) => {
-                node.send_event(Happened::ProbeEnded {
+                node.send_event(DispatcherEvent::ProbeEnded {
                     endpoint: EndpointId(endpoint),
                     outcome,
                     latency,
@@ -642,10 +686,10 @@
             Err(error) => log::info_limited(format_args!("handover: {error}")),
         },
         (FromGiver::Order { number, given, id }, _) => {
-            let carried = control::carry_out(node, &Subject { kind: Kind::Hold, id }, given);
-            let (yes, text) = carried.map_or_else(|text| (false, text), |text| (true, text));
+            let result = control::apply_command(node, &Subject { kind: Kind::Hold, id }, given);
+            let (yes, text) = result.map_or_else(|text| (false, text), |text| (true, text));
             if let Ok(packet) = frames::packet(&FromTaker::Carried { number, yes, text }) {
-                let _ = timeout(PACKET_TIME, link.send(&packet, None)).await;
+                let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
             }
         }
         (other, _) => log::info_limited(format_args!("handover: out of place: {other:?}")),
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -109,7 +109,7 @@
             self.send_event(Event::OutageRecovered(DestinationId(destination)));
         }
         for destination in journal.outages() {
-            self.fleet.out(self, destination, true);
+            self.fleet.set_unavailable(self, destination, true);
         }
         for QuotaLevel { tenant: customer, remaining_thousandths: left, at } in
             journal.quota_levels().filter(|_| !self.adopted_state)
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -28,7 +28,7 @@
 mod transfer;
 
 use calls::ConnectionPool;
-use clients::Clients;
+use clients::ClientConnections;
 use clock::JournalClock;
 use config::Config;
 use directory::Directory;
@@ -69,20 +69,20 @@
     journal: RefCell<Journal>,
     directory: RefCell<Directory>,
     pool: ConnectionPool,
-    traffic: traffic::Counts,
+    traffic: traffic::TrafficCounters,
     /// What operators are shown.
     metrics: Arc<Figures>,
     /// What operators have ordered.
-    overrides: control::Control,
+    overrides: control::OperatorOverrides,
     /// What parts outside of the decisions say.
-    fleet: fleet::Bounds,
+    fleet: fleet::FleetConstraints,
     /// Where discovery is now; a new configuration may move it.
     discovery_address: watch::Sender<SocketAddr>,
     /// Since when writes to the folder that lasts fail.
     journal_failing_since: Cell<Option<Instant>>,
     /// Taken in the journal, but the 202 is not written yet.
     unacknowledged: RefCell<HashSet<u64>>,
-    clients: Clients,
+    clients: ClientConnections,
     /// Calls begun of which not all is done yet, and those of them that may have a connection open.
     calls_in_flight: Cell<usize>,
     calls_with_connection: Cell<usize>,
@@ -101,7 +101,7 @@
     /// Shared by all processes that may have calls out.
     calls_lock: RefCell<Option<Lock>>,
     /// Where a process comes that is to take over.
-    handover_socket: handover::Doorstep,
+    handover_socket: handover::HandoverListener,
     /// What goes over to it.
     transfers: UnboundedSender<Transfer>,
     /// Calls that are out break off: all of them, ...
@@ -151,7 +151,7 @@
 
     fn retry_after(&self, destination: DestinationId) -> Seconds {
         let at = self.dispatcher.borrow().retry_after(self.now(), destination);
-        at.min(self.config.max_retry_after)
+        at.min(self.config.max_retry_after_seconds)
     }
 }
 
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -1,7 +1,7 @@
 //! Clients' requests: takes messages on, once they stand in the journal, and answers.
 
 use crate::Node;
-use crate::clients::Client;
+use crate::clients::ClientConnection;
 use crate::size_limits::MAX_BODY_BYTES;
 use crate::stream::Unread;
 use fawnspoke_control::figures;
@@ -14,193 +14,202 @@
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, QuotaStatus};
 
 /// A body that is too long is read so far, or the client would not hear the answer.
-const DISCARD_MOST: usize = 1 << 20;
+const MAX_DISCARDED_BODY_BYTES: usize = 1 << 20;
 /// Longest id or key.
-const TOKEN_MOST: usize = 256;
+const MAX_TOKEN_LENGTH: usize = 256;
 
 /// The client was gone before it could hear that its message was taken: nothing is owed.
-pub fn withdraw(node: &Node, number: u64) {
+pub fn withdraw_unacknowledged(node: &Node, number: u64) {
     node.unacknowledged.borrow_mut().remove(&number);
     node.observe_journal_write(node.journal.borrow_mut().close(number));
 }
 
-type Answer = Response<Full<Bytes>>;
+type TextResponse = Response<Full<Bytes>>;
 
-fn plain(status: StatusCode, text: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer
+fn respond(status: StatusCode, text: impl Into<Bytes>) -> TextResponse {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
 }
 
 /// The answer to a request.
-pub async fn answer(node: &Node, client: &Client, request: Request<Incoming>) -> Result<Answer, Infallible> {
-    let mut answer = match (request.method(), request.uri().path()) {
+pub async fn handle_request(
+    node: &Node, client: &ClientConnection, request: Request<Incoming>,
+) -> Result<TextResponse, Infallible> {
+    let mut response = match (request.method(), request.uri().path()) {
         (&Method::GET, "/health/ready") if node.shutting_down.get() => {
-            plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
+            respond(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")
         }
-        (&Method::GET, "/health/ready" | "/health/live") => plain(StatusCode::OK, "ok\n"),
-        (_, "/health/ready" | "/health/live") => plain(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
+        (&Method::GET, "/health/ready" | "/health/live") => respond(StatusCode::OK, "ok\n"),
+        (_, "/health/ready" | "/health/live") => respond(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
         (method, path) => {
             match node.config.classes.iter().position(|class| path.strip_prefix('/') == Some(class)) {
-                None => plain(StatusCode::NOT_FOUND, "no such path\n"),
-                Some(_) if method != Method::POST => plain(StatusCode::METHOD_NOT_ALLOWED, "POST only\n"),
-                Some(class) => hand_in(node, client, class, request).await,
+                None => respond(StatusCode::NOT_FOUND, "no such path\n"),
+                Some(_) if method != Method::POST => respond(StatusCode::METHOD_NOT_ALLOWED, "POST only\n"),
+                Some(class) => accept_message(node, client, class, request).await,
             }
         }
     };
     // Connections end one by one while this process stops. Behind a request that was wrong may stand more
     // than its sender says.
-    if node.shutting_down.get() || answer.status().is_client_error() {
-        answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    if node.shutting_down.get() || response.status().is_client_error() {
+        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    Ok(answer)
+    Ok(response)
 }
 
-async fn hand_in(node: &Node, client: &Client, class: usize, request: Request<Incoming>) -> Answer {
-    let received = node.unix_now();
+async fn accept_message(
+    node: &Node, client: &ClientConnection, class: usize, request: Request<Incoming>,
+) -> TextResponse {
+    let received_at = node.unix_now();
     let (head, body) = request.into_parts();
     // With two lengths a request can hide another one; which of them another reader goes by is not known.
     // hyper tells of Content-Length no more once there is the other.
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return plain(StatusCode::LENGTH_REQUIRED, "Content-Length alone tells the length\n");
+        return respond(StatusCode::LENGTH_REQUIRED, "Content-Length alone tells the length\n");
     }
     let tenant = head.headers.get("Tenant").and_then(|name| name.to_str().ok()).map(str::trim);
     let tenant = tenant.and_then(|name| node.tenant_index(name));
-    let handed = match read_head(node, class, &head.headers, received) {
-        Ok(handed) => handed,
-        Err(problem) => return plain(StatusCode::BAD_REQUEST, format!("{problem}\n")),
+    let submission = match parse_head(node, class, &head.headers, received_at) {
+        Ok(submission) => submission,
+        Err(problem) => return respond(StatusCode::BAD_REQUEST, format!("{problem}\n")),
     };
     let length = match read_body(body).await {
         Ok(Some(length)) => length,
-        Ok(None) => return plain(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB\n"),
-        Err(error) => return plain(StatusCode::BAD_REQUEST, format!("body: {error}\n")),
+        Ok(None) => return respond(StatusCode::PAYLOAD_TOO_LARGE, "body over 64 KiB\n"),
+        Err(error) => return respond(StatusCode::BAD_REQUEST, format!("body: {error}\n")),
     };
-    let behind = client.behind(length);
-    let Some(body) = client.body(length).filter(|_| behind != Unread::Bytes) else {
-        return plain(StatusCode::BAD_REQUEST, "one request at a time, as long as it says\n");
+    let trailing = client.trailing_input(length);
+    let Some(body) = client.body(length).filter(|_| trailing != Unread::Bytes) else {
+        return respond(StatusCode::BAD_REQUEST, "one request at a time, as long as it says\n");
     };
-    let handed = AcceptedMessage { body, ..handed };
-    let dest = DestinationId(handed.destination);
+    let submission = AcceptedMessage { body, ..submission };
+    let destination_id = DestinationId(submission.destination);
     // It may have left, and then handed the message in elsewhere; if it listens still, it may come again.
-    if behind == Unread::Closed {
-        return refuse(node, class, dest);
+    if trailing == Unread::Closed {
+        return reject(node, class, destination_id);
     }
     // What no list has named may be a slip, or come with a later list.
-    if !node.dispatcher.borrow().is_listed(dest) {
-        return refuse(node, class, dest);
+    if !node.dispatcher.borrow().is_listed(destination_id) {
+        return reject(node, class, destination_id);
     }
     let mut journal = node.journal.borrow_mut();
-    match journal.number_by_id(&handed.id) {
+    match journal.number_by_id(&submission.id) {
         // Still to be heard on another connection, which may yet fail.
-        Some(number) if node.unacknowledged.borrow().contains(&number) => return refuse(node, class, dest),
+        Some(number) if node.unacknowledged.borrow().contains(&number) => {
+            return reject(node, class, destination_id);
+        }
         // The same message once more: it is owed already.
-        Some(number) if journal.get(number).is_some_and(|kept| kept.matches(&handed)) => {
-            return plain(StatusCode::ACCEPTED, "taken\n");
+        Some(number) if journal.get(number).is_some_and(|journaled| journaled.matches(&submission)) => {
+            return respond(StatusCode::ACCEPTED, "taken\n");
         }
         // Another one under an id that is in use would never be delivered.
-        Some(_) => return refuse(node, class, dest),
+        Some(_) => return reject(node, class, destination_id),
         None => {}
     }
     // Once more after its end.
-    match journal.final_outcome_of(&handed) {
+    match journal.final_outcome_of(&submission) {
         // Nothing more is owed, and it may not run again.
-        Some(FinalOutcome::Delivered) => return plain(StatusCode::ACCEPTED, "taken\n"),
-        Some(FinalOutcome::GivenUp) => return plain(StatusCode::CONFLICT, "it failed, and may have run\n"),
+        Some(FinalOutcome::Delivered) => return respond(StatusCode::ACCEPTED, "taken\n"),
+        Some(FinalOutcome::GivenUp) => return respond(StatusCode::CONFLICT, "it failed, and may have run\n"),
         Some(FinalOutcome::HandedBack) | None => {}
     }
     if journal.open_messages() >= node.config.settings.max_messages {
-        return refuse(node, class, dest);
+        return reject(node, class, destination_id);
     }
     let now = node.now();
     let message = Message {
         id: MessageId(u64::MAX),
         class,
-        destination: dest,
-        deadline: node.to_monotonic(handed.deadline),
+        destination: destination_id,
+        deadline: node.to_monotonic(submission.deadline),
         key: None,
         tenant: tenant.unwrap_or(usize::MAX),
         over_quota: None,
     };
     if !node.dispatcher.borrow().can_accept(now, message) {
-        return refuse(node, class, dest);
+        return reject(node, class, destination_id);
     }
-    let share = tenant.and_then(|tenant| Some((tenant, node.dispatcher.borrow().quota_status(now, tenant)?)));
-    let customer = share.map(|(tenant, QuotaStatus { over, remaining: left })| {
-        let left = (left * 1000.0) as u32;
+    let quota = tenant.and_then(|tenant| Some((tenant, node.dispatcher.borrow().quota_status(now, tenant)?)));
+    let tenant_quota = quota.map(|(tenant, QuotaStatus { over, remaining })| {
+        let remaining_thousandths = (remaining * 1000.0) as u32;
         (
             node.config.tenants[tenant].clone(),
-            fawnspoke_journal::QuotaStatus { exceeded: over, remaining_thousandths: left },
+            fawnspoke_journal::QuotaStatus { exceeded: over, remaining_thousandths },
         )
     });
-    let handed = AcceptedMessage { tenant: customer, ..handed };
-    match journal.accept(&handed) {
+    let submission = AcceptedMessage { tenant: tenant_quota, ..submission };
+    match journal.accept(&submission) {
         Ok(Some(number)) => {
             node.observe_journal_write(Ok(()));
-            if let Some((tenant, QuotaStatus { remaining: left, .. })) = share {
-                let counted = Event::QuotaRecovered { tenant, remaining: left, at: now };
-                node.dispatcher.borrow_mut().handle(now, counted);
+            if let Some((tenant, QuotaStatus { remaining, .. })) = quota {
+                let event = Event::QuotaRecovered { tenant, remaining, at: now };
+                node.dispatcher.borrow_mut().handle(now, event);
             }
             node.unacknowledged.borrow_mut().insert(number);
-            client.unheard.set(Some(number));
-            plain(StatusCode::ACCEPTED, "taken\n")
+            client.unacknowledged.set(Some(number));
+            respond(StatusCode::ACCEPTED, "taken\n")
         }
-        Ok(None) => refuse(node, class, dest),
+        Ok(None) => reject(node, class, destination_id),
         Err(error) => {
             node.observe_journal_write(Err(error));
-            refuse(node, class, dest)
+            reject(node, class, destination_id)
         }
     }
 }
 
 /// Handing it in again is harmless, and is worth a try when the decisions say so.
-fn refuse(node: &Node, class: usize, dest: DestinationId) -> Answer {
+fn reject(node: &Node, class: usize, destination_id: DestinationId) -> TextResponse {
     node.metrics.ended(class, figures::End::Throttled);
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
-    if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", node.retry_after(dest))) {
-        answer.headers_mut().insert(RETRY_AFTER, seconds);
+    let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
+    if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", node.retry_after(destination_id))) {
+        response.headers_mut().insert(RETRY_AFTER, seconds);
     }
-    answer
+    response
 }
 
-fn read_head(
-    node: &Node, class: usize, headers: &HeaderMap, received: UnixMicros,
+fn parse_head(
+    node: &Node, class: usize, headers: &HeaderMap, received_at: UnixMicros,
 ) -> Result<AcceptedMessage, &'static str> {
     // Of a header that stands twice, nobody can say which one holds.
-    let names =
+    let unique_headers =
         ["Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "X-Consignee", "Tenant"];
-    if names.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+    if unique_headers.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
         return Err("a header stands twice");
     }
-    let text = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or_default().trim());
+    let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or_default().trim());
     // Ids and keys stand between blanks where a call holds several messages.
-    let token = |text: &&str| {
-        (1..=TOKEN_MOST).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic()) && *text != "-"
+    let is_token = |text: &&str| {
+        (1..=MAX_TOKEN_LENGTH).contains(&text.len())
+            && text.bytes().all(|b| b.is_ascii_graphic())
+            && *text != "-"
     };
-    let name = &node.config.classes[class];
-    if text("Request-Class") != Some(name) {
+    let class_name = &node.config.classes[class];
+    if header("Request-Class") != Some(class_name) {
         return Err("Request-Class: must be the class in the path");
     }
-    let id = text("Request-Id").filter(token).ok_or("Request-Id: missing or malformed")?;
-    let known = &node.config.settings.classes[class];
-    let key = match text("Idempotency-Key") {
-        Some(key) => Some(Some(key).filter(token).ok_or("Idempotency-Key: malformed")?.to_string()),
-        None if matches!(known.effect, Effect::Keyed { .. }) => return Err("Idempotency-Key: missing"),
+    let id = header("Request-Id").filter(is_token).ok_or("Request-Id: missing or malformed")?;
+    let settings = &node.config.settings.classes[class];
+    let key = match header("Idempotency-Key") {
+        Some(key) => Some(Some(key).filter(is_token).ok_or("Idempotency-Key: malformed")?.to_string()),
+        None if matches!(settings.effect, Effect::Keyed { .. }) => return Err("Idempotency-Key: missing"),
         None => None,
     };
-    let span = text("Request-Timeout-Ms").and_then(|ms| ms.parse::<u32>().ok());
-    let span = span.ok_or("Request-Timeout-Ms: whole milliseconds expected")?;
+    let timeout_ms = header("Request-Timeout-Ms").and_then(|ms| ms.parse::<u32>().ok());
+    let timeout_ms = timeout_ms.ok_or("Request-Timeout-Ms: whole milliseconds expected")?;
     // It would be held for longer than anything that is planned for.
-    if f64::from(span) > (known.deadline * 1000.0).ceil() {
+    if f64::from(timeout_ms) > (settings.deadline * 1000.0).ceil() {
         return Err("Request-Timeout-Ms: longer than the class may take");
     }
-    let parts = text("X-Consignee").unwrap_or_default().split([',', ';', ' ']);
-    let dest = parts.filter_map(|part| part.strip_prefix("dest=")).find_map(|dest| dest.parse().ok());
+    let parts = header("X-Consignee").unwrap_or_default().split([',', ';', ' ']);
+    let destination =
+        parts.filter_map(|part| part.strip_prefix("dest=")).find_map(|number| number.parse().ok());
     Ok(AcceptedMessage {
         id: id.into(),
-        class: name.clone(),
-        destination: dest.ok_or("X-Consignee: dest=NUMBER expected")?,
-        accepted_at: received,
-        deadline: received + u64::from(span) * 1000,
+        class: class_name.clone(),
+        destination: destination.ok_or("X-Consignee: dest=NUMBER expected")?,
+        accepted_at: received_at,
+        deadline: received_at + u64::from(timeout_ms) * 1000,
         key,
         tenant: None,
         body: Bytes::new(),
@@ -209,14 +218,14 @@
 
 /// Reads to the end of the body, which the client's record keeps; its length, or none if it is too long.
 async fn read_body(mut body: Incoming) -> Result<Option<usize>, hyper::Error> {
-    if body.size_hint().lower() > DISCARD_MOST as u64 {
+    if body.size_hint().lower() > MAX_DISCARDED_BODY_BYTES as u64 {
         return Ok(None);
     }
     let mut length = 0;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else { continue };
         length += data.len();
-        if length > DISCARD_MOST {
+        if length > MAX_DISCARDED_BODY_BYTES {
             return Ok(None);
         }
     }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,12 +1,12 @@
 //! The start of a dispatcher: the journal, the signals, the parts in their order.
 
 use crate::calls::ConnectionPool;
-use crate::clients::{self, Clients};
+use crate::clients::{self, ClientConnections};
 use crate::clock::JournalClock;
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::event_loop::{EventSources, ExitAction, apply_input, run_event_loop};
-use crate::fleet::{self, Bounds};
+use crate::fleet::{self, FleetConstraints};
 use crate::retry::{self, Retry};
 use crate::serving::ServingState;
 use crate::{Node, client_listener, clock, control, discovery, handover, log, traffic};
@@ -57,9 +57,13 @@
                 } else {
                     format!("; restart for {}", kept.join(", "))
                 };
-                log::info(format_args!("configuration read anew: discovery at {}{kept}", config.discovery));
-                node.discovery_address
-                    .send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
+                log::info(format_args!(
+                    "configuration read anew: discovery at {}{kept}",
+                    config.discovery_address
+                ));
+                node.discovery_address.send_if_modified(|at| {
+                    std::mem::replace(at, config.discovery_address) != config.discovery_address
+                });
             }
             Err(error) => log::info(format_args!("configuration not read, the old one stays: {error}")),
         }
@@ -68,17 +72,17 @@
 
 /// Opens the journal and tells what was found; with it, the clock of what it holds.
 pub fn open_journal(config: &Config) -> Result<(Journal, JournalClock), OpenError> {
-    let known = JournalClock::read(&config.state)?;
+    let known = JournalClock::read(&config.state_dir)?;
     let now = known.map_or_else(clock::wall, JournalClock::now);
     let options = Options {
         // The platform's own count may have a block more than ours; the clock's file and its successor have one each.
-        limits: Limits::for_budget(config.limits.journal().saturating_sub(3 * compaction::BLOCK_BYTES)),
+        limits: Limits::for_budget(config.limits.journal_bytes().saturating_sub(3 * compaction::BLOCK_BYTES)),
         durability: Durability::None,
         now,
         identity: u128::from(config.seed) << 64 | u128::from(now),
         remembered_outcomes: ENDS,
     };
-    let (journal, recovery) = Journal::open(&config.state, options)?;
+    let (journal, recovery) = Journal::open(&config.state_dir, options)?;
     let Recovery { torn_bytes: torn, damage, migrated_messages: carried, latest_timestamp: latest } =
         recovery;
     if torn > 0 {
@@ -93,7 +97,7 @@
     let clock = match known.filter(|clock| !clock.is_behind(latest)) {
         Some(clock) => clock,
         None => {
-            let clock = JournalClock::begin(&config.state, latest)?;
+            let clock = JournalClock::begin(&config.state_dir, latest)?;
             let ahead = clock.now().saturating_sub(clock::wall()) as f64 / 1e6;
             log::info(format_args!(
                 "clock: a boot that is new to the folder; {ahead:.3} s ahead of the wall clock"
@@ -107,7 +111,7 @@
 /// Opens the journal once its folder lets it.
 async fn open_when_writable(config: &Config) -> Result<(Journal, JournalClock), String> {
     let mut retry = Retry::new();
-    let named = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state.display());
+    let named = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state_dir.display());
     loop {
         let error = match open_journal(config) {
             Err(error @ OpenError::Io(_)) => error,
@@ -124,14 +128,14 @@
 pub async fn run(config: Config, mut signals: Signals) -> Result<ExitAction, String> {
     let figures = Arc::new(Figures::new(&config.classes));
     let (asked, orders) = unbounded_channel();
-    if let Some(control) = config.control {
+    if let Some(control) = config.control_address {
         // Operators are answered from now on, while the journal is read too.
         let at = retry::blocking(|| door::open(control, figures.clone(), asked.clone()));
         let at = at.map_err(|error| format!("control: {control}: {error}"))?;
         log::info(format_args!("{} answers operators at {at}", config.name));
     }
     let (locks, taken) = tokio::select! {
-        arrived = handover::arrive(&config) => arrived,
+        arrived = handover::acquire_ownership(&config) => arrived,
         // It owns nothing yet.
         _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
         _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
@@ -145,10 +149,10 @@
     let adopted = state.is_some();
     let (started, dispatcher, directory) = match state {
         Some(mut state) => {
-            let started = state.started();
-            journal.restore_recent_outcomes(state.ended);
-            state.decisions.resume_in_new_process();
-            (started, state.decisions, state.directory)
+            let started = state.clock_start();
+            journal.restore_recent_outcomes(state.ended_messages);
+            state.dispatcher.resume_in_new_process();
+            (started, state.dispatcher, state.directory)
         }
         None => {
             let dispatcher = Dispatcher::new(config.settings.clone(), config.seed);
@@ -156,14 +160,14 @@
         }
     };
     let (given, passed) = given.map_or((None, None), |mut given| (given.listener.take(), Some(given)));
-    let listener = client_listener::open(config.listen, given).await?;
+    let listener = client_listener::open(config.listen_address, given).await?;
     log::info(format_args!(
         "{} listens at {}",
         config.name,
         listener.local_addr().map_err(|e| e.to_string())?
     ));
     let (sender, mut inbox) = unbounded_channel();
-    let (doorstep, asked) = handover::Doorstep::new(&config.state);
+    let (doorstep, asked) = handover::HandoverListener::new(&config.state_dir);
     let (rest, handed) = unbounded_channel();
     let node = Rc::new(Node {
         started_at: started,
@@ -173,14 +177,14 @@
         journal: RefCell::new(journal),
         directory: RefCell::new(directory),
         pool: ConnectionPool::default(),
-        traffic: traffic::Counts::default(),
+        traffic: traffic::TrafficCounters::default(),
         metrics: figures,
-        fleet: Bounds::new(&config),
-        overrides: control::Control::open(&config.state),
-        discovery_address: watch::Sender::new(config.discovery),
+        fleet: FleetConstraints::new(&config),
+        overrides: control::OperatorOverrides::open(&config.state_dir),
+        discovery_address: watch::Sender::new(config.discovery_address),
         journal_failing_since: Cell::new(None),
         unacknowledged: RefCell::default(),
-        clients: Clients::default(),
+        clients: ClientConnections::default(),
         calls_in_flight: Cell::new(0),
         calls_with_connection: Cell::new(0),
         shutting_down: Cell::new(false),
@@ -199,23 +203,23 @@
         config,
     });
     if !adopted {
-        let known = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
+        let known = discovery::apply_list(&node, node.config.document["known"].to_string().as_bytes());
         known.unwrap_or_else(|error| log::info_limited(format_args!("known: left out: {error}")));
     }
-    node.fleet.begin(&node.config);
+    node.fleet.start_member(&node.config);
     node.restore_from_journal();
     // The decisions know the list and what is owed before the first client is heard.
     std::iter::from_fn(|| inbox.try_recv().ok()).for_each(|input| apply_input(&node, node.now(), input));
     if let Some(passed) = passed {
-        spawn_local(handover::own(node.clone(), passed));
+        spawn_local(handover::complete_takeover(node.clone(), passed));
     }
     node.handover_socket.open();
-    spawn_local(discovery::watch(node.clone()));
-    spawn_local(discovery::notices(node.clone()));
+    spawn_local(discovery::watch_list(node.clone()));
+    spawn_local(discovery::deliver_notices(node.clone()));
     // Clients come once all that was owed is taken up again; nothing here waits for discovery.
     spawn_local(clients::serve(node.clone()));
-    spawn_local(fleet::hear(node.clone()));
-    spawn_local(control::obey(node.clone(), orders));
+    spawn_local(fleet::process_updates(node.clone()));
+    spawn_local(control::process_commands(node.clone(), orders));
     node.metrics.set(control::gauges(&node));
     node.metrics.set_ready(true);
     spawn_local(reload(node.clone(), signals.hangup));
