--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -1,79 +1,79 @@
 //! All duties of one member, as a part that stands on the agreed log.
 
-use crate::granter::Granter;
-use crate::lists::{Lists, Pace};
-use crate::roll::{Did, Entry, Name, Roll, WANTED_MOST, Word};
-use crate::term::Term;
-use crate::tries::{self, Tries};
-use crate::{Id, Rules, Seconds};
+use crate::discovery_polling::{DiscoveryPolling, PollingRate};
+use crate::granter::LeaseGranter;
+use crate::lease_table::{ApplyResult, DutyId, Entry, HolderUpdate, LeaseTable, MAX_REQUESTERS};
+use crate::lease_term::LeaseTerm;
+use crate::trials::{self, TrialCoordinator};
+use crate::{Id, SafetyRules, Seconds};
 use fawnspoke_cluster::file::File;
 use fawnspoke_cluster::part::{Part, View, Wants};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was sent and not agreed by then is sent anew, in terms.
-const AGAIN: f64 = 0.3;
+const RETRY_TERMS: f64 = 0.3;
 /// A holder of the lists' duty says that it still asks so often, as a part of the time for which others are slow.
-const STILL: f64 = 0.3;
+const KEEPALIVE_SHARE: f64 = 0.3;
 
 /// What the dispatcher tells.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fact {
+pub enum DutyReport {
     /// Of a destination.
-    Tries(tries::Fact),
+    Destination(trials::DestinationReport),
     /// Discovery's watch has ended or was refused.
-    ListFailed,
+    DiscoveryFailed,
     /// A list of this sequence has come.
-    List(u64),
+    ListReceived(u64),
 }
 
 /// What the dispatcher hears.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum DutyEvent {
     /// The duties begin, and know nothing of what was told before.
-    Began,
+    Started,
     /// What binds its tries at a destination.
-    Tries(u32, tries::Bound),
+    TrialPermission(u32, trials::TrialPermission),
     /// What binds its questions to discovery.
-    Lists(Pace),
+    PollingRate(PollingRate),
     /// Discovery is to be asked now.
-    AskNow,
+    PollDiscovery,
     /// For the log: a duty was given.
-    Given(Name, u64, Option<Id>),
+    Granted(DutyId, u64, Option<Id>),
     /// For the log: a holder's word was agreed.
-    Told(Name, u64, Word),
+    Updated(DutyId, u64, HolderUpdate),
     /// For the log: a word under an older epoch was refused; the duty's own is the second.
-    Refused(Name, u64, u64),
+    Rejected(DutyId, u64, u64),
     /// For the log: this member acts under an epoch, and found that its term runs at this time.
-    Acts(Name, u64, Seconds),
+    Acted(DutyId, u64, Seconds),
 }
 
 /// How the duties are run.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// A member's term, in seconds.
-    pub term: Seconds,
+    pub lease_term: Seconds,
     /// How far a clock's rate may be from true.
-    pub clock_rate: f64,
+    pub max_clock_error: f64,
     /// How long others hold back on the word of a holder, in seconds.
-    pub hold_most: Seconds,
+    pub max_deferral: Seconds,
     /// Entries of the log after which the keeper has it cut.
-    pub cut_after: u64,
+    pub compaction_threshold: u64,
     /// The keeper's round, in seconds.
-    pub round: Seconds,
+    pub maintenance_interval: Seconds,
     /// All of them, but in tests.
-    pub rules: Rules,
+    pub rules: SafetyRules,
 }
 
 impl Settings {
     /// As the operators' file says.
-    pub fn of(file: &File) -> Settings {
+    pub fn from_file(file: &File) -> Settings {
         Settings {
-            term: file.term_s,
-            clock_rate: file.clock_rate,
-            hold_most: file.hold_most_s,
-            cut_after: file.cut_after,
-            round: file.keeper_round_s,
-            rules: Rules::default(),
+            lease_term: file.term_s,
+            max_clock_error: file.clock_rate,
+            max_deferral: file.hold_most_s,
+            compaction_threshold: file.cut_after,
+            maintenance_interval: file.keeper_round_s,
+            rules: SafetyRules::default(),
         }
     }
 }
@@ -82,371 +82,403 @@
 pub struct Duties {
     settings: Settings,
     me: Id,
-    roll: Roll,
-    term: Term,
-    granter: Granter,
-    tries: Tries,
-    lists: Lists,
+    leases: LeaseTable,
+    lease_term: LeaseTerm,
+    granter: LeaseGranter,
+    trials: TrialCoordinator,
+    discovery_polling: DiscoveryPolling,
     /// Given up by the own word: nothing is done under these epochs any more.
-    given_up: BTreeSet<u64>,
+    released_epochs: BTreeSet<u64>,
     leaving: bool,
     /// What is to be agreed, until it is: sent when.
-    asked: BTreeMap<Ask, Option<Seconds>>,
-    words: Vec<(Name, u64, Word)>,
-    rounds: u64,
-    round_at: Seconds,
-    cut_at: Seconds,
-    still_at: Seconds,
-    news: Vec<News>,
-    cut: bool,
+    proposals: BTreeMap<Proposal, Option<Seconds>>,
+    updates: Vec<(DutyId, u64, HolderUpdate)>,
+    completed_rounds: u64,
+    next_round_at: Seconds,
+    next_compaction_at: Seconds,
+    next_keepalive_at: Seconds,
+    events: Vec<DutyEvent>,
+    compaction_due: bool,
 }
 
 /// What a member wants of the log for as long as it isn't so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Ask {
-    Want(Name),
-    Unwant(Name),
-    Release(Name, u64),
+enum Proposal {
+    Request(DutyId),
+    Withdraw(DutyId),
+    Release(DutyId, u64),
 }
 
 impl Duties {
-    /// The duties of the member of this number; `first`: see [`Term::new`].
-    pub fn new(settings: Settings, first: u64) -> Duties {
-        let Settings { term, clock_rate, hold_most, rules, .. } = settings;
+    /// The duties of the member of this number; `first`: see [`LeaseTerm::new`].
+    pub fn new(settings: Settings, first_renewal: u64) -> Duties {
+        let Settings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
         Duties {
             me: 0,
-            roll: Roll::default(),
-            term: Term::new(term, rules, first),
-            granter: Granter::new(term, clock_rate, rules),
-            tries: Tries::new(hold_most),
-            lists: Lists::new(hold_most),
-            given_up: BTreeSet::new(),
+            leases: LeaseTable::default(),
+            lease_term: LeaseTerm::new(lease_term, rules, first_renewal),
+            granter: LeaseGranter::new(lease_term, max_clock_error, rules),
+            trials: TrialCoordinator::new(max_deferral),
+            discovery_polling: DiscoveryPolling::new(max_deferral),
+            released_epochs: BTreeSet::new(),
             leaving: false,
-            asked: BTreeMap::new(),
-            words: Vec::new(),
-            rounds: 0,
-            round_at: 0.0,
-            cut_at: 0.0,
-            still_at: 0.0,
-            news: Vec::new(),
-            cut: false,
+            proposals: BTreeMap::new(),
+            updates: Vec::new(),
+            completed_rounds: 0,
+            next_round_at: 0.0,
+            next_compaction_at: 0.0,
+            next_keepalive_at: 0.0,
+            events: Vec::new(),
+            compaction_due: false,
             settings,
         }
     }
 
     /// The epoch under which this member may act on a duty now; it looks right before each act.
-    pub fn holds(&self, now: Seconds, name: Name) -> Option<u64> {
-        let duty = self.roll.get(name).filter(|duty| duty.holder == Some(self.me) && self.me != 0)?;
-        (self.term.runs(now) && !self.given_up.contains(&duty.epoch)).then_some(duty.epoch)
+    pub fn active_epoch(&self, now: Seconds, duty: DutyId) -> Option<u64> {
+        let lease = self.leases.get(duty).filter(|lease| lease.holder == Some(self.me) && self.me != 0)?;
+        (self.lease_term.is_valid(now) && !self.released_epochs.contains(&lease.epoch)).then_some(lease.epoch)
     }
 
     /// What is agreed.
-    pub fn roll(&self) -> &Roll {
-        &self.roll
+    pub fn leases(&self) -> &LeaseTable {
+        &self.leases
     }
 
     /// Looks, and acts: a word goes out under the epoch.
-    fn tell(&mut self, now: Seconds, name: Name, word: Word) {
-        if let Some(epoch) = self.holds(now, name) {
-            self.news.push(News::Acts(name, epoch, now));
-            self.words.push((name, epoch, word));
+    fn publish(&mut self, now: Seconds, duty: DutyId, update: HolderUpdate) {
+        if let Some(epoch) = self.active_epoch(now, duty) {
+            self.events.push(DutyEvent::Acted(duty, epoch, now));
+            self.updates.push((duty, epoch, update));
         }
     }
 
-    fn keep(&mut self, now: Seconds, view: &View) {
-        if self.holds(now, Name::Keeper).is_none() {
+    fn maintain_log(&mut self, now: Seconds, view: &View) {
+        if self.active_epoch(now, DutyId::LogMaintenance).is_none() {
             return;
         }
-        if now >= self.round_at {
-            self.round_at = now + self.settings.round;
-            self.tell(now, Name::Keeper, Word::Round(self.rounds + 1));
+        if now >= self.next_round_at {
+            self.next_round_at = now + self.settings.maintenance_interval;
+            self.publish(now, DutyId::LogMaintenance, HolderUpdate::Round(self.completed_rounds + 1));
         }
-        if view.log >= self.settings.cut_after && now >= self.cut_at {
-            self.cut_at = now + AGAIN * self.settings.term;
-            self.tell(now, Name::Keeper, Word::Cut);
+        if view.log >= self.settings.compaction_threshold && now >= self.next_compaction_at {
+            self.next_compaction_at = now + RETRY_TERMS * self.settings.lease_term;
+            self.publish(now, DutyId::LogMaintenance, HolderUpdate::Cut);
         }
     }
 
-    fn did(&mut self, now: Seconds, did: Did) {
-        match did {
-            Did::Nothing => {}
-            Did::Given(name, epoch, holder) => {
-                self.news.push(News::Given(name, epoch, holder));
-                let mine = holder.map(|holder| holder == self.me);
-                match name {
-                    Name::Tries(destination) => {
-                        self.tries.given(now, destination, epoch, mine);
+    fn handle_result(&mut self, now: Seconds, result: ApplyResult) {
+        match result {
+            ApplyResult::NoChange => {}
+            ApplyResult::Granted(duty, epoch, holder) => {
+                self.events.push(DutyEvent::Granted(duty, epoch, holder));
+                let is_own = holder.map(|holder| holder == self.me);
+                match duty {
+                    DutyId::Trials(destination) => {
+                        self.trials.granted(now, destination, epoch, is_own);
                         // Given, and of no use here any more.
-                        if mine == Some(true) && !self.tries.wants(destination) {
-                            self.asked.insert(Ask::Release(name, epoch), None);
+                        if is_own == Some(true) && !self.trials.is_needed(destination) {
+                            self.proposals.insert(Proposal::Release(duty, epoch), None);
                         }
                     }
-                    Name::Lists => self.lists.given(now, mine),
-                    Name::Keeper => self.round_at = now,
+                    DutyId::DiscoveryPolling => self.discovery_polling.granted(now, is_own),
+                    DutyId::LogMaintenance => self.next_round_at = now,
                 }
-                if self.leaving && mine == Some(true) {
-                    self.asked.insert(Ask::Release(name, epoch), None);
+                if self.leaving && is_own == Some(true) {
+                    self.proposals.insert(Proposal::Release(duty, epoch), None);
                 }
             }
-            Did::Told(name, epoch, word) => {
-                self.news.push(News::Told(name, epoch, word));
-                match (name, word) {
-                    (Name::Tries(destination), word) => self.tries.told(now, destination, word),
-                    (Name::Lists, Word::List(seq)) => self.lists.told(now, seq),
-                    (Name::Keeper, Word::Round(number)) => self.rounds = self.rounds.max(number),
-                    (Name::Keeper, Word::Cut) => self.cut = true,
+            ApplyResult::Updated(duty, epoch, update) => {
+                self.events.push(DutyEvent::Updated(duty, epoch, update));
+                match (duty, update) {
+                    (DutyId::Trials(destination), update) => {
+                        self.trials.holder_update(now, destination, update)
+                    }
+                    (DutyId::DiscoveryPolling, HolderUpdate::List(seq)) => {
+                        self.discovery_polling.holder_update(now, seq)
+                    }
+                    (DutyId::LogMaintenance, HolderUpdate::Round(number)) => {
+                        self.completed_rounds = self.completed_rounds.max(number)
+                    }
+                    (DutyId::LogMaintenance, HolderUpdate::Cut) => self.compaction_due = true,
                     _ => {}
                 }
             }
-            Did::Refused(name, epoch, now_at) => self.news.push(News::Refused(name, epoch, now_at)),
+            ApplyResult::Rejected(duty, epoch, current_epoch) => {
+                self.events.push(DutyEvent::Rejected(duty, epoch, current_epoch))
+            }
         }
     }
 
     /// Whether something that was asked for is so, or makes no sense any more.
-    fn settled(&self, ask: &Ask) -> bool {
-        match *ask {
-            Ask::Want(name) => {
-                let full = self.roll.get(name).is_some_and(|duty| duty.wanted.len() >= WANTED_MOST);
-                full || self.wants(name)
+    fn is_settled(&self, proposal: &Proposal) -> bool {
+        match *proposal {
+            Proposal::Request(duty) => {
+                let is_full =
+                    self.leases.get(duty).is_some_and(|lease| lease.requested_by.len() >= MAX_REQUESTERS);
+                is_full || self.has_requested(duty)
             }
-            Ask::Unwant(name) => !self.wants(name),
-            Ask::Release(name, epoch) => self.roll.get(name).is_none_or(|duty| duty.epoch != epoch),
+            Proposal::Withdraw(duty) => !self.has_requested(duty),
+            Proposal::Release(duty, epoch) => self.leases.get(duty).is_none_or(|lease| lease.epoch != epoch),
         }
     }
 
     /// Whether it is agreed that this member has use for a duty.
-    fn wants(&self, name: Name) -> bool {
-        self.roll.get(name).is_some_and(|duty| duty.wanted.contains(&self.me))
+    fn has_requested(&self, duty: DutyId) -> bool {
+        self.leases.get(duty).is_some_and(|lease| lease.requested_by.contains(&self.me))
     }
 
     /// What it is agreed to have use for and has none: it has begun anew since, or discovery has answered.
-    fn ask_no_more(&mut self) {
-        let held = self.roll.duties().filter(|(_, duty)| duty.wanted.contains(&self.me));
-        let no_use = held.filter(|(name, _)| match name {
-            Name::Tries(destination) => !self.tries.wants(*destination),
-            Name::Lists => !self.lists.wanted(),
-            Name::Keeper => false,
+    fn withdraw_unneeded(&mut self) {
+        let requested = self.leases.iter().filter(|(_, lease)| lease.requested_by.contains(&self.me));
+        let unneeded = requested.filter(|(duty, _)| match duty {
+            DutyId::Trials(destination) => !self.trials.is_needed(*destination),
+            DutyId::DiscoveryPolling => !self.discovery_polling.is_needed(),
+            DutyId::LogMaintenance => false,
         });
-        for ask in no_use.map(|(name, _)| Ask::Unwant(name)).collect::<Vec<_>>() {
-            self.asked.entry(ask).or_insert(None);
+        for proposal in unneeded.map(|(duty, _)| Proposal::Withdraw(duty)).collect::<Vec<_>>() {
+            self.proposals.entry(proposal).or_insert(None);
         }
     }
 
     /// What this member wants of the log now.
-    fn ask(&mut self, now: Seconds) -> Vec<Entry> {
-        let (wants, words, releases) = self.tries.take();
-        for (destination, want) in wants {
-            let name = Tries::name(destination);
-            let (ask, other) = match want {
-                true => (Ask::Want(name), Ask::Unwant(name)),
-                false => (Ask::Unwant(name), Ask::Want(name)),
+    fn pending_entries(&mut self, now: Seconds) -> Vec<Entry> {
+        let (request_changes, updates, releases) = self.trials.take_pending();
+        for (destination, needed) in request_changes {
+            let duty = TrialCoordinator::duty_id(destination);
+            let (proposal, opposite) = match needed {
+                true => (Proposal::Request(duty), Proposal::Withdraw(duty)),
+                false => (Proposal::Withdraw(duty), Proposal::Request(duty)),
             };
-            self.asked.remove(&other);
-            self.asked.insert(ask, None);
+            self.proposals.remove(&opposite);
+            self.proposals.insert(proposal, None);
         }
-        for (destination, epoch, word) in words {
-            if self.holds(now, Tries::name(destination)) == Some(epoch) {
-                self.tell(now, Tries::name(destination), word);
+        for (destination, epoch, update) in updates {
+            if self.active_epoch(now, TrialCoordinator::duty_id(destination)) == Some(epoch) {
+                self.publish(now, TrialCoordinator::duty_id(destination), update);
             }
         }
         for (destination, epoch) in releases {
-            self.asked.insert(Ask::Release(Tries::name(destination), epoch), None);
+            self.proposals.insert(Proposal::Release(TrialCoordinator::duty_id(destination), epoch), None);
         }
-        if self.lists.wanted() && !self.wants(Name::Lists) {
-            self.asked.remove(&Ask::Unwant(Name::Lists));
-            self.asked.entry(Ask::Want(Name::Lists)).or_insert(None);
+        if self.discovery_polling.is_needed() && !self.has_requested(DutyId::DiscoveryPolling) {
+            self.proposals.remove(&Proposal::Withdraw(DutyId::DiscoveryPolling));
+            self.proposals.entry(Proposal::Request(DutyId::DiscoveryPolling)).or_insert(None);
         }
-        self.ask_no_more();
-        if self.roll.get(Name::Keeper).is_none() {
-            self.asked.entry(Ask::Want(Name::Keeper)).or_insert(None);
+        self.withdraw_unneeded();
+        if self.leases.get(DutyId::LogMaintenance).is_none() {
+            self.proposals.entry(Proposal::Request(DutyId::LogMaintenance)).or_insert(None);
         }
-        self.release_first();
-        let settled: Vec<Ask> = self.asked.keys().filter(|ask| self.settled(ask)).copied().collect();
-        self.asked.retain(|ask, _| !settled.contains(ask));
-        let (by, again) = (self.me, now - AGAIN * self.settings.term);
-        let due = self.asked.iter_mut().filter(|(_, at)| at.is_none_or(|at| at <= again));
+        self.stop_acting_on_released();
+        let settled: Vec<Proposal> =
+            self.proposals.keys().filter(|proposal| self.is_settled(proposal)).copied().collect();
+        self.proposals.retain(|proposal, _| !settled.contains(proposal));
+        let (member, retry_before) = (self.me, now - RETRY_TERMS * self.settings.lease_term);
+        let due = self
+            .proposals
+            .iter_mut()
+            .filter(|(_, sent_at)| sent_at.is_none_or(|sent_at| sent_at <= retry_before));
         let mut entries: Vec<Entry> = due
-            .map(|(ask, at)| {
-                *at = Some(now);
-                match *ask {
-                    Ask::Want(name) => Entry::Want { name, by },
-                    Ask::Unwant(name) => Entry::Unwant { name, by },
-                    Ask::Release(name, epoch) => Entry::Release { name, epoch },
+            .map(|(proposal, sent_at)| {
+                *sent_at = Some(now);
+                match *proposal {
+                    Proposal::Request(duty) => Entry::Request { duty, member },
+                    Proposal::Withdraw(duty) => Entry::Withdraw { duty, member },
+                    Proposal::Release(duty, epoch) => Entry::Release { duty, epoch },
                 }
             })
             .collect();
-        let words = std::mem::take(&mut self.words);
-        entries.extend(words.into_iter().map(|(name, epoch, word)| Entry::Tell { name, epoch, word }));
+        let updates = std::mem::take(&mut self.updates);
+        entries.extend(updates.into_iter().map(|(duty, epoch, update)| Entry::Update {
+            duty,
+            epoch,
+            update,
+        }));
         entries
     }
 
     /// What is to be given up is acted on no more, before the word of it goes out.
-    fn release_first(&mut self) {
-        for ask in self.asked.keys() {
-            if let Ask::Release(_, epoch) = ask {
-                self.given_up.insert(*epoch);
+    fn stop_acting_on_released(&mut self) {
+        for proposal in self.proposals.keys() {
+            if let Proposal::Release(_, epoch) = proposal {
+                self.released_epochs.insert(*epoch);
             }
         }
-        let held: BTreeSet<u64> = self.roll.held(self.me).map(|(_, epoch)| epoch).collect();
-        let asked =
-            |epoch: &u64| self.asked.keys().any(|ask| matches!(ask, Ask::Release(_, e) if e == epoch));
-        self.given_up.retain(|epoch| held.contains(epoch) || asked(epoch));
+        let held: BTreeSet<u64> = self.leases.held_by(self.me).map(|(_, epoch)| epoch).collect();
+        let release_proposed = |epoch: &u64| {
+            self.proposals
+                .keys()
+                .any(|proposal| matches!(proposal, Proposal::Release(_, released) if released == epoch))
+        };
+        self.released_epochs.retain(|epoch| held.contains(epoch) || release_proposed(epoch));
     }
 }
 
 impl Part for Duties {
-    type Fact = Fact;
-    type News = News;
+    type Fact = DutyReport;
+    type News = DutyEvent;
 
     fn begin(&mut self, me: Id) {
         self.me = me;
-        self.news.push(News::Began);
+        self.events.push(DutyEvent::Started);
     }
 
     fn proposable(&self, entry: &[u8]) -> bool {
-        postcard::from_bytes::<Entry>(entry).is_ok_and(|entry| !matches!(entry, Entry::Give { .. }))
+        postcard::from_bytes::<Entry>(entry).is_ok_and(|entry| !matches!(entry, Entry::Grant { .. }))
     }
 
-    fn agreed(&mut self, now: Seconds, _at: u64, entry: &[u8]) {
+    fn agreed(&mut self, now: Seconds, _index: u64, entry: &[u8]) {
         let Ok(entry) = postcard::from_bytes::<Entry>(entry) else { return };
-        if let Entry::Release { name, epoch } = entry
-            && let Some(duty) = self.roll.get(name).filter(|duty| duty.epoch == epoch)
-            && let Some(holder) = duty.holder
+        if let Entry::Release { duty, epoch } = entry
+            && let Some(lease) = self.leases.get(duty).filter(|lease| lease.epoch == epoch)
+            && let Some(holder) = lease.holder
         {
-            let use_left = !matches!(name, Name::Tries(_)) || duty.wanted.contains(&holder);
-            if use_left {
-                self.granter.released(now, holder);
+            let still_requested = !matches!(duty, DutyId::Trials(_)) || lease.requested_by.contains(&holder);
+            if still_requested {
+                self.granter.duty_released(now, holder);
             }
         }
-        let did = self.roll.apply(&entry, self.settings.rules);
-        self.did(now, did);
+        let result = self.leases.apply(&entry, self.settings.rules);
+        self.handle_result(now, result);
     }
 
     fn removed(&mut self, member: Id) {
-        self.roll.forget(member);
+        self.leases.remove_member(member);
     }
 
-    fn applied(&mut self, at: u64) {
-        self.term.applied(at);
+    fn applied(&mut self, index: u64) {
+        self.lease_term.log_applied(index);
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        postcard::to_stdvec(&self.roll).unwrap_or_default()
+        postcard::to_stdvec(&self.leases).unwrap_or_default()
     }
 
     fn restore(&mut self, now: Seconds, snapshot: &[u8]) -> bool {
-        let Ok(roll) = postcard::from_bytes::<Roll>(snapshot) else { return false };
-        let before = std::mem::replace(&mut self.roll, roll);
-        let changed: Vec<Did> = self
-            .roll
-            .duties()
-            .filter(|(_, duty)| duty.epoch > 0)
-            .filter(|(name, duty)| before.get(*name).is_none_or(|old| old.epoch != duty.epoch))
-            .map(|(name, duty)| Did::Given(name, duty.epoch, duty.holder))
+        let Ok(restored) = postcard::from_bytes::<LeaseTable>(snapshot) else { return false };
+        let previous = std::mem::replace(&mut self.leases, restored);
+        let changed: Vec<ApplyResult> = self
+            .leases
+            .iter()
+            .filter(|(_, lease)| lease.epoch > 0)
+            .filter(|(duty_id, lease)| {
+                previous.get(*duty_id).is_none_or(|previous| previous.epoch != lease.epoch)
+            })
+            .map(|(duty_id, lease)| ApplyResult::Granted(duty_id, lease.epoch, lease.holder))
             .collect();
-        changed.into_iter().for_each(|did| self.did(now, did));
-        if let Some(Word::Round(number)) = self.roll.get(Name::Keeper).and_then(|duty| duty.word) {
-            self.rounds = self.rounds.max(number);
+        changed.into_iter().for_each(|result| self.handle_result(now, result));
+        if let Some(HolderUpdate::Round(number)) =
+            self.leases.get(DutyId::LogMaintenance).and_then(|lease| lease.latest_update)
+        {
+            self.completed_rounds = self.completed_rounds.max(number);
         }
         true
     }
 
     fn question(&mut self, now: Seconds) -> Option<u64> {
-        if self.leaving { None } else { self.term.question(now) }
+        if self.leaving { None } else { self.lease_term.next_renewal(now) }
     }
 
-    fn confirmed(&mut self, now: Seconds, question: u64, after: u64) {
-        self.term.confirmed(now, question, after);
+    fn confirmed(&mut self, now: Seconds, renewal: u64, required_index: u64) {
+        self.lease_term.renewal_confirmed(now, renewal, required_index);
     }
 
-    fn leads(&mut self, now: Seconds, leads: bool) {
-        self.granter.leads(now, leads);
+    fn leads(&mut self, now: Seconds, leading: bool) {
+        self.granter.set_leading(now, leading);
     }
 
     fn heard(&mut self, now: Seconds, from: Id) {
-        self.granter.heard(now, from);
+        self.granter.renewal_received(now, from);
     }
 
     fn lapsed(&self, now: Seconds, member: Id) -> bool {
-        self.granter.lapsed(now, member)
+        self.granter.has_expired(now, member)
     }
 
     fn leave(&mut self, _now: Seconds) {
         self.leaving = true;
-        let held: Vec<_> = self.roll.held(self.me).collect();
-        self.asked.extend(held.into_iter().map(|(name, epoch)| (Ask::Release(name, epoch), None)));
-        self.release_first();
+        let held: Vec<_> = self.leases.held_by(self.me).collect();
+        self.proposals.extend(held.into_iter().map(|(duty, epoch)| (Proposal::Release(duty, epoch), None)));
+        self.stop_acting_on_released();
     }
 
     fn left(&self) -> bool {
-        self.roll.held(self.me).next().is_none()
+        self.leases.held_by(self.me).next().is_none()
     }
 
-    fn fact(&mut self, now: Seconds, fact: Fact) {
-        match fact {
-            Fact::Tries(fact) => {
-                self.tries.fact(now, fact);
+    fn fact(&mut self, now: Seconds, report: DutyReport) {
+        match report {
+            DutyReport::Destination(report) => {
+                self.trials.handle_report(now, report);
                 // Others may have found it out before, and the duty been given already.
-                if let tries::Fact::Out(destination) = fact
-                    && let Some(duty) = self.roll.get(Tries::name(destination))
-                    && let Some(holder) = duty.holder
+                if let trials::DestinationReport::Unavailable(destination) = report
+                    && let Some(lease) = self.leases.get(TrialCoordinator::duty_id(destination))
+                    && let Some(holder) = lease.holder
                 {
-                    self.tries.known(now, destination, duty.epoch, holder == self.me);
+                    self.trials.already_granted(now, destination, lease.epoch, holder == self.me);
                 }
             }
-            Fact::ListFailed => self.lists.failed(now),
-            Fact::List(seq) => self.lists.came(seq),
+            DutyReport::DiscoveryFailed => self.discovery_polling.discovery_failed(now),
+            DutyReport::ListReceived(seq) => self.discovery_polling.list_received(seq),
         }
     }
 
-    fn decide(&mut self, now: Seconds, view: &View) -> Wants<News> {
+    fn decide(&mut self, now: Seconds, view: &View) -> Wants<DutyEvent> {
         if view.members.0.contains_key(&self.me) {
-            self.keep(now, view);
-            self.tries.idle(now);
+            self.maintain_log(now, view);
+            self.trials.release_idle(now);
             // Nobody hears of lists but those that can't reach discovery.
-            let wanted = self.roll.get(Name::Lists).is_some_and(|duty| !duty.wanted.is_empty());
-            if let Some(seq) = self.lists.take_word().filter(|_| wanted) {
-                self.tell(now, Name::Lists, Word::List(seq));
-            } else if now >= self.still_at && self.holds(now, Name::Lists).is_some() && self.lists.wanted() {
-                self.still_at = now + STILL * self.settings.hold_most;
-                self.tell(now, Name::Lists, Word::List(0));
+            let is_requested =
+                self.leases.get(DutyId::DiscoveryPolling).is_some_and(|lease| !lease.requested_by.is_empty());
+            if let Some(seq) = self.discovery_polling.take_update().filter(|_| is_requested) {
+                self.publish(now, DutyId::DiscoveryPolling, HolderUpdate::List(seq));
+            } else if now >= self.next_keepalive_at
+                && self.active_epoch(now, DutyId::DiscoveryPolling).is_some()
+                && self.discovery_polling.is_needed()
+            {
+                self.next_keepalive_at = now + KEEPALIVE_SHARE * self.settings.max_deferral;
+                self.publish(now, DutyId::DiscoveryPolling, HolderUpdate::List(0));
             }
         }
-        let mut entries = self.ask(now);
+        let mut entries = self.pending_entries(now);
         if !view.members.0.contains_key(&self.me) {
             entries.clear();
         }
-        let grants = self.granter.decide(now, &self.roll, view.members);
-        let bounds = self.tries.bounds(now, self.term.until());
-        self.news.extend(bounds.into_iter().map(|(destination, bound)| News::Tries(destination, bound)));
-        self.news.extend(self.lists.pace(now).map(News::Lists));
-        if self.lists.take_ask(now) {
-            self.news.push(News::AskNow);
+        let grants = self.granter.decide_grants(now, &self.leases, view.members);
+        let permissions = self.trials.changed_permissions(now, self.lease_term.expires_at());
+        self.events.extend(
+            permissions
+                .into_iter()
+                .map(|(destination, permission)| DutyEvent::TrialPermission(destination, permission)),
+        );
+        self.events.extend(self.discovery_polling.changed_rate(now).map(DutyEvent::PollingRate));
+        if self.discovery_polling.take_poll_request(now) {
+            self.events.push(DutyEvent::PollDiscovery);
         }
         Wants {
             propose: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
             grants: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            news: std::mem::take(&mut self.news),
-            cut: std::mem::take(&mut self.cut),
+            news: std::mem::take(&mut self.events),
+            cut: std::mem::take(&mut self.compaction_due),
         }
     }
 
     fn show(&self, now: Seconds, view: &View) -> serde_json::Value {
-        let name = |id: Id| view.members.0.get(&id).map(|member| member.name.clone());
+        let member_name = |id: Id| view.members.0.get(&id).map(|member| member.name.clone());
         let duties: Vec<_> = self
-            .roll
-            .duties()
-            .map(|(duty, state)| {
+            .leases
+            .iter()
+            .map(|(duty, lease)| {
                 serde_json::json!({
-                    "name": duty.to_string(), "epoch": state.epoch, "holder": state.holder.and_then(name),
-                    "mine": self.holds(now, duty).is_some(), "wanted": state.wanted.len(),
-                    "word": state.word.map(|word| format!("{word:?}")),
+                    "name": duty.to_string(), "epoch": lease.epoch, "holder": lease.holder.and_then(member_name),
+                    "mine": self.active_epoch(now, duty).is_some(), "wanted": lease.requested_by.len(),
+                    "word": lease.latest_update.map(|update| format!("{update:?}")),
                 })
             })
             .collect();
-        let left = self.term.until() - now;
+        let remaining = self.lease_term.expires_at() - now;
         serde_json::json!({
-            "term_left_s": left.is_finite().then(|| left.max(0.0)), "duties": duties, "rounds": self.rounds,
+            "term_left_s": remaining.is_finite().then(|| remaining.max(0.0)), "duties": duties, "rounds": self.completed_rounds,
         })
     }
 }
@@ -457,114 +489,135 @@
     use fawnspoke_cluster::members::{Change, Members};
 
     fn settings() -> Settings {
-        let rules = Rules::default();
-        Settings { term: 3.0, clock_rate: 0.02, hold_most: 3.0, cut_after: 100, round: 1000.0, rules }
+        let rules = SafetyRules::default();
+        Settings {
+            lease_term: 3.0,
+            max_clock_error: 0.02,
+            max_deferral: 3.0,
+            compaction_threshold: 100,
+            maintenance_interval: 1000.0,
+            rules,
+        }
     }
 
     /// Member 1 of two.
-    struct One {
+    struct TestMember {
         duties: Duties,
         members: Members,
-        at: u64,
+        log_index: u64,
     }
 
-    impl One {
-        fn new() -> One {
+    impl TestMember {
+        fn new() -> TestMember {
             let mut members = Members::default();
             for id in [1, 2] {
                 members.apply(&Change::Join { id, name: format!("n{id}") });
             }
             let mut duties = Duties::new(settings(), 0);
             duties.begin(1);
-            One { duties, members, at: 0 }
+            TestMember { duties, members, log_index: 0 }
         }
 
-        fn agreed(&mut self, now: Seconds, entry: Entry) {
-            self.at += 1;
-            self.duties.agreed(now, self.at, &postcard::to_stdvec(&entry).unwrap());
-            self.duties.applied(self.at);
+        fn apply_agreed(&mut self, now: Seconds, entry: Entry) {
+            self.log_index += 1;
+            self.duties.agreed(now, self.log_index, &postcard::to_stdvec(&entry).unwrap());
+            self.duties.applied(self.log_index);
         }
 
-        fn decide(&mut self, now: Seconds) -> (Vec<Entry>, Vec<News>) {
+        fn decide(&mut self, now: Seconds) -> (Vec<Entry>, Vec<DutyEvent>) {
             let view = View { me: 1, name: "n1", leader: Some(2), members: &self.members, log: 0 };
-            let wants = self.duties.decide(now, &view);
-            let read = |entry: &Vec<u8>| postcard::from_bytes(entry).unwrap();
-            (wants.propose.iter().map(read).collect(), wants.news)
+            let actions = self.duties.decide(now, &view);
+            let decode = |entry: &Vec<u8>| postcard::from_bytes(entry).unwrap();
+            (actions.propose.iter().map(decode).collect(), actions.news)
         }
 
         /// Its term runs until `now` and three seconds.
-        fn confirmed(&mut self, now: Seconds) {
-            let question = self.duties.question(now).unwrap();
-            self.duties.confirmed(now, question, self.at);
+        fn renew_term(&mut self, now: Seconds) {
+            let renewal = self.duties.question(now).unwrap();
+            self.duties.confirmed(now, renewal, self.log_index);
         }
     }
 
-    const T: Name = Name::Tries(7);
+    const TRIALS: DutyId = DutyId::Trials(7);
 
     #[test]
-    fn what_only_a_leader_decides_is_proposed_for_nobody_else() {
+    fn grants_cannot_be_proposed_by_other_members() {
         let duties = Duties::new(settings(), 0);
         let proposable = |entry: Entry| duties.proposable(&postcard::to_stdvec(&entry).unwrap());
         assert!(
-            proposable(Entry::Want { name: T, by: 1 }) && proposable(Entry::Release { name: T, epoch: 1 })
+            proposable(Entry::Request { duty: TRIALS, member: 1 })
+                && proposable(Entry::Release { duty: TRIALS, epoch: 1 })
+        );
+        assert!(
+            !proposable(Entry::Grant { duty: TRIALS, expected_epoch: 0, holder: Some(1) })
+                && !duties.proposable(b"\xff\xff")
         );
-        assert!(!proposable(Entry::Give { name: T, was: 0, to: Some(1) }) && !duties.proposable(b"\xff\xff"));
     }
 
     #[test]
-    fn a_member_that_finds_a_place_out_late_holds_back_too() {
-        let mut one = One::new();
-        one.agreed(1.0, Entry::Want { name: T, by: 2 });
-        one.agreed(1.0, Entry::Give { name: T, was: 0, to: Some(2) });
-        one.decide(1.0);
-        one.duties.fact(2.0, Fact::Tries(tries::Fact::Out(7)));
-        let (entries, news) = one.decide(2.0);
-        assert!(entries.contains(&Entry::Want { name: T, by: 1 }), "{entries:?}");
-        assert!(news.contains(&News::Tries(7, tries::Bound::Held(5.0))), "{news:?}");
+    fn a_member_that_detects_an_outage_late_defers_too() {
+        let mut member = TestMember::new();
+        member.apply_agreed(1.0, Entry::Request { duty: TRIALS, member: 2 });
+        member.apply_agreed(1.0, Entry::Grant { duty: TRIALS, expected_epoch: 0, holder: Some(2) });
+        member.decide(1.0);
+        member.duties.fact(2.0, DutyReport::Destination(trials::DestinationReport::Unavailable(7)));
+        let (entries, events) = member.decide(2.0);
+        assert!(entries.contains(&Entry::Request { duty: TRIALS, member: 1 }), "{entries:?}");
+        assert!(
+            events.contains(&DutyEvent::TrialPermission(7, trials::TrialPermission::Deferred(5.0))),
+            "{events:?}"
+        );
     }
 
     #[test]
-    fn what_was_wanted_in_an_earlier_life_is_wanted_no_more() {
-        let mut one = One::new();
-        one.agreed(1.0, Entry::Want { name: T, by: 1 });
-        assert!(one.decide(1.0).0.contains(&Entry::Unwant { name: T, by: 1 }));
-        one.agreed(1.1, Entry::Unwant { name: T, by: 1 });
-        assert!(!one.decide(9.0).0.iter().any(|entry| matches!(entry, Entry::Unwant { .. })));
+    fn requests_of_a_previous_run_are_withdrawn() {
+        let mut member = TestMember::new();
+        member.apply_agreed(1.0, Entry::Request { duty: TRIALS, member: 1 });
+        assert!(member.decide(1.0).0.contains(&Entry::Withdraw { duty: TRIALS, member: 1 }));
+        member.apply_agreed(1.1, Entry::Withdraw { duty: TRIALS, member: 1 });
+        assert!(!member.decide(9.0).0.iter().any(|entry| matches!(entry, Entry::Withdraw { .. })));
     }
 
     #[test]
-    fn a_discovery_that_answers_leaves_the_log_in_peace() {
-        let mut one = One::new();
-        one.agreed(1.0, Entry::Want { name: Name::Keeper, by: 1 });
-        one.duties.fact(1.0, Fact::ListFailed);
-        assert!(one.decide(1.0).0.contains(&Entry::Want { name: Name::Lists, by: 1 }));
-        one.agreed(1.1, Entry::Want { name: Name::Lists, by: 1 });
-        one.agreed(1.1, Entry::Give { name: Name::Lists, was: 0, to: Some(1) });
-        one.confirmed(1.2);
-        let still = Entry::Tell { name: Name::Lists, epoch: 1, word: Word::List(0) };
-        assert!(one.decide(1.2).0.contains(&still));
+    fn a_working_discovery_causes_no_log_entries() {
+        let mut member = TestMember::new();
+        member.apply_agreed(1.0, Entry::Request { duty: DutyId::LogMaintenance, member: 1 });
+        member.duties.fact(1.0, DutyReport::DiscoveryFailed);
+        assert!(member.decide(1.0).0.contains(&Entry::Request { duty: DutyId::DiscoveryPolling, member: 1 }));
+        member.apply_agreed(1.1, Entry::Request { duty: DutyId::DiscoveryPolling, member: 1 });
+        member.apply_agreed(
+            1.1,
+            Entry::Grant { duty: DutyId::DiscoveryPolling, expected_epoch: 0, holder: Some(1) },
+        );
+        member.renew_term(1.2);
+        let keepalive =
+            Entry::Update { duty: DutyId::DiscoveryPolling, epoch: 1, update: HolderUpdate::List(0) };
+        assert!(member.decide(1.2).0.contains(&keepalive));
         // It answers, with nothing new.
-        one.duties.fact(2.0, Fact::List(4));
-        let unwant = Entry::Unwant { name: Name::Lists, by: 1 };
-        assert!(one.decide(2.0).0.contains(&unwant));
-        one.agreed(2.1, unwant);
+        member.duties.fact(2.0, DutyReport::ListReceived(4));
+        let withdraw = Entry::Withdraw { duty: DutyId::DiscoveryPolling, member: 1 };
+        assert!(member.decide(2.0).0.contains(&withdraw));
+        member.apply_agreed(2.1, withdraw);
         for tick in 0..40 {
             let now = 2.5 + f64::from(tick);
-            one.confirmed(now);
-            one.duties.fact(now, Fact::List(5 + tick as u64));
-            assert_eq!(one.decide(now).0, []);
+            member.renew_term(now);
+            member.duties.fact(now, DutyReport::ListReceived(5 + tick as u64));
+            assert_eq!(member.decide(now).0, []);
         }
     }
 
     #[test]
-    fn what_is_given_up_is_acted_on_no_more_before_its_word_is_agreed() {
-        let mut one = One::new();
-        one.agreed(1.0, Entry::Want { name: Name::Keeper, by: 1 });
-        one.agreed(1.0, Entry::Give { name: Name::Keeper, was: 0, to: Some(1) });
-        one.confirmed(1.1);
-        assert_eq!(one.duties.holds(1.2, Name::Keeper), Some(1));
-        one.duties.leave(1.3);
-        assert_eq!(one.duties.holds(1.3, Name::Keeper), None);
-        assert!(one.decide(1.3).0.contains(&Entry::Release { name: Name::Keeper, epoch: 1 }));
+    fn a_released_duty_is_not_acted_on_before_the_release_is_agreed() {
+        let mut member = TestMember::new();
+        member.apply_agreed(1.0, Entry::Request { duty: DutyId::LogMaintenance, member: 1 });
+        member.apply_agreed(
+            1.0,
+            Entry::Grant { duty: DutyId::LogMaintenance, expected_epoch: 0, holder: Some(1) },
+        );
+        member.renew_term(1.1);
+        assert_eq!(member.duties.active_epoch(1.2, DutyId::LogMaintenance), Some(1));
+        member.duties.leave(1.3);
+        assert_eq!(member.duties.active_epoch(1.3, DutyId::LogMaintenance), None);
+        assert!(member.decide(1.3).0.contains(&Entry::Release { duty: DutyId::LogMaintenance, epoch: 1 }));
     }
 }
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -1,139 +1,146 @@
 //! The leader's side: who gets what, and from when on it is free to be given.
 
-use crate::roll::{Entry, Name, Roll};
-use crate::{Id, Rules, Seconds};
+use crate::lease_table::{DutyId, Entry, LeaseTable};
+use crate::{Id, SafetyRules, Seconds};
 use fawnspoke_cluster::file::guard;
 use fawnspoke_cluster::members::Members;
 use rendezvous_hash::{IdNode, RendezvousNodes};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A member that lost duties by its own lapses so often ...
-const LAPSES: usize = 3;
+const MAX_EXPIRATIONS: usize = 3;
 /// ... in this time gets none for as long, in seconds.
-const LAPSE_TIME: Seconds = 60.0;
+const EXPIRATION_WINDOW: Seconds = 60.0;
 /// What was proposed and not agreed by then, in terms, is proposed anew.
-const AGAIN: f64 = 0.25;
+const RETRY_TERMS: f64 = 0.25;
 
 /// What a leader knows of members' terms, in memory alone: the next leader knows nothing of it and waits.
 #[derive(Clone, Debug)]
-pub struct Granter {
+pub struct LeaseGranter {
     term: Seconds,
     guard: Seconds,
-    rules: Rules,
+    rules: SafetyRules,
     /// Since when this member leads, where it does.
-    since: Option<Seconds>,
-    heard: BTreeMap<Id, Seconds>,
+    leading_since: Option<Seconds>,
+    last_renewals: BTreeMap<Id, Seconds>,
     /// Members that stop: they get nothing until then.
-    leaving: BTreeMap<Id, Seconds>,
-    lapses: BTreeMap<Id, VecDeque<Seconds>>,
-    proposed: BTreeMap<Name, (u64, Seconds)>,
+    released_until: BTreeMap<Id, Seconds>,
+    expirations: BTreeMap<Id, VecDeque<Seconds>>,
+    pending_grants: BTreeMap<DutyId, (u64, Seconds)>,
 }
 
-impl Granter {
+impl LeaseGranter {
     /// One that does not lead.
-    pub fn new(term: Seconds, clock_rate: f64, rules: Rules) -> Granter {
-        let guard = guard(term, if rules.clocks { clock_rate } else { 0.0 });
-        Granter {
+    pub fn new(term: Seconds, max_clock_error: f64, rules: SafetyRules) -> LeaseGranter {
+        let guard = guard(term, if rules.guard_covers_drift { max_clock_error } else { 0.0 });
+        LeaseGranter {
             term,
             guard,
             rules,
-            since: None,
-            heard: BTreeMap::new(),
-            leaving: BTreeMap::new(),
-            lapses: BTreeMap::new(),
-            proposed: BTreeMap::new(),
+            leading_since: None,
+            last_renewals: BTreeMap::new(),
+            released_until: BTreeMap::new(),
+            expirations: BTreeMap::new(),
+            pending_grants: BTreeMap::new(),
         }
     }
 
     /// It leads from now on, or no more. `now` was read after the votes had been cast.
-    pub fn leads(&mut self, now: Seconds, leads: bool) {
-        self.since = leads.then_some(now);
-        self.heard.clear();
-        self.leaving.clear();
-        self.proposed.clear();
+    pub fn set_leading(&mut self, now: Seconds, leading: bool) {
+        self.leading_since = leading.then_some(now);
+        self.last_renewals.clear();
+        self.released_until.clear();
+        self.pending_grants.clear();
     }
 
     /// A member's question has come. `now` was read after that.
-    pub fn heard(&mut self, now: Seconds, from: Id) {
-        self.heard.insert(from, now);
+    pub fn renewal_received(&mut self, now: Seconds, member: Id) {
+        self.last_renewals.insert(member, now);
     }
 
     /// A member gave up a duty by its word: it stops, or has no use for it.
-    pub fn released(&mut self, now: Seconds, by: Id) {
-        self.leaving.insert(by, now + self.term);
+    pub fn duty_released(&mut self, now: Seconds, member: Id) {
+        self.released_until.insert(member, now + self.term);
     }
 
     /// Whether a term that a member may have has surely passed on its own clock.
-    pub fn lapsed(&self, now: Seconds, member: Id) -> bool {
-        let Some(since) = self.since else { return false };
-        let heard = self.heard.get(&member).copied();
-        let from =
-            if self.rules.leader_waits { heard.unwrap_or(since).max(since) } else { heard.unwrap_or(0.0) };
-        now >= from + self.guard
+    pub fn has_expired(&self, now: Seconds, member: Id) -> bool {
+        let Some(leading_since) = self.leading_since else { return false };
+        let last_renewal = self.last_renewals.get(&member).copied();
+        let start = if self.rules.new_leader_waits {
+            last_renewal.unwrap_or(leading_since).max(leading_since)
+        } else {
+            last_renewal.unwrap_or(0.0)
+        };
+        now >= start + self.guard
     }
 
     /// Whether a member may be given something.
-    fn fit(&self, now: Seconds, member: Id) -> bool {
-        let there = self.heard.get(&member).is_some_and(|at| now < at + self.term);
-        let leaving = self.leaving.get(&member).is_some_and(|until| now < *until);
-        there && !leaving && !self.flaps(now, member)
+    fn is_eligible(&self, now: Seconds, member: Id) -> bool {
+        let is_reachable = self.last_renewals.get(&member).is_some_and(|at| now < at + self.term);
+        let released_recently = self.released_until.get(&member).is_some_and(|until| now < *until);
+        is_reachable && !released_recently && !self.is_flapping(now, member)
     }
 
     /// Whether it lost duties by its own lapses too often.
-    pub fn flaps(&self, now: Seconds, member: Id) -> bool {
-        let Some(lapses) = self.lapses.get(&member) else { return false };
-        let recent = lapses.iter().filter(|at| now < **at + LAPSE_TIME).count();
-        recent >= LAPSES
+    pub fn is_flapping(&self, now: Seconds, member: Id) -> bool {
+        let Some(expirations) = self.expirations.get(&member) else { return false };
+        let recent_count = expirations.iter().filter(|at| now < **at + EXPIRATION_WINDOW).count();
+        recent_count >= MAX_EXPIRATIONS
     }
 
     /// What is due: each duty whose holder has surely lapsed, or that nobody holds, goes to one that is there and has use
     /// for it. What is held stays where it is.
-    pub fn decide(&mut self, now: Seconds, roll: &Roll, members: &Members) -> Vec<Entry> {
-        if self.since.is_none() {
+    pub fn decide_grants(&mut self, now: Seconds, table: &LeaseTable, members: &Members) -> Vec<Entry> {
+        if self.leading_since.is_none() {
             return Vec::new();
         }
         let mut entries = Vec::new();
-        let fit: Vec<Id> = members.0.keys().copied().filter(|id| self.fit(now, *id)).collect();
-        for (name, duty) in roll.duties() {
-            let free = duty.holder.is_none_or(|holder| self.lapsed(now, holder));
-            if !free {
+        let eligible: Vec<Id> = members.0.keys().copied().filter(|id| self.is_eligible(now, *id)).collect();
+        for (duty_id, lease) in table.iter() {
+            let is_free = lease.holder.is_none_or(|holder| self.has_expired(now, holder));
+            if !is_free {
                 continue;
             }
-            let again = now - AGAIN * self.term;
-            if self.proposed.get(&name).is_some_and(|(was, at)| *was == duty.epoch && *at > again) {
+            let retry_before = now - RETRY_TERMS * self.term;
+            if self.pending_grants.get(&duty_id).is_some_and(|(decided_epoch, proposed_at)| {
+                *decided_epoch == lease.epoch && *proposed_at > retry_before
+            }) {
                 continue;
             }
-            let named = match name {
-                Name::Tries(_) => fit.iter().copied().filter(|id| duty.wanted.contains(id)).collect(),
-                Name::Keeper | Name::Lists => fit.clone(),
+            let candidates = match duty_id {
+                DutyId::Trials(_) => {
+                    eligible.iter().copied().filter(|id| lease.requested_by.contains(id)).collect()
+                }
+                DutyId::LogMaintenance | DutyId::DiscoveryPolling => eligible.clone(),
             };
-            let to = choose(name, named);
-            if to.is_none() && duty.holder.is_none() {
+            let new_holder = select_holder(duty_id, candidates);
+            if new_holder.is_none() && lease.holder.is_none() {
                 continue;
             }
-            if let Some(holder) = duty.holder {
-                let lapses = self.lapses.entry(holder).or_default();
-                lapses.push_back(now);
-                if lapses.len() > LAPSES {
-                    lapses.pop_front();
+            if let Some(holder) = lease.holder {
+                let expirations = self.expirations.entry(holder).or_default();
+                expirations.push_back(now);
+                if expirations.len() > MAX_EXPIRATIONS {
+                    expirations.pop_front();
                 }
             }
-            self.proposed.insert(name, (duty.epoch, now));
-            entries.push(Entry::Give { name, was: duty.epoch, to });
+            self.pending_grants.insert(duty_id, (lease.epoch, now));
+            entries.push(Entry::Grant { duty: duty_id, expected_epoch: lease.epoch, holder: new_holder });
         }
-        self.proposed.retain(|name, _| roll.get(*name).is_some());
-        self.lapses.retain(|id, _| members.0.contains_key(id));
+        self.pending_grants.retain(|duty_id, _| table.get(*duty_id).is_some());
+        self.expirations.retain(|id, _| members.0.contains_key(id));
         entries
     }
 }
 
 /// One of these, by the highest random weight: duties are spread evenly, and few move as members come and go.
-fn choose(name: Name, among: Vec<Id>) -> Option<Id> {
+fn select_holder(duty: DutyId, candidates: Vec<Id>) -> Option<Id> {
     let mut nodes = RendezvousNodes::default();
-    for id in among {
+    for id in candidates {
         nodes.insert(IdNode::new(id));
     }
-    nodes.calc_candidates(&name).next().map(|node| **node)
+    nodes.calc_candidates(&duty).next().map(|node| **node)
 }
 
 #[cfg(test)]
@@ -147,107 +154,117 @@
         members
     }
 
-    fn roll(entries: &[Entry]) -> Roll {
-        let mut roll = Roll::default();
+    fn table(entries: &[Entry]) -> LeaseTable {
+        let mut table = LeaseTable::default();
         for entry in entries {
-            roll.apply(entry, Rules::default());
+            table.apply(entry, SafetyRules::default());
         }
-        roll
+        table
     }
 
-    const K: Name = Name::Keeper;
+    const MAINTENANCE: DutyId = DutyId::LogMaintenance;
 
     #[test]
-    fn a_lapsed_holders_duty_goes_on_only_after_the_guard() {
-        let (all, mut granter) = (members(&[1, 2]), Granter::new(3.0, 0.02, Rules::default()));
-        let roll = roll(&[Entry::Want { name: K, by: 1 }, Entry::Give { name: K, was: 0, to: Some(1) }]);
-        assert!(granter.decide(0.0, &roll, &all).is_empty());
-        granter.leads(100.0, true);
-        granter.heard(101.0, 1);
+    fn an_expired_lease_is_regranted_only_after_the_guard() {
+        let (members, mut granter) = (members(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+        let table = table(&[
+            Entry::Request { duty: MAINTENANCE, member: 1 },
+            Entry::Grant { duty: MAINTENANCE, expected_epoch: 0, holder: Some(1) },
+        ]);
+        assert!(granter.decide_grants(0.0, &table, &members).is_empty());
+        granter.set_leading(100.0, true);
+        granter.renewal_received(101.0, 1);
         let guard = 3.0 * 1.02 / 0.98;
         for now in [103.0, 101.0 + guard - 0.001] {
-            granter.heard(now, 2);
-            assert!(granter.decide(now, &roll, &all).is_empty(), "{now}");
+            granter.renewal_received(now, 2);
+            assert!(granter.decide_grants(now, &table, &members).is_empty(), "{now}");
         }
-        granter.heard(104.2, 2);
-        let give = Entry::Give { name: K, was: 1, to: Some(2) };
-        assert_eq!(granter.decide(104.2, &roll, &all), [give]);
+        granter.renewal_received(104.2, 2);
+        let give = Entry::Grant { duty: MAINTENANCE, expected_epoch: 1, holder: Some(2) };
+        assert_eq!(granter.decide_grants(104.2, &table, &members), [give]);
         // It is proposed once, and again where nothing came of it.
-        assert!(granter.decide(104.3, &roll, &all).is_empty());
-        assert_eq!(granter.decide(105.1, &roll, &all), [give]);
+        assert!(granter.decide_grants(104.3, &table, &members).is_empty());
+        assert_eq!(granter.decide_grants(105.1, &table, &members), [give]);
     }
 
     #[test]
-    fn a_new_leader_waits_as_if_each_term_had_just_begun() {
-        let (all, roll) = (
+    fn a_new_leader_waits_for_terms_granted_before_it_led() {
+        let (members, table) = (
             members(&[1, 2]),
-            roll(&[Entry::Want { name: K, by: 1 }, Entry::Give { name: K, was: 0, to: Some(1) }]),
+            table(&[
+                Entry::Request { duty: MAINTENANCE, member: 1 },
+                Entry::Grant { duty: MAINTENANCE, expected_epoch: 0, holder: Some(1) },
+            ]),
         );
-        let given = |rules: Rules| {
-            let mut granter = Granter::new(3.0, 0.02, rules);
-            granter.leads(100.0, true);
-            granter.heard(100.1, 2);
-            !granter.decide(100.2, &roll, &all).is_empty()
+        let grant_times = |rules: SafetyRules| {
+            let mut granter = LeaseGranter::new(3.0, 0.02, rules);
+            granter.set_leading(100.0, true);
+            granter.renewal_received(100.1, 2);
+            !granter.decide_grants(100.2, &table, &members).is_empty()
         };
-        assert!(!given(Rules::default()));
-        assert!(given(Rules { leader_waits: false, ..Rules::default() }));
+        assert!(!grant_times(SafetyRules::default()));
+        assert!(grant_times(SafetyRules { new_leader_waits: false, ..SafetyRules::default() }));
     }
 
     #[test]
-    fn duties_are_spread_and_stay_where_they_are() {
-        let (all, mut granter) = (members(&[1, 2, 3, 4]), Granter::new(3.0, 0.02, Rules::default()));
-        granter.leads(0.0, true);
-        let mut roll = Roll::default();
+    fn leases_are_spread_and_stay_with_their_holders() {
+        let (members, mut granter) =
+            (members(&[1, 2, 3, 4]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+        granter.set_leading(0.0, true);
+        let mut table = LeaseTable::default();
         for number in 0..200 {
-            for by in 1..=4 {
-                roll.apply(&Entry::Want { name: Name::Tries(number), by }, Rules::default());
+            for member in 1..=4 {
+                table.apply(&Entry::Request { duty: DutyId::Trials(number), member }, SafetyRules::default());
             }
         }
-        [1, 2, 3].iter().for_each(|id| granter.heard(1.0, *id));
-        let entries = granter.decide(1.0, &roll, &all);
+        [1, 2, 3].iter().for_each(|id| granter.renewal_received(1.0, *id));
+        let entries = granter.decide_grants(1.0, &table, &members);
         for entry in &entries {
-            roll.apply(entry, Rules::default());
+            table.apply(entry, SafetyRules::default());
         }
-        let counts: Vec<usize> = (1..=4).map(|id| roll.held(id).count()).collect();
+        let counts: Vec<usize> = (1..=4).map(|id| table.held_by(id).count()).collect();
         assert_eq!(counts.iter().sum::<usize>(), 200);
         assert!(counts[..3].iter().all(|count| (40..95).contains(count)) && counts[3] == 0, "{counts:?}");
         // One that returns takes nothing back at once.
-        [1, 2, 3, 4].iter().for_each(|id| granter.heard(2.0, *id));
-        assert!(granter.decide(2.0, &roll, &all).is_empty());
+        [1, 2, 3, 4].iter().for_each(|id| granter.renewal_received(2.0, *id));
+        assert!(granter.decide_grants(2.0, &table, &members).is_empty());
     }
 
     #[test]
-    fn one_that_lapses_over_and_over_gets_nothing_for_a_while() {
-        let (all, mut granter) = (members(&[1]), Granter::new(1.0, 0.0, Rules::default()));
-        granter.leads(0.0, true);
-        let mut roll = roll(&[Entry::Want { name: K, by: 1 }]);
-        let mut given = Vec::new();
+    fn a_flapping_member_gets_nothing_for_a_while() {
+        let (members, mut granter) = (members(&[1]), LeaseGranter::new(1.0, 0.0, SafetyRules::default()));
+        granter.set_leading(0.0, true);
+        let mut table = table(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
+        let mut grant_times = Vec::new();
         for tick in 0..2000 {
             let now = f64::from(tick) * 0.1;
             // There for 2 s of each 4.
             if tick % 40 < 20 {
-                granter.heard(now, 1);
+                granter.renewal_received(now, 1);
             }
-            for entry in granter.decide(now, &roll, &all) {
-                roll.apply(&entry, Rules::default());
-                if matches!(entry, Entry::Give { to: Some(_), .. }) {
-                    given.push(now);
+            for entry in granter.decide_grants(now, &table, &members) {
+                table.apply(&entry, SafetyRules::default());
+                if matches!(entry, Entry::Grant { holder: Some(_), .. }) {
+                    grant_times.push(now);
                 }
             }
         }
-        assert!(given.len() <= 12 && given.len() >= 6, "{given:?}");
-        assert!(given.windows(4).all(|four| four[3] - four[0] > 50.0), "{given:?}");
+        assert!(grant_times.len() <= 12 && grant_times.len() >= 6, "{grant_times:?}");
+        assert!(grant_times.windows(4).all(|grants| grants[3] - grants[0] > 50.0), "{grant_times:?}");
     }
 
     #[test]
-    fn whoever_gave_it_up_does_not_get_it_back_at_once() {
-        let (all, mut granter) = (members(&[1, 2]), Granter::new(3.0, 0.02, Rules::default()));
-        granter.leads(0.0, true);
-        let roll = roll(&[Entry::Want { name: K, by: 1 }]);
-        granter.heard(1.0, 1);
-        granter.released(1.0, 1);
-        assert!(granter.decide(1.1, &roll, &all).is_empty());
-        granter.heard(1.2, 2);
-        assert_eq!(granter.decide(1.2, &roll, &all), [Entry::Give { name: K, was: 0, to: Some(2) }]);
+    fn a_released_lease_does_not_return_to_the_same_member_at_once() {
+        let (members, mut granter) = (members(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+        granter.set_leading(0.0, true);
+        let table = table(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
+        granter.renewal_received(1.0, 1);
+        granter.duty_released(1.0, 1);
+        assert!(granter.decide_grants(1.1, &table, &members).is_empty());
+        granter.renewal_received(1.2, 2);
+        assert_eq!(
+            granter.decide_grants(1.2, &table, &members),
+            [Entry::Grant { duty: MAINTENANCE, expected_epoch: 0, holder: Some(2) }]
+        );
     }
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -20,47 +20,53 @@
 //!    that may hold it.
 //! 4. Without a majority no bound outlasts `hold_most`: each dispatcher does what it does alone.
 
+pub mod discovery_polling;
 pub mod duties;
 pub mod granter;
-pub mod lists;
-pub mod roll;
-pub mod term;
-pub mod tries;
+pub mod lease_table;
+pub mod lease_term;
+pub mod trials;
 
 use fawnspoke_cluster::file::File;
 pub use fawnspoke_cluster::{Id, Seconds};
 
 /// Which of the rules hold. All of them, but in tests that show that checkers find a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rules {
+pub struct SafetyRules {
     /// A term counts from before the question was sent, not from when its answer came.
-    pub from_question: bool,
+    pub term_from_request: bool,
     /// A new leader waits as if each term had just begun.
-    pub leader_waits: bool,
+    pub new_leader_waits: bool,
     /// Words under an older epoch are refused.
-    pub epochs: bool,
+    pub reject_stale_epochs: bool,
     /// The guard covers clocks that run differently.
-    pub clocks: bool,
+    pub guard_covers_drift: bool,
     /// A confirmation counts once the log up to it is applied.
-    pub applied_first: bool,
+    pub apply_before_use: bool,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules { from_question: true, leader_waits: true, epochs: true, clocks: true, applied_first: true }
+impl Default for SafetyRules {
+    fn default() -> SafetyRules {
+        SafetyRules {
+            term_from_request: true,
+            new_leader_waits: true,
+            reject_stale_epochs: true,
+            guard_covers_drift: true,
+            apply_before_use: true,
+        }
     }
 }
 
-impl Rules {
+impl SafetyRules {
     /// All rules but the one of this name; nothing where there is none.
-    pub fn without(name: &str) -> Option<Rules> {
-        let mut rules = Rules::default();
+    pub fn without(name: &str) -> Option<SafetyRules> {
+        let mut rules = SafetyRules::default();
         match name {
-            "from_question" => rules.from_question = false,
-            "leader_waits" => rules.leader_waits = false,
-            "epochs" => rules.epochs = false,
-            "clocks" => rules.clocks = false,
-            "applied_first" => rules.applied_first = false,
+            "from_question" => rules.term_from_request = false,
+            "leader_waits" => rules.new_leader_waits = false,
+            "epochs" => rules.reject_stale_epochs = false,
+            "clocks" => rules.guard_covers_drift = false,
+            "applied_first" => rules.apply_before_use = false,
             _ => return None,
         }
         Some(rules)
@@ -70,7 +76,7 @@
 /// The longest time from the end of a holder to its duty being another's, on any clock within the rate, in seconds: the
 /// guard and two beats until the granter looks; before that an election, where the holder led too. Taken for granted: a
 /// majority, an election in which votes are not split, and round trips that are short beside a beat.
-pub fn bound(file: &File, led: bool) -> Seconds {
+pub fn max_failover_time(file: &File, led: bool) -> Seconds {
     let election = if led { file.election_most() } else { 0.0 };
     (file.guard() + election + 2.0 * file.beat()) / (1.0 - file.clock_rate)
 }
@@ -83,7 +89,7 @@
     fn the_bound_has_an_election_in_it_where_the_holder_led() {
         let text = "cluster = \"m\"\nterm_s = 1.0\nmember \"a\" {\n at = \"127.0.0.1:1\"\n voter = true\n}\n";
         let file = File::parse(text, "a").unwrap();
-        let (alone, led) = (bound(&file, false), bound(&file, true));
+        let (alone, led) = (max_failover_time(&file, false), max_failover_time(&file, true));
         // (1.02 / 0.98 + 0.1) / 0.98, and a term more for twenty beats.
         assert!((alone - 1.1641).abs() < 0.001 && (led - alone - 1.0 / 0.98).abs() < 0.001, "{alone} {led}");
     }
--- a/crates/duty/tests/schedules.rs
+++ b/crates/duty/tests/schedules.rs
@@ -3,18 +3,18 @@
 //!
 //! `SCHEDULES=100000 cargo test --release -p fawnspoke-duty --test schedules` plays as many; `SCHEDULE=17` one.
 
-mod world;
+mod simulation;
 
-use fawnspoke_duty::Rules;
-use fawnspoke_duty::roll::Name;
+use fawnspoke_duty::SafetyRules;
+use fawnspoke_duty::lease_table::DutyId;
+use simulation::{Plan, SOUND, Seen, World};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
-use world::{Plan, SOUND, Seen, World};
 
 /// What is wrong with a history. Times are true ones; nothing here knows how terms or epochs are kept.
 fn faults(seen: &[Seen], both: &[String]) -> Vec<String> {
     let mut faults: Vec<String> = both.iter().take(3).map(|both| format!("two hold: {both}")).collect();
-    let mut first: BTreeMap<(Name, u64), (f64, u64)> = BTreeMap::new();
+    let mut first: BTreeMap<(DutyId, u64), (f64, u64)> = BTreeMap::new();
     // Nobody acts under an epoch after somebody has acted under a later one.
     for entry in seen {
         let Seen::Acted { at, by, name, epoch } = entry else { continue };
@@ -28,8 +28,8 @@
         }
     }
     // Every member learns the same of an epoch, and of words under ever later ones.
-    let mut holders: BTreeMap<u64, (Name, Option<u64>)> = BTreeMap::new();
-    let mut latest: BTreeMap<(u64, Name), u64> = BTreeMap::new();
+    let mut holders: BTreeMap<u64, (DutyId, Option<u64>)> = BTreeMap::new();
+    let mut latest: BTreeMap<(u64, DutyId), u64> = BTreeMap::new();
     for entry in seen {
         match entry {
             Seen::Given { by, name, epoch, holder } => {
@@ -149,7 +149,7 @@
 #[test]
 fn each_planted_break_is_found() {
     for rule in ["from_question", "leader_waits", "epochs", "applied_first"] {
-        let seed = found(|plan| plan.rules = Rules::without(rule).unwrap());
+        let seed = found(|plan| plan.rules = SafetyRules::without(rule).unwrap());
         assert!(seed.is_some(), "{rule}");
         println!("without {rule}: found by seed {}", seed.unwrap());
     }
--- a/crates/duty/tests/world/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -6,9 +6,9 @@
 use fawnspoke_cluster::identity::Identity;
 use fawnspoke_cluster::store::Record;
 use fawnspoke_cluster::wire::Frame;
-use fawnspoke_duty::duties::{Duties, Fact, News, Settings};
-use fawnspoke_duty::roll::{Name, Word};
-use fawnspoke_duty::{Id, Rules, Seconds, tries};
+use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, Settings};
+use fawnspoke_duty::lease_table::{DutyId, HolderUpdate};
+use fawnspoke_duty::{Id, SafetyRules, Seconds, trials};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     /// Seconds with faults, and seconds after them.
     pub faults_s: Seconds,
     pub quiet_s: Seconds,
-    pub rules: Rules,
+    pub rules: SafetyRules,
     /// The clocks' rates lie within this of true; the file says 2%.
     pub rate: f64,
     /// Folders lose their last record at a kill, and nobody looks at them.
@@ -38,7 +38,13 @@
     observers: 1,
     faults_s: 8.0,
     quiet_s: 5.0,
-    rules: Rules { from_question: true, leader_waits: true, epochs: true, clocks: true, applied_first: true },
+    rules: SafetyRules {
+        term_from_request: true,
+        new_leader_waits: true,
+        reject_stale_epochs: true,
+        guard_covers_drift: true,
+        apply_before_use: true,
+    },
     rate: 0.02,
     forgetful: false,
 };
@@ -70,13 +76,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// A member looked at its clock and acted under an epoch.
-    Acted { at: Seconds, by: Id, name: Name, epoch: u64 },
+    Acted { at: Seconds, by: Id, name: DutyId, epoch: u64 },
     /// A member begins, and learns the log anew.
     Began { by: Id },
     /// A member learnt from the log that a duty was given.
-    Given { by: Id, name: Name, epoch: u64, holder: Option<Id> },
+    Given { by: Id, name: DutyId, epoch: u64, holder: Option<Id> },
     /// A member learnt of a word that was agreed.
-    Told { at: Seconds, by: Id, name: Name, epoch: u64, word: Word },
+    Told { at: Seconds, by: Id, name: DutyId, epoch: u64, word: HolderUpdate },
 }
 
 pub struct World {
@@ -150,7 +156,7 @@
     }
 
     fn part(&self, _: usize, first: u64) -> Duties {
-        let settings = Settings { rules: self.plan.rules, ..Settings::of(&self.file) };
+        let settings = Settings { rules: self.plan.rules, ..Settings::from_file(&self.file) };
         Duties::new(settings, first)
     }
 
@@ -169,14 +175,14 @@
         self.seen.push(Seen::Began { by: self.members[i].identity.birth });
         // What the place is for it, it has forgotten; it finds out.
         if self.rng.f64() < 0.7 {
-            self.tell(i, tries::Fact::Out(7));
+            self.tell(i, trials::DestinationReport::Unavailable(7));
         }
     }
 
-    fn tell(&mut self, i: usize, fact: tries::Fact) {
+    fn tell(&mut self, i: usize, fact: trials::DestinationReport) {
         let now = self.clock(i);
         if let Some(core) = &mut self.members[i].core {
-            core.fact(now, Fact::Tries(fact));
+            core.fact(now, DutyReport::Destination(fact));
         }
         self.work(i);
     }
@@ -215,9 +221,11 @@
         let (frames, news) = (core.take_frames(), core.take_news());
         for news in news {
             let seen = match news {
-                News::Acts(name, epoch, _) => Seen::Acted { at: self.now, by: me, name, epoch },
-                News::Given(name, epoch, holder) => Seen::Given { by: me, name, epoch, holder },
-                News::Told(name, epoch, word) => Seen::Told { at: self.now, by: me, name, epoch, word },
+                DutyEvent::Acted(name, epoch, _) => Seen::Acted { at: self.now, by: me, name, epoch },
+                DutyEvent::Granted(name, epoch, holder) => Seen::Given { by: me, name, epoch, holder },
+                DutyEvent::Updated(name, epoch, word) => {
+                    Seen::Told { at: self.now, by: me, name, epoch, word }
+                }
                 _ => continue,
             };
             self.seen.push(seen);
@@ -389,10 +397,10 @@
                 }
                 self.work(i);
                 match self.rng.u16(0..400) {
-                    0..40 => self.tell(i, tries::Fact::Failed(7)),
-                    40..42 => self.tell(i, tries::Fact::Served(7)),
-                    42 => self.tell(i, tries::Fact::Well(7)),
-                    43..46 => self.tell(i, tries::Fact::Out(7)),
+                    0..40 => self.tell(i, trials::DestinationReport::CallFailed(7)),
+                    40..42 => self.tell(i, trials::DestinationReport::CallServed(7)),
+                    42 => self.tell(i, trials::DestinationReport::InService(7)),
+                    43..46 => self.tell(i, trials::DestinationReport::Unavailable(7)),
                     _ => {}
                 }
             }
@@ -402,10 +410,10 @@
 
     /// Whoever would look at its clock now, stopped or not: how many would find that they hold a duty?
     fn look(&mut self) {
-        for name in [Name::Keeper, Name::Tries(7)] {
+        for name in [DutyId::LogMaintenance, DutyId::Trials(7)] {
             let holds = |i: &usize| {
                 let core = self.members[*i].core.as_ref()?;
-                core.part().holds(self.clock(*i), name)
+                core.part().active_epoch(self.clock(*i), name)
             };
             let holders: Vec<_> =
                 (0..self.members.len()).filter_map(|i| holds(&i).map(|epoch| (i, epoch))).collect();
@@ -454,7 +462,7 @@
     pub fn kept(&self) -> bool {
         (0..self.members.len()).any(|i| {
             let core = self.members[i].core.as_ref();
-            core.is_some_and(|core| core.part().holds(self.clock(i), Name::Keeper).is_some())
+            core.is_some_and(|core| core.part().active_epoch(self.clock(i), DutyId::LogMaintenance).is_some())
         })
     }
 
@@ -504,7 +512,7 @@
                     core.mark(),
                     core.leads(),
                     core.show(self.clock(i))["part"],
-                    core.part().holds(self.clock(i), Name::Keeper)
+                    core.part().active_epoch(self.clock(i), DutyId::LogMaintenance)
                 );
             }
             text.push('\n');
--- a/crates/fawnspoke/src/fleet.rs
+++ b/crates/fawnspoke/src/fleet.rs
@@ -3,8 +3,8 @@
 use clap::Subcommand;
 use fawnspoke_cluster::file::File;
 use fawnspoke_cluster::shell::{self, Settings};
-use fawnspoke_duty::bound;
 use fawnspoke_duty::duties::{Duties, Settings as DutySettings};
+use fawnspoke_duty::max_failover_time;
 use serde_json::Value;
 use std::path::PathBuf;
 
@@ -36,7 +36,7 @@
     match asked {
         Fleet::Check { file, name } => File::read(&file, &name).map(|read| {
             let (members, voters) = (read.member.len(), read.voters().count());
-            let (follows, led) = (bound(&read, false), bound(&read, true));
+            let (follows, led) = (max_failover_time(&read, false), max_failover_time(&read, true));
             format!(
                 "{}: {}: {members} members, {voters} of them vote; what a member holds that is gone is another's after \
                  {follows:.2} s, and {led:.2} s where it led",
@@ -45,7 +45,7 @@
             )
         }),
         Fleet::Found { file, name, state } => File::read(&file, &name).and_then(|read| {
-            let part = Duties::new(DutySettings::of(&read), 0);
+            let part = Duties::new(DutySettings::from_file(&read), 0);
             let identity = shell::found(&Settings { file: read.clone(), name, state }, &part)?;
             Ok(format!("{} is founded by {}, birth {:016x}", read.cluster, identity.name, identity.birth))
         }),
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -7,10 +7,10 @@
 use fawnspoke_cluster::clock;
 use fawnspoke_cluster::shell::{self, Member};
 use fawnspoke_duty::Seconds as BootSeconds;
-use fawnspoke_duty::duties::{Duties, Fact, News, Settings};
-use fawnspoke_duty::lists::Pace;
-use fawnspoke_duty::roll::{Name, Word};
-use fawnspoke_duty::tries::{Bound, Fact as AttemptFact};
+use fawnspoke_duty::discovery_polling::PollingRate;
+use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, Settings};
+use fawnspoke_duty::lease_table::{DutyId, HolderUpdate};
+use fawnspoke_duty::trials::{DestinationReport, TrialPermission};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,14 +23,14 @@
 
 /// What binds this dispatcher, and the parts that say so. Without the fleet's file there are none.
 pub struct FleetConstraints {
-    member: RefCell<Option<Member<Fact>>>,
-    update_sender: UnboundedSender<News>,
-    updates: RefCell<Option<UnboundedReceiver<News>>>,
+    member: RefCell<Option<Member<DutyReport>>>,
+    update_sender: UnboundedSender<DutyEvent>,
+    updates: RefCell<Option<UnboundedReceiver<DutyEvent>>>,
     /// Destinations that are out for the decisions, and what binds tries there.
-    outages: RefCell<BTreeMap<u32, Bound>>,
+    outages: RefCell<BTreeMap<u32, TrialPermission>>,
     /// Destinations held back now.
     restricted: RefCell<BTreeSet<u32>>,
-    discovery_pace: Cell<Pace>,
+    discovery_pace: Cell<PollingRate>,
     list_seq: Cell<Option<u64>>,
     /// How long a bound holds back that nobody renews.
     max_hold_seconds: BootSeconds,
@@ -53,11 +53,11 @@
 
 /// A bound ends by itself, also where the member's thread has ended with it: a holder whose term is over holds back for as
 /// long as others would, and is alone then.
-fn permission(bound: Bound, now: BootSeconds, max_hold_seconds: BootSeconds) -> Permission {
+fn permission(bound: TrialPermission, now: BootSeconds, max_hold_seconds: BootSeconds) -> Permission {
     match bound {
-        Bound::Mine(epoch, until) if now < until => Permission::Holder(epoch),
-        Bound::Mine(_, until) if now < until + max_hold_seconds => Permission::Restricted,
-        Bound::Held(until) if now < until => Permission::Restricted,
+        TrialPermission::Holder(epoch, until) if now < until => Permission::Holder(epoch),
+        TrialPermission::Holder(_, until) if now < until + max_hold_seconds => Permission::Restricted,
+        TrialPermission::Deferred(until) if now < until => Permission::Restricted,
         _ => Permission::Unrestricted,
     }
 }
@@ -72,7 +72,7 @@
             updates: RefCell::new(Some(updates)),
             outages: RefCell::default(),
             restricted: RefCell::default(),
-            discovery_pace: Cell::new(Pace::Own),
+            discovery_pace: Cell::new(PollingRate::Normal),
             list_seq: Cell::new(None),
             max_hold_seconds: config.fleet.as_ref().map_or(0.0, |file| file.hold_most_s),
             watch_ended: Cell::new(false),
@@ -88,7 +88,7 @@
             name: config.name.clone(),
             state: config.state_dir.clone(),
         };
-        let duties = Settings { rules: duty_rules(), ..Settings::of(file) };
+        let duties = Settings { rules: duty_rules(), ..Settings::from_file(file) };
         let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
         match shell::begin(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
@@ -98,7 +98,7 @@
         }
     }
 
-    fn report(&self, fact: Fact) {
+    fn report(&self, fact: DutyReport) {
         if let Some(member) = &*self.member.borrow() {
             member.tell(fact);
         }
@@ -112,10 +112,10 @@
             return;
         }
         if unavailable {
-            self.outages.borrow_mut().entry(destination).or_insert(Bound::Free);
-            self.report(Fact::Tries(AttemptFact::Out(destination)));
+            self.outages.borrow_mut().entry(destination).or_insert(TrialPermission::Unrestricted);
+            self.report(DutyReport::Destination(DestinationReport::Unavailable(destination)));
         } else if self.outages.borrow_mut().remove(&destination).is_some() {
-            self.report(Fact::Tries(AttemptFact::Well(destination)));
+            self.report(DutyReport::Destination(DestinationReport::InService(destination)));
         }
     }
 
@@ -126,9 +126,11 @@
         }
         for outcome in outcomes {
             match outcome {
-                Outcome::Served => self.report(Fact::Tries(AttemptFact::Served(destination))),
+                Outcome::Served => {
+                    self.report(DutyReport::Destination(DestinationReport::CallServed(destination)))
+                }
                 Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
-                    self.report(Fact::Tries(AttemptFact::Failed(destination)));
+                    self.report(DutyReport::Destination(DestinationReport::CallFailed(destination)));
                 }
                 _ => {}
             }
@@ -138,7 +140,7 @@
     /// Another member, which tries for this one, has found a destination out still: as if a probe of the own had failed.
     /// Without it the decisions would date its return by their own last failure, and fill it too fast.
     fn still_unavailable(&self, node: &Node, destination: u32) {
-        if !matches!(self.outages.borrow().get(&destination), Some(Bound::Held(_))) {
+        if !matches!(self.outages.borrow().get(&destination), Some(TrialPermission::Deferred(_))) {
             return;
         }
         let endpoint = node.directory.borrow().any_endpoint_of(destination);
@@ -151,14 +153,14 @@
     /// Discovery's watch has ended.
     pub fn list_failed(&self) {
         self.watch_ended.set(true);
-        self.report(Fact::ListFailed);
+        self.report(DutyReport::DiscoveryFailed);
     }
 
     /// A list has come.
     pub fn list_received(&self, seq: u64) {
         self.list_seq.set(Some(seq));
         self.watch_ended.set(false);
-        self.report(Fact::List(seq));
+        self.report(DutyReport::ListReceived(seq));
     }
 
     /// A watch brought a sign of life: discovery answers, and has nothing new.
@@ -188,7 +190,9 @@
     /// Whether discovery is asked slowly now, because another member asks: how long to wait.
     pub fn discovery_interval(&self) -> Option<Duration> {
         match self.discovery_pace.get() {
-            Pace::Slow(interval, until) if clock::now() < until => Some(Duration::from_secs_f64(interval)),
+            PollingRate::Reduced(interval, until) if clock::now() < until => {
+                Some(Duration::from_secs_f64(interval))
+            }
             _ => None,
         }
     }
@@ -199,8 +203,9 @@
             return;
         }
         let now = clock::now();
-        let is_restricted =
-            |bound: &Bound| permission(*bound, now, self.max_hold_seconds) == Permission::Restricted;
+        let is_restricted = |bound: &TrialPermission| {
+            permission(*bound, now, self.max_hold_seconds) == Permission::Restricted
+        };
         let to_restrict: BTreeSet<u32> = self
             .outages
             .borrow()
@@ -238,7 +243,7 @@
     /// No bound is in force any more; what that changes in the list.
     fn lift_all(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
         self.outages.borrow_mut().clear();
-        self.discovery_pace.set(Pace::Own);
+        self.discovery_pace.set(PollingRate::Normal);
         self.set_restricted(node, BTreeSet::new())
     }
 
@@ -277,60 +282,64 @@
         }
         let constraints = &node.fleet;
         match update {
-            News::Began => {
+            DutyEvent::Started => {
                 // It has forgotten what it was told.
                 let outages: Vec<u32> = constraints.outages.borrow().keys().copied().collect();
-                outages
-                    .iter()
-                    .for_each(|destination| constraints.report(Fact::Tries(AttemptFact::Out(*destination))));
-                constraints.list_seq.get().into_iter().for_each(|seq| constraints.report(Fact::List(seq)));
+                outages.iter().for_each(|destination| {
+                    constraints.report(DutyReport::Destination(DestinationReport::Unavailable(*destination)))
+                });
+                constraints
+                    .list_seq
+                    .get()
+                    .into_iter()
+                    .for_each(|seq| constraints.report(DutyReport::ListReceived(seq)));
             }
-            News::Tries(destination, bound) => {
+            DutyEvent::TrialPermission(destination, bound) => {
                 if let Some(current) = constraints.outages.borrow_mut().get_mut(&destination) {
                     *current = bound;
                 }
                 constraints.refresh(&node);
             }
-            News::Lists(pace) => constraints.discovery_pace.set(pace),
-            News::AskNow => node.resubscribe.notify_one(),
-            News::Given(name, epoch, holder) => {
+            DutyEvent::PollingRate(pace) => constraints.discovery_pace.set(pace),
+            DutyEvent::PollDiscovery => node.resubscribe.notify_one(),
+            DutyEvent::Granted(name, epoch, holder) => {
                 let holder_name = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
                 log::info(format_args!(
                     "fleet: {:.6} given {name} epoch {epoch} to {holder_name}",
                     clock::of_all(clock::now())
                 ));
             }
-            News::Refused(name, epoch, current_epoch) => {
+            DutyEvent::Rejected(name, epoch, current_epoch) => {
                 log::info(format_args!(
                     "fleet: {:.6} refused {name} epoch {epoch}, {current_epoch} is given",
                     clock::now()
                 ));
             }
-            News::Told(name, epoch, word) => {
+            DutyEvent::Updated(name, epoch, word) => {
                 if constraints.log_actions {
                     log::info(format_args!("fleet: {:.6} told {name} epoch {epoch} {word:?}", clock::now()));
                 }
-                if let (Name::Tries(destination), Word::Out) = (name, word) {
+                if let (DutyId::Trials(destination), HolderUpdate::Out) = (name, word) {
                     constraints.still_unavailable(&node, destination);
                 }
             }
-            News::Acts(name, epoch, at) if constraints.log_actions => {
+            DutyEvent::Acted(name, epoch, at) if constraints.log_actions => {
                 log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::of_all(at)));
             }
-            News::Acts(..) => {}
+            DutyEvent::Acted(..) => {}
         }
     }
 }
 
 /// All rules hold; with the feature `planted`, which is for tests alone, all but the one that a variable names.
-fn duty_rules() -> fawnspoke_duty::Rules {
+fn duty_rules() -> fawnspoke_duty::SafetyRules {
     #[cfg(feature = "planted")]
     if let Some(rules) =
-        std::env::var("FAWNSPOKE_PLANTED").ok().and_then(|name| fawnspoke_duty::Rules::without(&name))
+        std::env::var("FAWNSPOKE_PLANTED").ok().and_then(|name| fawnspoke_duty::SafetyRules::without(&name))
     {
         return rules;
     }
-    fawnspoke_duty::Rules::default()
+    fawnspoke_duty::SafetyRules::default()
 }
 
 #[cfg(test)]
@@ -339,16 +348,16 @@
 
     #[test]
     fn a_restriction_expires_though_nobody_lifts_it() {
-        let restricted_at = |at| permission(Bound::Held(10.0), at, 3.0);
+        let restricted_at = |at| permission(TrialPermission::Deferred(10.0), at, 3.0);
         assert_eq!(
             (restricted_at(9.9), restricted_at(10.0)),
             (Permission::Restricted, Permission::Unrestricted)
         );
-        let holder_at = |at| permission(Bound::Mine(4, 10.0), at, 3.0);
+        let holder_at = |at| permission(TrialPermission::Holder(4, 10.0), at, 3.0);
         assert_eq!(
             (holder_at(9.9), holder_at(10.0), holder_at(12.9), holder_at(13.0)),
             (Permission::Holder(4), Permission::Restricted, Permission::Restricted, Permission::Unrestricted)
         );
-        assert_eq!(permission(Bound::Free, 0.0, 3.0), Permission::Unrestricted);
+        assert_eq!(permission(TrialPermission::Unrestricted, 0.0, 3.0), Permission::Unrestricted);
     }
 }
