--- a/crates/waydoor/tests/common/mod.rs
+++ b/crates/waydoor/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 /// Maximum number of calls that may reach a cold destination within the slow-start window.
 ///
-/// `expected` is the number that the settings allow. Arrivals are random, so the bound adds 3 standard
-/// deviations for small counts and 2 for large ones; the standing test applies the same bound.
+/// `expected` is the number that the settings allow. Arrivals are random, so the bound adds 3 standard deviations
+/// for small counts and 2 for large ones. The acceptance test (the "standing test") applies the same bound.
 pub fn max_cold_calls(expected: f64) -> f64 {
     if expected < 30.0 {
         expected + 3.0 * expected.sqrt() + 3.0
