--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -16,7 +16,7 @@
 }
 
 /// A time of [`now`] on the clock that all processes of this machine share: the same, but where a test has one run wrong.
-pub fn of_all(at: Seconds) -> Seconds {
+pub fn to_machine_time(at: Seconds) -> Seconds {
     #[cfg(feature = "fast-clock")]
     let at = at / rate();
     at
--- a/crates/cluster/src/file.rs
+++ b/crates/cluster/src/config.rs
@@ -9,7 +9,7 @@
 /// How many voters a fleet may have.
 pub const VOTERS: [usize; 4] = [1, 3, 5, 7];
 /// Members at most, voters among them.
-pub const MEMBERS_MOST: usize = 307;
+pub const MAX_MEMBERS: usize = 307;
 /// Bytes of a name: all names of a fleet go into each snapshot.
 const NAME_MOST: usize = 64;
 /// The least and longest term, in seconds.
@@ -26,7 +26,7 @@
 /// The file, checked.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct File {
+pub struct FleetConfig {
     /// The fleet's name: members of another one are refused.
     pub cluster: String,
     /// How long a member holds what the log gives it, from before it asked, in seconds.
@@ -54,13 +54,13 @@
     #[serde(default)]
     pub history: bool,
     /// Every member by its name, which is the dispatcher's in its configuration.
-    pub member: BTreeMap<String, Peer>,
+    pub member: BTreeMap<String, PeerConfig>,
 }
 
 /// One member's line.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Peer {
+pub struct PeerConfig {
     /// Where other members call it.
     pub at: SocketAddr,
     /// Where it listens, if that is another address.
@@ -98,24 +98,24 @@
     10.0
 }
 
-impl File {
+impl FleetConfig {
     /// Reads the file for the member of this name.
     ///
     /// # Errors
     /// One line that names the file, the key and what is wrong with it.
-    pub fn read(path: &Path, name: &str) -> Result<File, String> {
+    pub fn load(path: &Path, name: &str) -> Result<FleetConfig, String> {
         let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
-        File::parse(&text, name).map_err(|error| format!("{}: {error}", path.display()))
+        FleetConfig::parse(&text, name).map_err(|error| format!("{}: {error}", path.display()))
     }
 
     /// The same of a text.
     ///
     /// # Errors
     /// One line that names the key and what is wrong with it.
-    pub fn parse(text: &str, name: &str) -> Result<File, String> {
+    pub fn parse(text: &str, name: &str) -> Result<FleetConfig, String> {
         let one_line = |error: String| error.split_whitespace().collect::<Vec<_>>().join(" ");
         let value: serde_json::Value = hcl::from_str(text).map_err(|error| one_line(error.to_string()))?;
-        let file: File = serde_path_to_error::deserialize(value)
+        let file: FleetConfig = serde_path_to_error::deserialize(value)
             .map_err(|error| one_line(format!("{}: {}", error.path(), error.inner())))?;
         file.check(name)?;
         Ok(file)
@@ -140,8 +140,8 @@
         if !VOTERS.contains(&voters) {
             return Err(format!("member: {voters} have voter = true, must be 1, 3, 5 or 7"));
         }
-        if self.member.len() > MEMBERS_MOST {
-            return Err(format!("member: {} are named, {MEMBERS_MOST} at most", self.member.len()));
+        if self.member.len() > MAX_MEMBERS {
+            return Err(format!("member: {} are named, {MAX_MEMBERS} at most", self.member.len()));
         }
         for (one, peer) in &self.member {
             if one.is_empty() || one.len() > NAME_MOST {
@@ -172,7 +172,7 @@
 
     /// Whether `one` is the one of the two that calls the other: a voter is called by those that do not vote, and by
     /// voters whose names come before its own.
-    pub fn calls(&self, one: &str, other: &str) -> bool {
+    pub fn dials(&self, one: &str, other: &str) -> bool {
         match (self.votes(one), self.votes(other)) {
             (false, voter) => voter,
             (true, true) => one < other,
@@ -181,24 +181,24 @@
     }
 
     /// Time between two heartbeats of a leader, in seconds.
-    pub fn beat(&self) -> Seconds {
+    pub fn heartbeat_interval(&self) -> Seconds {
         (self.term_s / BEATS).clamp(BEAT.0, BEAT.1)
     }
 
     /// The longest time from a leader's last heartbeat until a follower stands for election, in seconds.
-    pub fn election_most(&self) -> Seconds {
-        2.0 * ELECTION_BEATS as f64 * self.beat()
+    pub fn max_election_time(&self) -> Seconds {
+        2.0 * ELECTION_BEATS as f64 * self.heartbeat_interval()
     }
 
     /// How long a granter waits, on its own clock, so that a term that began before has passed on any clock: each runs
     /// at 1 ± `clock_rate` of true time.
-    pub fn guard(&self) -> Seconds {
-        guard(self.term_s, self.clock_rate)
+    pub fn guard_time(&self) -> Seconds {
+        guard_time(self.term_s, self.clock_rate)
     }
 }
 
 /// A span on one clock that is no shorter than `term` on any other, both at 1 ± `rate` of true time.
-pub fn guard(term: Seconds, rate: f64) -> Seconds {
+pub fn guard_time(term: Seconds, rate: f64) -> Seconds {
     term * (1.0 + rate) / (1.0 - rate)
 }
 
@@ -211,10 +211,10 @@
 
     #[test]
     fn defaults_and_blocks_are_read() {
-        let file = File::parse(GOOD, "b").unwrap();
+        let file = FleetConfig::parse(GOOD, "b").unwrap();
         assert_eq!((file.term_s, file.clock_rate, file.voters().collect::<Vec<_>>()), (3.0, 0.02, vec!["a"]));
-        assert!(file.calls("b", "a") && !file.calls("a", "b"));
-        assert!(file.guard() > 3.0 * 1.04 && file.guard() < 3.0 * 1.05);
+        assert!(file.dials("b", "a") && !file.dials("a", "b"));
+        assert!(file.guard_time() > 3.0 * 1.04 && file.guard_time() < 3.0 * 1.05);
     }
 
     #[test]
@@ -237,7 +237,7 @@
             ("cluster = ".to_string(), "-->"),
         ];
         for (text, expected) in cases {
-            let error = File::parse(&text, "b").unwrap_err();
+            let error = FleetConfig::parse(&text, "b").unwrap_err();
             assert!(error.contains(expected) && !error.contains('\n'), "{expected}: {error}");
         }
     }
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/connections.rs
@@ -1,8 +1,8 @@
 //! The connections between members: TCP, one a pair, a length before each packet. A peer that is slow, silent or sends
 //! what nobody can read costs its own link and nothing else.
 
-use crate::Id;
-use crate::file::File;
+use crate::MemberId;
+use crate::config::FleetConfig;
 use crate::wire::{Frame, HELLO_TIME, Hello, PACKET_MOST};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -45,12 +45,12 @@
         /// The own answer; the frames that go out, once it is accepted.
         answer: oneshot::Sender<(Hello, bool)>,
         /// The link, for sending.
-        link: Link,
+        link: Connection,
     },
     /// A frame.
     Frame {
         /// From whom.
-        from: Id,
+        from: MemberId,
         /// The link's number.
         link: u64,
         /// What it says.
@@ -59,13 +59,13 @@
         _unheard: OwnedSemaphorePermit,
     },
     /// A link has ended.
-    Ended(Id, u64),
+    Ended(MemberId, u64),
     /// The other side does not speak with this one.
     Refused {
         /// Its name.
         name: String,
         /// The own birth that is not spoken with; this member may have another by now.
-        refused: Id,
+        refused: MemberId,
         /// Why.
         hello: Box<Hello>,
     },
@@ -93,7 +93,7 @@
 
 /// A link, for sending.
 #[derive(Clone)]
-pub struct Link {
+pub struct Connection {
     /// Counts the links of this process.
     pub number: u64,
     queue: Sender<Queued>,
@@ -102,7 +102,7 @@
     abort: Rc<RefCell<Option<AbortHandle>>>,
 }
 
-impl Link {
+impl Connection {
     /// Sends a frame, unless the queue is full: then it is lost.
     pub fn send(&self, packet: Vec<u8>) -> bool {
         let fits = packet.len() <= PACKET_MOST;
@@ -120,8 +120,8 @@
 
 /// What all links share.
 #[derive(Clone)]
-pub struct Links {
-    file: Rc<File>,
+pub struct Connections {
+    file: Rc<FleetConfig>,
     name: Rc<str>,
     events: UnboundedSender<Event>,
     count: Rc<Cell<u64>>,
@@ -140,11 +140,11 @@
     LengthDelimitedCodec::builder().max_frame_length(PACKET_MOST).new_framed(stream)
 }
 
-impl Links {
+impl Connections {
     /// None yet.
-    pub fn new(file: Rc<File>, name: &str, events: UnboundedSender<Event>) -> Links {
+    pub fn new(file: Rc<FleetConfig>, name: &str, events: UnboundedSender<Event>) -> Connections {
         let most = (file.memory_mb * 1e6 / 2.0) as usize;
-        Links {
+        Connections {
             file,
             name: name.into(),
             events,
@@ -163,13 +163,13 @@
     /// Where the address can't be listened at.
     pub async fn open(&self) -> io::Result<Option<SocketAddr>> {
         let mut at = None;
-        let listens = self.file.member.keys().any(|other| self.file.calls(other, &self.name));
+        let listens = self.file.member.keys().any(|other| self.file.dials(other, &self.name));
         if let Some(me) = self.file.member.get(&*self.name).filter(|_| listens) {
             let listener = TcpListener::bind(me.listen.unwrap_or(me.at)).await?;
             at = Some(listener.local_addr()?);
             spawn_local(self.clone().accept(listener));
         }
-        for (name, peer) in self.file.member.iter().filter(|(name, _)| self.file.calls(&self.name, name)) {
+        for (name, peer) in self.file.member.iter().filter(|(name, _)| self.file.dials(&self.name, name)) {
             spawn_local(self.clone().call(name.clone(), peer.at));
         }
         Ok(at)
@@ -180,11 +180,11 @@
         self.hello.replace(Some(hello));
     }
 
-    fn link(&self) -> (Link, Receiver<Queued>) {
+    fn link(&self) -> (Connection, Receiver<Queued>) {
         let (queue, frames) = channel(QUEUE);
         self.count.set(self.count.get() + 1);
         let (number, room) = (self.count.get(), self.room.clone());
-        (Link { number, queue, room, abort: Rc::default() }, frames)
+        (Connection { number, queue, room, abort: Rc::default() }, frames)
     }
 
     async fn accept(self, listener: TcpListener) {
@@ -215,17 +215,17 @@
 
     /// Waits for a caller's hello and answers it: its birth, and the own one that it was told.
     async fn greeted(
-        &self, wire: &mut Framed<TcpStream, LengthDelimitedCodec>, link: Link,
-    ) -> Option<(Id, Id)> {
+        &self, wire: &mut Framed<TcpStream, LengthDelimitedCodec>, link: Connection,
+    ) -> Option<(MemberId, MemberId)> {
         let packet = wire.next().await?.ok()?;
         let hello: Hello = fawnspoke_frames::read_hello(&packet).ok()?;
-        let id = hello.birth;
+        let id = hello.id;
         let (answer, answered) = oneshot::channel();
         let hello = Box::new(hello);
         self.events.send(Event::Hello { hello, called: false, answer, link }).ok()?;
         let (own, accepted) = answered.await.ok()?;
         wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await.ok()?;
-        accepted.then_some((id, own.birth))
+        accepted.then_some((id, own.id))
     }
 
     /// Calls one member over and over.
@@ -247,7 +247,9 @@
     }
 
     /// One connection to its end: whether the other side spoke; nothing where it never came up.
-    async fn once(&self, name: &str, at: SocketAddr, link: Link, frames: Receiver<Queued>) -> Option<bool> {
+    async fn once(
+        &self, name: &str, at: SocketAddr, link: Connection, frames: Receiver<Queued>,
+    ) -> Option<bool> {
         let hello = Hello { to: name.into(), ..self.hello.borrow().clone()? };
         let patience = Duration::from_secs_f64(HELLO_TIME);
         let stream = timeout(CONNECT_TIME, TcpStream::connect(at)).await.ok()?.ok()?;
@@ -258,12 +260,11 @@
             fawnspoke_frames::read_hello::<Hello>(&packet).ok()
         };
         let theirs = Box::new(timeout(patience, said).await.ok().flatten()?);
-        if theirs.refused.is_some() {
-            let _ =
-                self.events.send(Event::Refused { name: name.into(), refused: hello.birth, hello: theirs });
+        if theirs.rejection.is_some() {
+            let _ = self.events.send(Event::Refused { name: name.into(), refused: hello.id, hello: theirs });
             return Some(false);
         }
-        let id = theirs.birth;
+        let id = theirs.id;
         let (answer, answered) = oneshot::channel();
         self.events.send(Event::Hello { hello: theirs, called: true, answer, link: link.clone() }).ok()?;
         let (own, accepted) = answered.await.ok()?;
@@ -272,13 +273,13 @@
             let _ = wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await;
             return Some(false);
         }
-        self.run(id, own.birth, wire, &link, frames).await;
+        self.run(id, own.id, wire, &link, frames).await;
         Some(true)
     }
 
     /// Carries frames both ways until one side ends.
     async fn run(
-        &self, id: Id, own: Id, wire: Framed<TcpStream, LengthDelimitedCodec>, link: &Link,
+        &self, id: MemberId, own: MemberId, wire: Framed<TcpStream, LengthDelimitedCodec>, link: &Connection,
         mut frames: Receiver<Queued>,
     ) {
         let _ended = Ended { links: self.clone(), id, number: link.number };
@@ -298,7 +299,7 @@
                 let Ok(frame) = fawnspoke_frames::read::<Frame>(&packet) else {
                     // What can't be read ends its link, and so does a caller's refusal.
                     if let Ok(hello) = fawnspoke_frames::read_hello::<Hello>(&packet)
-                        && hello.refused.is_some()
+                        && hello.rejection.is_some()
                     {
                         let (name, hello) = (hello.name.clone(), Box::new(hello));
                         let _ = self.events.send(Event::Refused { name, refused: own, hello });
@@ -320,8 +321,8 @@
 
 /// Tells that a link has ended, however it did.
 struct Ended {
-    links: Links,
-    id: Id,
+    links: Connections,
+    id: MemberId,
     number: u64,
 }
 
@@ -340,7 +341,7 @@
         let room = Rc::new(Cell::new(1000));
         let link = |room: &Rc<Cell<usize>>| {
             let (queue, frames) = channel(QUEUE);
-            (Link { number: 1, queue, room: room.clone(), abort: Rc::default() }, frames)
+            (Connection { number: 1, queue, room: room.clone(), abort: Rc::default() }, frames)
         };
         for _ in 0..10 {
             let (link, frames) = link(&room);
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,18 +1,18 @@
 //! A member without sockets, files and clocks. Times, frames and the dispatcher's facts go in; records to be synced,
-//! frames and news come out. The caller's order is: [`Core::poll`], sync what it gives, [`Core::synced`], send
+//! frames and news come out. The caller's order is: [`Core::take_records`], sync what it gives, [`Core::records_persisted`], send
 //! [`Core::take_frames`].
 
-use crate::confirm::Confirmations;
-use crate::file::{ELECTION_BEATS, File, MEMBERS_MOST};
-use crate::forms::{Conf, ENTRIES_MOST, Entry, Hard, Message, Snapshot};
-use crate::identity::{Identity, Mark};
-use crate::looks::Looks;
+use crate::config::{ELECTION_BEATS, FleetConfig, MAX_MEMBERS};
+use crate::identity::{Identity, LogPosition};
+use crate::leadership_confirmation::Confirmations;
 use crate::members::{Change, Known, Members, caught_up};
-use crate::memory::{ENTRY, Memory};
-use crate::part::{Part, View};
+use crate::memory_log::{ENTRY, MemoryLog};
+use crate::raft_types::{Conf, ENTRIES_MOST, Entry, HardState, Message, Snapshot};
+use crate::record_checks::RecordChecks;
+use crate::state_machine::{MemberView, StateMachine};
 use crate::store::Record;
-use crate::wire::{Frame, Refusal};
-use crate::{Id, Seconds};
+use crate::wire::{Frame, Rejection};
+use crate::{MemberId, Seconds};
 use raft::prelude::{ConfChange, ConfChangeType, EntryType, MessageType};
 use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
 use serde::{Deserialize, Serialize};
@@ -53,18 +53,18 @@
 }
 
 /// A member.
-pub struct Core<P: Part> {
-    file: Arc<File>,
+pub struct Core<P: StateMachine> {
+    file: Arc<FleetConfig>,
     identity: Identity,
-    raw: RawNode<Memory>,
+    raw: RawNode<MemoryLog>,
     part: P,
     members: Members,
     beat_at: Seconds,
     rng: fastrand::Rng,
     /// Being synced.
     pending: Option<Ready>,
-    frames: Vec<(Id, Frame)>,
-    news: Vec<P::News>,
+    frames: Vec<(MemberId, Frame)>,
+    news: Vec<P::Update>,
     cut: bool,
     leads: bool,
     /// The term of that leadership.
@@ -73,27 +73,27 @@
     drawn: Option<(u64, usize)>,
     applied: u64,
     /// As a leader: who wants to join, and since when it has not said so.
-    asking: BTreeMap<Id, (String, Seconds)>,
+    asking: BTreeMap<MemberId, (String, Seconds)>,
     confirmations: Confirmations,
-    looks: Looks,
+    looks: RecordChecks,
     /// Members with a link: their names.
-    linked: BTreeMap<Id, String>,
+    linked: BTreeMap<MemberId, String>,
     /// Snapshots on their way, and the beats until a probe finds out whether they have come.
-    snapshots: BTreeMap<Id, u32>,
+    snapshots: BTreeMap<MemberId, u32>,
 }
 
 /// The first record of a fleet, with one voter.
-pub fn founded(identity: &Identity, part: &impl Part) -> Result<Vec<Record>, CoreError> {
+pub fn bootstrap_records(identity: &Identity, part: &impl StateMachine) -> Result<Vec<Record>, CoreError> {
     let mut members = Members::default();
-    members.apply(&Change::Join { id: identity.birth, name: identity.name.clone() });
-    members.apply(&Change::Promote(identity.birth));
+    members.apply(&Change::Join { id: identity.id, name: identity.name.clone() });
+    members.apply(&Change::Promote(identity.id));
     let data = image(&members, part)?;
-    let conf = Conf { voters: vec![identity.birth], learners: Vec::new() };
-    let hard = Hard { term: 1, vote: 0, commit: 1 };
-    Ok(vec![Record::Snapshot(Snapshot { index: 1, term: 1, conf, data }), Record::Hard(hard)])
+    let conf = Conf { voters: vec![identity.id], learners: Vec::new() };
+    let hard = HardState { term: 1, vote: 0, commit: 1 };
+    Ok(vec![Record::Snapshot(Snapshot { index: 1, term: 1, conf, data }), Record::HardState(hard)])
 }
 
-fn image(members: &Members, part: &impl Part) -> Result<Vec<u8>, CoreError> {
+fn image(members: &Members, part: &impl StateMachine) -> Result<Vec<u8>, CoreError> {
     let image = Image { members: members.clone(), part: part.snapshot() };
     postcard::to_stdvec(&image).map_err(|_| CoreError::Snapshot)
 }
@@ -109,19 +109,19 @@
     form
 }
 
-impl<P: Part> Core<P> {
+impl<P: StateMachine> Core<P> {
     /// A member with what is on record. Equal seeds and inputs give equal outputs.
     ///
     /// # Errors
     /// Where the record can't be used.
     pub fn new(
-        file: Arc<File>, identity: Identity, records: Vec<Record>, part: P, now: Seconds, seed: u64,
+        file: Arc<FleetConfig>, identity: Identity, records: Vec<Record>, part: P, now: Seconds, seed: u64,
     ) -> Result<Core<P>, CoreError> {
-        let memory = Memory::of(records);
+        let memory = MemoryLog::of(records);
         let applied = memory.snapshot.index;
         let image = memory.snapshot.data.clone();
         let config = Config {
-            id: identity.birth,
+            id: identity.id,
             election_tick: ELECTION_BEATS,
             heartbeat_tick: 1,
             applied,
@@ -151,11 +151,11 @@
             applied,
             asking: BTreeMap::new(),
             confirmations: Confirmations::default(),
-            looks: Looks::default(),
+            looks: RecordChecks::default(),
             linked: BTreeMap::new(),
             snapshots: BTreeMap::new(),
         };
-        core.part.begin(core.identity.birth);
+        core.part.set_member_id(core.identity.id);
         if applied > 0 {
             core.restore(now, &image)?;
         }
@@ -169,9 +169,9 @@
     }
 
     /// How far its record goes.
-    pub fn mark(&self) -> Mark {
+    pub fn log_position(&self) -> LogPosition {
         let memory = self.raw.store();
-        Mark { term: memory.hard.term, voted: memory.hard.vote != 0, last: memory.last() }
+        LogPosition { term: memory.hard.term, voted: memory.hard.vote != 0, last: memory.last() }
     }
 
     /// The members, as agreed.
@@ -180,17 +180,17 @@
     }
 
     /// What stands on the log.
-    pub fn part(&self) -> &P {
+    pub fn state_machine(&self) -> &P {
         &self.part
     }
 
     /// Whether this member leads, as far as it knows.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         self.leads
     }
 
     /// The leader, as far as it knows.
-    pub fn leader(&self) -> Option<Id> {
+    pub fn leader(&self) -> Option<MemberId> {
         Some(self.raw.raft.leader_id).filter(|id| *id != 0)
     }
 
@@ -205,12 +205,12 @@
     }
 
     /// When [`Core::tick`] is due next.
-    pub fn due(&self) -> Seconds {
+    pub fn next_tick_at(&self) -> Seconds {
         self.beat_at
     }
 
     /// Whether it takes part in the library's protocol yet.
-    pub fn speaks(&self) -> bool {
+    pub fn is_participating(&self) -> bool {
         self.looks.spoke()
     }
 
@@ -219,7 +219,9 @@
     ///
     /// # Errors
     /// Where it is an older copy.
-    pub fn link(&mut self, id: Id, name: &str, life: u64, mark: &Mark) -> Result<Option<Id>, Refusal> {
+    pub fn peer_connected(
+        &mut self, id: MemberId, name: &str, life: u64, mark: &LogPosition,
+    ) -> Result<Option<MemberId>, Rejection> {
         self.looks.judge(id, life, mark, &self.members)?;
         let other =
             self.linked.iter().find(|(other, of)| **other != id && *of == name).map(|(other, _)| *other);
@@ -229,26 +231,26 @@
 
     /// This side called, and the other speaks with it: it has looked. It learns the same of this one, or it might wait for
     /// ever for somebody to say something.
-    pub fn called(&mut self, id: Id) {
+    pub fn peer_accepted(&mut self, id: MemberId) {
         self.looks.looked_by(id);
-        self.frames.push((id, Frame::Looked));
+        self.frames.push((id, Frame::HelloVerified));
     }
 
     /// A link has ended.
-    pub fn unlink(&mut self, id: Id) {
+    pub fn peer_disconnected(&mut self, id: MemberId) {
         self.linked.remove(&id);
         self.raw.report_unreachable(id);
     }
 
     /// Members that are linked.
-    pub fn linked(&self) -> &BTreeMap<Id, String> {
+    pub fn connected_members(&self) -> &BTreeMap<MemberId, String> {
         &self.linked
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Seconds) {
-        let speaks = self.looks.speaks(self.identity.birth, &self.members);
-        let beat = self.file.beat();
+        let speaks = self.looks.speaks(self.identity.id, &self.members);
+        let beat = self.file.heartbeat_interval();
         let mut beats = 0;
         while now >= self.beat_at {
             self.beat_at += beat;
@@ -262,16 +264,16 @@
         }
         self.ask_for_snapshots(beats);
         self.draw();
-        let member = self.members.0.contains_key(&self.identity.birth);
+        let member = self.members.0.contains_key(&self.identity.id);
         if beats > 0 && !member {
-            let linked: Vec<Id> = self.linked.keys().copied().collect();
+            let linked: Vec<MemberId> = self.linked.keys().copied().collect();
             self.frames.extend(linked.into_iter().map(|id| (id, Frame::Join)));
         }
         // Whoever does not know yet that it is a member has nothing to hold.
-        if member && let Some(question) = self.part.question(now) {
+        if member && let Some(question) = self.part.confirmation_request(now) {
             match self.leader() {
-                Some(id) if id == self.identity.birth => self.ask(now, id, question),
-                Some(id) => self.frames.push((id, Frame::Question(question))),
+                Some(id) if id == self.identity.id => self.ask(now, id, question),
+                Some(id) => self.frames.push((id, Frame::ConfirmLeadership(question))),
                 None => {}
             }
         }
@@ -284,7 +286,8 @@
     /// Has the library probe whether snapshots have come that were sent a while ago; what was lost goes again.
     fn ask_for_snapshots(&mut self, beats: u32) {
         self.snapshots.values_mut().for_each(|left| *left = left.saturating_sub(beats));
-        let due: Vec<Id> = self.snapshots.iter().filter(|(_, left)| **left == 0).map(|(id, _)| *id).collect();
+        let due: Vec<MemberId> =
+            self.snapshots.iter().filter(|(_, left)| **left == 0).map(|(id, _)| *id).collect();
         for to in due {
             self.snapshots.remove(&to);
             self.raw.report_snapshot(to, SnapshotStatus::Finish);
@@ -304,12 +307,12 @@
     }
 
     /// A frame has come from a member with a link.
-    pub fn hear(&mut self, now: Seconds, from: Id, frame: Frame) {
+    pub fn receive_frame(&mut self, now: Seconds, from: MemberId, frame: Frame) {
         // Whoever sends anything has looked.
         self.looks.looked_by(from);
         match frame {
-            Frame::Log(message) => {
-                if message.from != from || message.to != self.identity.birth || !self.looks.spoke() {
+            Frame::Raft(message) => {
+                if message.from != from || message.to != self.identity.id || !self.looks.spoke() {
                     return;
                 }
                 if let Some(acknowledged) = message.acknowledges() {
@@ -321,35 +324,37 @@
                 }
                 self.draw();
             }
-            Frame::Looked => {}
+            Frame::HelloVerified => {}
             Frame::Join => {
                 if let Some(name) = self.linked.get(&from).filter(|_| self.leads) {
                     self.asking.insert(from, (name.clone(), now));
                 }
             }
-            Frame::Question(question) => self.ask(now, from, question),
-            Frame::Confirmed { question, after } if self.leader() == Some(from) => {
-                self.part.confirmed(now, question, after);
+            Frame::ConfirmLeadership(question) => self.ask(now, from, question),
+            Frame::LeadershipConfirmed { request: question, required_index: after }
+                if self.leader() == Some(from) =>
+            {
+                self.part.leadership_confirmed(now, question, after);
             }
-            Frame::Confirmed { .. } => {}
-            Frame::Propose(entry) if self.part.proposable(&entry) => self.propose(entry),
+            Frame::LeadershipConfirmed { .. } => {}
+            Frame::Propose(entry) if self.part.accepts_proposal(&entry) => self.propose(entry),
             Frame::Propose(_) => {}
         }
         self.decide(now);
     }
 
     /// The dispatcher tells something.
-    pub fn fact(&mut self, now: Seconds, fact: P::Fact) {
-        self.part.fact(now, fact);
+    pub fn handle_input(&mut self, now: Seconds, fact: P::Input) {
+        self.part.handle_input(now, fact);
         self.decide(now);
     }
 
     /// A question has come to this member, or is its own.
-    fn ask(&mut self, now: Seconds, from: Id, question: u64) {
+    fn ask(&mut self, now: Seconds, from: MemberId, question: u64) {
         if !self.leads || !self.members.0.contains_key(&from) {
             return;
         }
-        self.part.heard(now, from);
+        self.part.request_received(now, from);
         self.confirmations.ask(from, question);
         self.ask_majority(now);
     }
@@ -357,7 +362,7 @@
     /// Asks a majority whether this member still leads, for all questions that wait.
     fn ask_majority(&mut self, now: Seconds) {
         if self.raw.raft.commit_to_current_term()
-            && let Some(context) = self.confirmations.next(now, self.file.beat())
+            && let Some(context) = self.confirmations.next(now, self.file.heartbeat_interval())
         {
             self.raw.read_index(context);
         }
@@ -367,10 +372,11 @@
         // What this leader has given away so far has its place at or before its log's end.
         let after = self.raw.raft.raft_log.last_index();
         for (to, question) in self.confirmations.answered(context) {
-            if to == self.identity.birth {
-                self.part.confirmed(now, question, after);
+            if to == self.identity.id {
+                self.part.leadership_confirmed(now, question, after);
             } else {
-                self.frames.push((to, Frame::Confirmed { question, after }));
+                self.frames
+                    .push((to, Frame::LeadershipConfirmed { request: question, required_index: after }));
             }
         }
         self.ask_majority(now);
@@ -384,23 +390,23 @@
     }
 
     fn change_members(&mut self, now: Seconds) {
-        let patience = ASKING_BEATS * self.file.beat();
+        let patience = ASKING_BEATS * self.file.heartbeat_interval();
         self.asking.retain(|id, (_, at)| now - *at < patience && !self.members.0.contains_key(id));
         if self.raw.raft.has_pending_conf() {
             return;
         }
         let asking = self.asking.iter().map(|(id, (name, _))| (*id, name.clone())).collect();
-        let (last, me) = (self.raw.raft.raft_log.committed, self.identity.birth);
+        let (last, me) = (self.raw.raft.raft_log.committed, self.identity.id);
         let progress = self.raw.raft.prs();
-        let caught_up = |id: Id| {
+        let caught_up = |id: MemberId| {
             id != me && progress.get(id).is_some_and(|p| caught_up(p.recent_active, p.matched, last))
         };
         let change = self.members.next(&Known {
             asking: &asking,
             named: &|name| self.file.member.get(name).map(|peer| peer.voter),
-            lapsed: &|id| self.part.lapsed(now, id),
+            lapsed: &|id| self.part.lease_expired(now, id),
             caught_up: &caught_up,
-            most: MEMBERS_MOST,
+            most: MAX_MEMBERS,
         });
         let Some(change) = change else { return };
         if let Ok(context) = postcard::to_stdvec(&change) {
@@ -409,24 +415,24 @@
     }
 
     fn decide(&mut self, now: Seconds) {
-        let view = View {
-            me: self.identity.birth,
+        let view = MemberView {
+            id: self.identity.id,
             name: &self.identity.name,
             leader: Some(self.raw.raft.leader_id).filter(|id| *id != 0),
             members: &self.members,
-            log: self.raw.store().length(),
+            log_length: self.raw.store().length(),
         };
         let wants = self.part.decide(now, &view);
-        self.cut |= wants.cut;
-        self.news.extend(wants.news);
+        self.cut |= wants.compact;
+        self.news.extend(wants.updates);
         // The library may have lost the leadership, or lost and won it again, and the part not heard of it yet.
         let leads = self.leads && self.raw.raft.state == StateRole::Leader && self.raw.raft.term == self.led;
-        for entry in wants.grants.into_iter().filter(|_| leads) {
+        for entry in wants.leader_proposals.into_iter().filter(|_| leads) {
             self.propose(entry);
         }
-        for entry in wants.propose {
+        for entry in wants.proposals {
             match self.leader() {
-                Some(id) if id == self.identity.birth => self.propose(entry),
+                Some(id) if id == self.identity.id => self.propose(entry),
                 Some(id) => self.frames.push((id, Frame::Propose(entry))),
                 None => {}
             }
@@ -434,7 +440,7 @@
     }
 
     /// What has to be synced next, and whether it has to; nothing while something is, or where nothing is to be done.
-    pub fn poll(&mut self) -> Option<(Vec<Record>, bool)> {
+    pub fn take_records(&mut self) -> Option<(Vec<Record>, bool)> {
         if self.pending.is_some() || !self.raw.has_ready() {
             return None;
         }
@@ -444,17 +450,17 @@
             records.push(Record::Snapshot(Snapshot::of(ready.snapshot())));
         }
         records.extend(ready.entries().iter().map(|entry| Record::Entry(Entry::of(entry))));
-        records.extend(ready.hs().map(|hard| Record::Hard(Hard::of(hard))));
+        records.extend(ready.hs().map(|hard| Record::HardState(HardState::of(hard))));
         let sync = ready.must_sync();
         self.pending = Some(ready);
         Some((records, sync))
     }
 
-    /// What [`Core::poll`] gave is synced: what was agreed is applied, and frames may go.
+    /// What [`Core::take_records`] gave is synced: what was agreed is applied, and frames may go.
     ///
     /// # Errors
     /// Where a leader's snapshot can't be read: the member can't go on.
-    pub fn synced(&mut self, now: Seconds) -> Result<(), CoreError> {
+    pub fn records_persisted(&mut self, now: Seconds) -> Result<(), CoreError> {
         let Some(mut ready) = self.pending.take() else { return Ok(()) };
         if !ready.snapshot().is_empty() {
             let snapshot = Snapshot::of(ready.snapshot());
@@ -462,13 +468,13 @@
             self.raw.mut_store().replace(snapshot);
             self.restore(now, &data)?;
             self.applied = index;
-            self.part.applied(index);
+            self.part.applied_up_to(index);
         }
         for entry in ready.entries() {
             self.raw.mut_store().take(Record::Entry(Entry::of(entry)));
         }
         if let Some(hard) = ready.hs() {
-            self.raw.mut_store().hard = Hard::of(hard);
+            self.raw.mut_store().hard = HardState::of(hard);
         }
         if let Some(soft) = ready.ss() {
             let leads = soft.raft_state == StateRole::Leader;
@@ -476,7 +482,7 @@
             if std::mem::replace(&mut self.leads, leads) != leads || led != self.led {
                 self.confirmations.forget();
                 self.asking.clear();
-                self.part.leads(now, leads);
+                self.part.leadership_changed(now, leads);
             }
         }
         let reads = ready.take_read_states();
@@ -510,7 +516,7 @@
                 self.snapshots.entry(message.to).or_insert(SNAPSHOT_BEATS);
             }
         });
-        let frames = messages.map(|message| (message.to, Frame::Log(Box::new(Message::of(message)))));
+        let frames = messages.map(|message| (message.to, Frame::Raft(Box::new(Message::of(message)))));
         self.frames.extend(frames);
     }
 
@@ -519,7 +525,7 @@
             self.applied = entry.index;
             if entry.get_entry_type() == EntryType::EntryNormal {
                 if !entry.data.is_empty() {
-                    self.part.agreed(now, entry.index, &entry.data);
+                    self.part.apply_entry(now, entry.index, &entry.data);
                 }
             } else if let Ok(change) = postcard::from_bytes::<Change>(&entry.context) {
                 // The library refuses what would leave it without a voter; then nothing has changed.
@@ -527,11 +533,11 @@
                     self.raw.mut_store().conf = Conf::of(&conf);
                     self.members.apply(&change);
                     if let Change::Remove(id) = change {
-                        self.part.removed(id);
+                        self.part.member_removed(id);
                     }
                 }
             }
-            self.part.applied(self.applied);
+            self.part.applied_up_to(self.applied);
         }
     }
 
@@ -555,7 +561,7 @@
     ///
     /// # Errors
     /// Where the state can't be written as a snapshot.
-    pub fn take_cut(&mut self, forced: bool) -> Result<Option<Vec<Record>>, CoreError> {
+    pub fn compact(&mut self, forced: bool) -> Result<Option<Vec<Record>>, CoreError> {
         if self.pending.is_some() || !(std::mem::take(&mut self.cut) || forced) {
             return Ok(None);
         }
@@ -569,30 +575,30 @@
         Ok(Some(self.raw.store().records()))
     }
 
-    /// What is to be sent, to whom. Only after what [`Core::poll`] gave is synced.
-    pub fn take_frames(&mut self) -> Vec<(Id, Frame)> {
+    /// What is to be sent, to whom. Only after what [`Core::take_records`] gave is synced.
+    pub fn take_frames(&mut self) -> Vec<(MemberId, Frame)> {
         std::mem::take(&mut self.frames)
     }
 
     /// What the dispatcher is to hear.
-    pub fn take_news(&mut self) -> Vec<P::News> {
+    pub fn take_updates(&mut self) -> Vec<P::Update> {
         std::mem::take(&mut self.news)
     }
 
     /// The member stops: its part gives on what it holds.
-    pub fn leave(&mut self, now: Seconds) {
-        self.part.leave(now);
+    pub fn release_all(&mut self, now: Seconds) {
+        self.part.release_all(now);
         self.decide(now);
     }
 
     /// Whether all that it held has been given on.
-    pub fn left(&self) -> bool {
-        self.part.left()
+    pub fn has_released_all(&self) -> bool {
+        self.part.has_released_all()
     }
 
     /// Gives the leadership to another voter that has caught up, before this member stops.
-    pub fn give_leadership(&mut self) {
-        let me = self.identity.birth;
+    pub fn transfer_leadership(&mut self) {
+        let me = self.identity.id;
         let progress = self.raw.raft.prs();
         let next = self.members.voters().filter(|id| *id != me && self.linked.contains_key(id));
         let next = next.max_by_key(|id| progress.get(*id).map_or(0, |p| p.matched));
@@ -602,9 +608,9 @@
     }
 
     /// How things are, for operators, as JSON.
-    pub fn show(&self, now: Seconds) -> serde_json::Value {
-        let me = self.identity.birth;
-        let name = |id: Id| self.members.0.get(&id).map(|member| member.name.clone());
+    pub fn status(&self, now: Seconds) -> serde_json::Value {
+        let me = self.identity.id;
+        let name = |id: MemberId| self.members.0.get(&id).map(|member| member.name.clone());
         let members = self.members.0.iter().map(|(id, member)| {
             serde_json::json!({
                 "name": member.name, "birth": format!("{id:016x}"), "voter": member.voter,
@@ -614,12 +620,12 @@
         });
         serde_json::json!({
             "cluster": self.file.cluster, "name": self.identity.name, "birth": format!("{me:016x}"),
-            "life": self.identity.life, "member": self.members.0.contains_key(&me), "speaks": self.looks.spoke(),
+            "life": self.identity.start_count, "member": self.members.0.contains_key(&me), "speaks": self.looks.spoke(),
             "leader": self.leader().and_then(name), "term": self.raw.raft.term, "applied": self.applied,
             "log": self.raw.store().length(), "members": members.collect::<Vec<_>>(),
-            "part": self.part.show(now, &View {
-                me, name: &self.identity.name, leader: self.leader(), members: &self.members,
-                log: self.raw.store().length(),
+            "part": self.part.status(now, &MemberView {
+                id: me, name: &self.identity.name, leader: self.leader(), members: &self.members,
+                log_length: self.raw.store().length(),
             }),
         })
     }
--- a/crates/cluster/src/confirm.rs
+++ b/crates/cluster/src/leadership_confirmation.rs
@@ -1,33 +1,33 @@
 //! Members' questions whether this leader leads, put to a majority together: one question to a majority at a time, however
 //! many members ask.
 
-use crate::file::MEMBERS_MOST;
-use crate::{Id, Seconds};
+use crate::config::MAX_MEMBERS;
+use crate::{MemberId, Seconds};
 
 /// A question to a majority that was not answered for so many beats is asked anew.
 const BATCH_BEATS: f64 = 4.0;
 /// Questions that wait for an answer.
-const QUESTIONS_MOST: usize = 4 * MEMBERS_MOST;
+const QUESTIONS_MOST: usize = 4 * MAX_MEMBERS;
 
 /// What a majority is being asked.
 #[derive(Debug)]
 struct Batch {
     number: u64,
-    questions: Vec<(Id, u64)>,
+    questions: Vec<(MemberId, u64)>,
     at: Seconds,
 }
 
 /// The questions of one leadership.
 #[derive(Debug, Default)]
 pub struct Confirmations {
-    waiting: Vec<(Id, u64)>,
+    waiting: Vec<(MemberId, u64)>,
     batch: Option<Batch>,
     batches: u64,
 }
 
 impl Confirmations {
     /// A member has asked. One too many is as good as lost: it asks again.
-    pub fn ask(&mut self, from: Id, question: u64) {
+    pub fn ask(&mut self, from: MemberId, question: u64) {
         if self.waiting.len() < QUESTIONS_MOST {
             self.waiting.push((from, question));
         }
@@ -51,7 +51,7 @@
     }
 
     /// A majority has answered: who asked what.
-    pub fn answered(&mut self, context: &[u8]) -> Vec<(Id, u64)> {
+    pub fn answered(&mut self, context: &[u8]) -> Vec<(MemberId, u64)> {
         let batch = self.batch.take_if(|batch| batch.number.to_be_bytes() == context);
         batch.map_or(Vec::new(), |batch| batch.questions)
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,34 +1,34 @@
 //! Members of a fleet of dispatchers, and one agreed log among them.
 //!
-//! - [`mod@file`]: the operators' file that turns it on;
+//! - [`config`]: the operators' file that turns it on;
 //! - [`identity`]: who a member is: name, birth and lives;
-//! - [`looks`]: who has looked at whose record;
-//! - [`confirm`]: questions whether a leader leads;
-//! - [`memory`]: the log while it runs;
+//! - [`record_checks`]: who has looked at whose record;
+//! - [`leadership_confirmation`]: questions whether a leader leads;
+//! - [`memory_log`]: the log while it runs;
 //! - [`members`]: who is a member, and the one change that is due next;
-//! - [`forms`]: the agreement library's messages and records in a form of our own;
-//! - [`part`]: what stands on the log, such as duties;
+//! - [`raft_types`]: the agreement library's messages and records in a form of our own;
+//! - [`state_machine`]: what stands on the log, such as duties;
 //! - [`mod@core`]: a member without sockets, files and clocks: events in, records and frames out;
 //! - [`store`]: the record on disk, synced before anything is answered for;
-//! - [`wire`] and [`links`]: what passes between members, and the connections over which it does;
-//! - [`said`]: lines that others may cause;
-//! - [`shell`]: the thread that feeds the core and carries out what it asks for.
+//! - [`wire`] and [`connections`]: what passes between members, and the connections over which it does;
+//! - [`logging`]: lines that others may cause;
+//! - [`runtime`]: the thread that feeds the core and carries out what it asks for.
 //!
 //! What decides knows nothing of sockets, files or clocks.
 
 pub mod clock;
-pub mod confirm;
+pub mod config;
+pub mod connections;
 pub mod core;
-pub mod file;
-pub mod forms;
 pub mod identity;
-pub mod links;
-pub mod looks;
+pub mod leadership_confirmation;
+pub mod logging;
 pub mod members;
-pub mod memory;
-pub mod part;
-pub mod said;
-pub mod shell;
+pub mod memory_log;
+pub mod raft_types;
+pub mod record_checks;
+pub mod runtime;
+pub mod state_machine;
 pub mod store;
 pub mod wire;
 
@@ -36,4 +36,4 @@
 pub type Seconds = f64;
 
 /// A member's number: its birth, drawn when its folder was first used. Never 0.
-pub type Id = u64;
+pub type MemberId = u64;
--- a/crates/cluster/src/said.rs
+++ b/crates/cluster/src/logging.rs
@@ -14,13 +14,13 @@
 
 /// Lines that others may cause.
 #[derive(Debug, Default)]
-pub struct Said {
+pub struct RateLimitedLog {
     since: Seconds,
     lines: u32,
     left_out: u32,
 }
 
-impl Said {
+impl RateLimitedLog {
     /// Whether one more line is written at this time; with it, how many were left out before.
     fn room(&mut self, now: Seconds) -> Option<u32> {
         let mut left_out = 0;
@@ -52,7 +52,7 @@
 
     #[test]
     fn a_flood_is_a_few_lines_and_a_count() {
-        let mut said = Said::default();
+        let mut said = RateLimitedLog::default();
         let written = (0..100).filter(|_| said.room(5.0).is_some()).count();
         assert_eq!((written, said.room(5.9), said.room(6.0), said.room(6.0)), (5, None, Some(96), Some(0)));
     }
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -1,6 +1,6 @@
 //! Who is a member, as agreed in the log, and the one change that is due next.
 
-use crate::Id;
+use crate::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -28,47 +28,47 @@
     /// It follows the log from now on.
     Join {
         /// Its birth.
-        id: Id,
+        id: MemberId,
         /// Its name.
         name: String,
     },
     /// It has caught up, and votes from now on.
-    Promote(Id),
+    Promote(MemberId),
     /// It is no member any more.
-    Remove(Id),
+    Remove(MemberId),
 }
 
 /// All members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Members(pub BTreeMap<Id, Member>);
+pub struct Members(pub BTreeMap<MemberId, Member>);
 
 /// What a leader knows when it looks for the next change.
 pub struct Known<'a> {
     /// Those that have asked to join, by birth: their names.
-    pub asking: &'a BTreeMap<Id, String>,
+    pub asking: &'a BTreeMap<MemberId, String>,
     /// The fleet's file: whether a name is in it, and whether it is to vote.
     pub named: &'a dyn Fn(&str) -> Option<bool>,
     /// Whether all that a member was given has surely passed.
-    pub lapsed: &'a dyn Fn(Id) -> bool,
+    pub lapsed: &'a dyn Fn(MemberId) -> bool,
     /// Whether a member has the log up to about its end, and is there.
-    pub caught_up: &'a dyn Fn(Id) -> bool,
+    pub caught_up: &'a dyn Fn(MemberId) -> bool,
     /// Members at most.
     pub most: usize,
 }
 
 impl Members {
     /// The voters.
-    pub fn voters(&self) -> impl Iterator<Item = Id> {
+    pub fn voters(&self) -> impl Iterator<Item = MemberId> {
         self.0.iter().filter(|(_, member)| member.voter).map(|(id, _)| *id)
     }
 
     /// The members that only follow.
-    pub fn observers(&self) -> impl Iterator<Item = Id> {
+    pub fn observers(&self) -> impl Iterator<Item = MemberId> {
         self.0.iter().filter(|(_, member)| !member.voter).map(|(id, _)| *id)
     }
 
     /// The member of this name.
-    pub fn by_name(&self, name: &str) -> Option<Id> {
+    pub fn by_name(&self, name: &str) -> Option<MemberId> {
         self.0.iter().find(|(_, member)| member.name == name).map(|(id, _)| *id)
     }
 
@@ -100,7 +100,8 @@
                 None => {}
             }
         }
-        let ready = |id: &Id| self.0.get(id).is_some_and(|member| (known.named)(&member.name) == Some(true));
+        let ready =
+            |id: &MemberId| self.0.get(id).is_some_and(|member| (known.named)(&member.name) == Some(true));
         self.observers().find(|id| ready(id) && (known.caught_up)(*id)).map(Change::Promote)
     }
 }
@@ -109,7 +110,9 @@
 mod tests {
     use super::*;
 
-    fn next(members: &Members, asking: &[(Id, &str)], lapsed: &[Id], caught_up: &[Id]) -> Option<Change> {
+    fn next(
+        members: &Members, asking: &[(MemberId, &str)], lapsed: &[MemberId], caught_up: &[MemberId],
+    ) -> Option<Change> {
         let asking = asking.iter().map(|(id, name)| (*id, name.to_string())).collect();
         members.next(&Known {
             asking: &asking,
--- a/crates/cluster/src/memory.rs
+++ b/crates/cluster/src/memory_log.rs
@@ -1,6 +1,6 @@
 //! What the library reads of the log while it runs: all that is on record, in memory.
 
-use crate::forms::{Conf, Entry, Hard, Snapshot};
+use crate::raft_types::{Conf, Entry, HardState, Snapshot};
 use crate::store::Record;
 use raft::prelude::{Entry as LibEntry, Snapshot as LibSnapshot};
 use raft::storage::{GetEntriesContext, RaftState, Storage};
@@ -12,9 +12,9 @@
 
 /// The log after its last snapshot.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryLog {
     /// What a voter must not forget.
-    pub hard: Hard,
+    pub hard: HardState,
     /// The members now.
     pub conf: Conf,
     /// The log up to here.
@@ -27,10 +27,10 @@
     pub made: Option<Snapshot>,
 }
 
-impl Memory {
+impl MemoryLog {
     /// What was on record, in its order.
-    pub fn of(records: impl IntoIterator<Item = Record>) -> Memory {
-        let mut memory = Memory::default();
+    pub fn of(records: impl IntoIterator<Item = Record>) -> MemoryLog {
+        let mut memory = MemoryLog::default();
         records.into_iter().for_each(|record| memory.take(record));
         memory.conf = memory.snapshot.conf.clone();
         // What is agreed lies within the log, whatever a record that was cut off has lost.
@@ -41,7 +41,7 @@
     /// Takes one record; an entry takes the place of all from its own place on.
     pub fn take(&mut self, record: Record) {
         match record {
-            Record::Hard(hard) => self.hard = hard,
+            Record::HardState(hard) => self.hard = hard,
             Record::Snapshot(snapshot) if snapshot.index >= self.snapshot.index => {
                 // What lies behind it goes on from it only where the log is the same there: a leader's snapshot that came to
                 // a log of another history takes the place of all of it.
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A snapshot that came from a leader, as [`Memory::take`] has it; the members are those that it knows.
+    /// A snapshot that came from a leader, as [`MemoryLog::take`] has it; the members are those that it knows.
     pub fn replace(&mut self, snapshot: Snapshot) {
         self.conf = snapshot.conf.clone();
         self.take(Record::Snapshot(snapshot));
@@ -83,7 +83,7 @@
 
     /// The whole as records: what a new file has to hold.
     pub fn records(&self) -> Vec<Record> {
-        let first = [Record::Snapshot(self.snapshot.clone()), Record::Hard(self.hard)];
+        let first = [Record::Snapshot(self.snapshot.clone()), Record::HardState(self.hard)];
         first.into_iter().chain(self.entries.iter().cloned().map(Record::Entry)).collect()
     }
 
@@ -96,7 +96,7 @@
     }
 }
 
-impl Storage for Memory {
+impl Storage for MemoryLog {
     fn initial_state(&self) -> raft::Result<RaftState> {
         Ok(RaftState::new(self.hard.lib(), self.conf.lib()))
     }
@@ -162,14 +162,14 @@
     #[test]
     fn what_is_on_record_is_read_in_its_order() {
         let snapshot = Snapshot { index: 2, term: 1, ..Snapshot::default() };
-        let hard = Record::Hard(Hard { term: 4, vote: 1, commit: 9 });
+        let hard = Record::HardState(HardState { term: 4, vote: 1, commit: 9 });
         let records = [Record::Snapshot(snapshot.clone()), entry(3, 1), entry(4, 1), hard, entry(4, 2)];
-        let memory = Memory::of(records);
+        let memory = MemoryLog::of(records);
         assert_eq!((memory.last(), memory.term_at(4), memory.hard.commit), (4, Some(2), 4));
         // One with a gap before it was never answered for.
-        let gap = Memory::of([Record::Snapshot(snapshot), entry(5, 1)]);
+        let gap = MemoryLog::of([Record::Snapshot(snapshot), entry(5, 1)]);
         assert_eq!(gap.last(), 2);
-        assert_eq!(Memory::of(memory.records()).records(), memory.records());
+        assert_eq!(MemoryLog::of(memory.records()).records(), memory.records());
     }
 
     #[test]
@@ -177,15 +177,15 @@
         // The same in the next life as in this one: what stands behind it on record went on from other entries.
         let records = [entry(1, 1), entry(2, 1), entry(3, 1), entry(4, 1)];
         let foreign = Snapshot { index: 2, term: 2, ..Snapshot::default() };
-        let mut memory = Memory::of(records.clone());
+        let mut memory = MemoryLog::of(records.clone());
         memory.replace(foreign.clone());
-        let next = Memory::of(records.into_iter().chain([Record::Snapshot(foreign)]));
+        let next = MemoryLog::of(records.into_iter().chain([Record::Snapshot(foreign)]));
         assert_eq!((memory.last(), next.last()), (2, 2));
     }
 
     #[test]
     fn a_snapshot_takes_the_place_of_what_lies_before_it() {
-        let mut memory = Memory::of([entry(1, 1), entry(2, 1), entry(3, 1)]);
+        let mut memory = MemoryLog::of([entry(1, 1), entry(2, 1), entry(3, 1)]);
         memory.take(Record::Snapshot(Snapshot { index: 2, term: 1, ..Snapshot::default() }));
         assert_eq!(
             (memory.length(), memory.last(), memory.term_at(3), memory.term_at(1)),
--- a/crates/cluster/src/forms.rs
+++ b/crates/cluster/src/raft_types.rs
@@ -1,9 +1,9 @@
 //! The agreement library's messages and records in a form of our own. What comes from a link or a file is decoded as
 //! these types and turned into the library's by hand; the library's own decoder sees nothing from outside.
 
-use crate::Id;
+use crate::MemberId;
 use raft::prelude::{
-    ConfState, Entry as LibEntry, EntryType, HardState, Message as LibMessage, MessageType,
+    ConfState, Entry as LibEntry, EntryType, HardState as LibHardState, Message as LibMessage, MessageType,
     Snapshot as LibSnapshot,
 };
 use serde::{Deserialize, Serialize};
@@ -62,11 +62,11 @@
 
 /// What a voter must not forget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The latest term.
     pub term: u64,
     /// Whom it voted for in that term; 0 for nobody.
-    pub vote: Id,
+    pub vote: MemberId,
     /// All up to this place is agreed.
     pub commit: u64,
 }
@@ -75,9 +75,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conf {
     /// The voters.
-    pub voters: Vec<Id>,
+    pub voters: Vec<MemberId>,
     /// The observers.
-    pub learners: Vec<Id>,
+    pub learners: Vec<MemberId>,
 }
 
 /// The state at one place of the log.
@@ -98,9 +98,9 @@
 pub struct Message {
     kind: u8,
     /// To whom.
-    pub to: Id,
+    pub to: MemberId,
     /// From whom.
-    pub from: Id,
+    pub from: MemberId,
     /// The sender's term.
     pub term: u64,
     log_term: u64,
@@ -142,15 +142,15 @@
     }
 }
 
-impl Hard {
+impl HardState {
     /// From the library's form.
-    pub fn of(hard: &HardState) -> Hard {
-        Hard { term: hard.term, vote: hard.vote, commit: hard.commit }
+    pub fn of(hard: &LibHardState) -> HardState {
+        HardState { term: hard.term, vote: hard.vote, commit: hard.commit }
     }
 
     /// In the library's form.
-    pub fn lib(&self) -> HardState {
-        HardState { term: self.term, vote: self.vote, commit: self.commit, ..HardState::default() }
+    pub fn lib(&self) -> LibHardState {
+        LibHardState { term: self.term, vote: self.vote, commit: self.commit, ..LibHardState::default() }
     }
 }
 
@@ -286,8 +286,8 @@
             priority: -1,
         };
         assert_eq!(Message::of(&message.lib().unwrap()), message);
-        let hard = Hard { term: 1, vote: 2, commit: 3 };
-        assert_eq!(Hard::of(&hard.lib()), hard);
+        let hard = HardState { term: 1, vote: 2, commit: 3 };
+        assert_eq!(HardState::of(&hard.lib()), hard);
         let bad = |change: &dyn Fn(&mut Message)| {
             let mut message = message.clone();
             change(&mut message);
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -1,8 +1,8 @@
 //! The record on disk: who the member is, and what of the log it has answered for. Synced before it is answered for,
 //! whatever the journal's own durability.
 
-use crate::forms::{Entry, Hard, Snapshot};
 use crate::identity::Identity;
+use crate::raft_types::{Entry, HardState, Snapshot};
 use fawnspoke_handover::lock::{Lock, try_lock};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, OpenOptions};
@@ -10,7 +10,7 @@
 use std::path::{Path, PathBuf};
 
 /// The folder in the dispatcher's own that lasts.
-pub const FOLDER: &str = "fleet";
+pub const DIRECTORY: &str = "fleet";
 const IDENTITY: &str = "identity.json";
 const LOG: &str = "log";
 /// What a log begins with.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
     /// What a voter must not forget.
-    Hard(Hard),
+    HardState(HardState),
     /// An entry; all from its place on are gone.
     Entry(Entry),
     /// The state at a place; all up to it is in it.
@@ -38,7 +38,7 @@
 pub enum StoreError {
     /// Another process has it.
     #[error("{0}: another process of this member has it")]
-    Held(PathBuf),
+    Locked(PathBuf),
     /// The folder or a file in it.
     #[error("{path}: {source}")]
     Io {
@@ -69,7 +69,7 @@
 
 /// What a store held when it was opened.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStore {
     /// The store.
     pub store: Store,
     /// Who the member is, in a life that no earlier process had.
@@ -77,38 +77,39 @@
     /// Its records, in their order.
     pub records: Vec<Record>,
     /// Bytes of a last record that was not whole: it was never answered for.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 impl Store {
     /// Opens the record below a dispatcher's folder; a new one draws a birth.
     ///
     /// # Errors
-    /// [`StoreError::Held`] where another process has it; else what is wrong with the folder.
-    pub fn open(state: &Path, name: &str, disk_most: u64) -> Result<Opened, StoreError> {
-        let folder = state.join(FOLDER);
+    /// [`StoreError::Locked`] where another process has it; else what is wrong with the folder.
+    pub fn open(state: &Path, name: &str, disk_most: u64) -> Result<OpenedStore, StoreError> {
+        let folder = state.join(DIRECTORY);
         let io = |path: &Path| {
             let path = path.to_path_buf();
             move |source| StoreError::Io { path, source }
         };
         fs::create_dir_all(&folder).map_err(io(&folder))?;
-        let lock = try_lock(&folder).map_err(io(&folder))?.ok_or_else(|| StoreError::Held(folder.clone()))?;
+        let lock =
+            try_lock(&folder).map_err(io(&folder))?.ok_or_else(|| StoreError::Locked(folder.clone()))?;
         let (who, path) = (folder.join(IDENTITY), folder.join(LOG));
         let identity = match fs::read(&who) {
             Ok(bytes) => serde_json::from_slice::<Identity>(&bytes)
                 .ok()
-                .filter(|identity| identity.birth != 0 && identity.name == name)
+                .filter(|identity| identity.id != 0 && identity.name == name)
                 .ok_or_else(|| StoreError::Damaged { path: who.clone(), at: 0 })?,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
                 // A log without its owner's name can't be answered for.
                 if path.exists() {
                     return Err(StoreError::Damaged { path, at: 0 });
                 }
-                Identity { name: name.into(), birth: fastrand::u64(1..), life: 0 }
+                Identity { name: name.into(), id: fastrand::u64(1..), start_count: 0 }
             }
             Err(source) => return Err(StoreError::Io { path: who, source }),
         };
-        let identity = Identity { life: identity.life + 1, ..identity };
+        let identity = Identity { start_count: identity.start_count + 1, ..identity };
         let text = serde_json::to_vec(&identity).unwrap_or_default();
         replace(&folder, IDENTITY, &text).map_err(io(&who))?;
         let bytes = match fs::read(&path) {
@@ -124,7 +125,7 @@
             log.set_len(whole as u64).and_then(|()| log.sync_all()).map_err(io(&path))?;
         }
         let store = Store { folder, log, size: whole as u64, most: disk_most, _lock: lock };
-        Ok(Opened { store, identity, records, torn: bytes.len() - whole })
+        Ok(OpenedStore { store, identity, records, torn_bytes: bytes.len() - whole })
     }
 
     /// Adds records, and has them outlast the machine where `sync`. After an error the store is of no more use: what is
@@ -157,7 +158,7 @@
     }
 
     /// Whether the log is to be cut, whatever its keeper says.
-    pub fn wants_cut(&self) -> bool {
+    pub fn needs_compaction(&self) -> bool {
         self.size as f64 > CUT_SHARE * self.most as f64
     }
 
@@ -172,8 +173,8 @@
 ///
 /// # Errors
 /// Those of the folder.
-pub fn forget(state: &Path) -> io::Result<()> {
-    let folder = state.join(FOLDER);
+pub fn discard_identity(state: &Path) -> io::Result<()> {
+    let folder = state.join(DIRECTORY);
     for name in [IDENTITY, LOG] {
         match fs::rename(folder.join(name), folder.join(format!("{name}.old"))) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -253,18 +254,18 @@
     fn what_was_written_is_read_in_the_next_life() {
         let state = folder("lives");
         let mut first = Store::open(&state, "a", 10_000).unwrap();
-        assert_eq!((first.identity.life, first.records.len()), (1, 0));
-        assert!(matches!(Store::open(&state, "a", 10_000), Err(StoreError::Held(_))));
+        assert_eq!((first.identity.start_count, first.records.len()), (1, 0));
+        assert!(matches!(Store::open(&state, "a", 10_000), Err(StoreError::Locked(_))));
         first.store.append(&[entry(1), entry(2)], true).unwrap();
         drop(first.store);
         let second = Store::open(&state, "a", 10_000).unwrap();
-        assert_eq!((second.identity.life, second.identity.birth), (2, first.identity.birth));
+        assert_eq!((second.identity.start_count, second.identity.id), (2, first.identity.id));
         assert_eq!(second.records, [entry(1), entry(2)]);
         drop(second.store);
         assert!(matches!(Store::open(&state, "b", 10_000), Err(StoreError::Damaged { .. })));
-        forget(&state).unwrap();
+        discard_identity(&state).unwrap();
         let third = Store::open(&state, "a", 10_000).unwrap();
-        assert!(third.identity.birth != first.identity.birth && third.records.is_empty());
+        assert!(third.identity.id != first.identity.id && third.records.is_empty());
         fs::remove_dir_all(state).unwrap();
     }
 
@@ -274,13 +275,13 @@
         let mut opened = Store::open(&state, "a", 10_000).unwrap();
         opened.store.append(&[entry(1), entry(2)], true).unwrap();
         drop(opened.store);
-        let log = state.join(FOLDER).join(LOG);
+        let log = state.join(DIRECTORY).join(LOG);
         let whole = fs::read(&log).unwrap();
         for cut in 1..30 {
             fs::write(&log, &whole[..whole.len() - cut]).unwrap();
             let opened = Store::open(&state, "a", 10_000).unwrap();
             assert_eq!(opened.records, [entry(1)], "{cut}");
-            assert!(opened.torn > 0);
+            assert!(opened.torn_bytes > 0);
         }
         let mut damaged = whole.clone();
         damaged[MAGIC.len() + HEAD + 3] ^= 1;
@@ -297,10 +298,10 @@
         while store.append(&[entry(at)], false).is_ok() {
             at += 1;
         }
-        assert!(at > 5 && store.size() <= 400 && store.wants_cut());
+        assert!(at > 5 && store.size() <= 400 && store.needs_compaction());
         store.replace(&[entry(at)]).unwrap();
         store.append(&[entry(at + 1)], true).unwrap();
-        assert!(!store.wants_cut());
+        assert!(!store.needs_compaction());
         drop(store);
         assert_eq!(Store::open(&state, "a", 400).unwrap().records, [entry(at), entry(at + 1)]);
         fs::remove_dir_all(state).unwrap();
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,8 +1,8 @@
 //! What passes between members: a hello of each side, then frames.
 
-use crate::forms::Message;
-use crate::identity::Mark;
-use crate::{Id, Seconds};
+use crate::identity::LogPosition;
+use crate::raft_types::Message;
+use crate::{MemberId, Seconds};
 use serde::{Deserialize, Serialize};
 
 /// The version of the frames.
@@ -24,28 +24,34 @@
     /// Whom it wants to speak with.
     pub to: String,
     /// Its birth.
-    pub birth: Id,
+    #[serde(rename = "birth")]
+    pub id: MemberId,
     /// Its life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub start_count: u64,
     /// How far its record goes.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub position: LogPosition,
     /// Why it does not speak with the other side; nothing follows then.
-    pub refused: Option<Refusal>,
+    #[serde(rename = "refused")]
+    pub rejection: Option<Rejection>,
 }
 
 /// Why a member is not spoken with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Refusal {
+pub enum Rejection {
     /// Another fleet's.
     #[error("a member of another fleet")]
     OtherFleet,
     /// It wants somebody else.
     #[error("whom it calls is not here")]
-    NotMe,
+    #[serde(rename = "not_me")]
+    WrongMember,
     /// The file does not name it.
     #[error("a stranger: the file does not name it")]
-    Stranger,
+    #[serde(rename = "stranger")]
+    UnknownMember,
     /// No version of frames in common.
     #[error("no version of the frames in common")]
     Version,
@@ -54,26 +60,27 @@
     OlderCopy,
     /// Its birth is here.
     #[error("its birth is this member's own: two processes of one folder")]
-    MyBirth,
+    #[serde(rename = "my_birth")]
+    OwnId,
 }
 
 /// A frame between two members that have said hello.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Of the library's protocol.
-    Log(Box<Message>),
+    Raft(Box<Message>),
     /// The caller has looked at the hello of the called one, and speaks with it.
-    Looked,
+    HelloVerified,
     /// The sender is to be a member.
     Join,
     /// A member's question whether this one leads.
-    Question(u64),
+    ConfirmLeadership(u64),
     /// The answer: it led after the question had come.
-    Confirmed {
+    LeadershipConfirmed {
         /// The question.
-        question: u64,
+        request: u64,
         /// What it gave away by then lies in the log up to here.
-        after: u64,
+        required_index: u64,
     },
     /// To be agreed, if the receiver leads.
     Propose(Vec<u8>),
@@ -86,7 +93,7 @@
     /// Its name.
     pub name: &'a str,
     /// Its birth.
-    pub birth: Id,
+    pub id: MemberId,
 }
 
 impl Hello {
@@ -94,18 +101,18 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn judge(&self, me: &Me, named: impl Fn(&str) -> bool) -> Result<(), Refusal> {
+    pub fn judge(&self, me: &Me, named: impl Fn(&str) -> bool) -> Result<(), Rejection> {
         let (from, to) = self.versions;
         if !(from..=to).contains(&VERSION) {
-            Err(Refusal::Version)
+            Err(Rejection::Version)
         } else if self.cluster != me.cluster {
-            Err(Refusal::OtherFleet)
+            Err(Rejection::OtherFleet)
         } else if self.to != me.name {
-            Err(Refusal::NotMe)
-        } else if !named(&self.name) || self.name == me.name || self.birth == 0 {
-            Err(Refusal::Stranger)
-        } else if self.birth == me.birth {
-            Err(Refusal::MyBirth)
+            Err(Rejection::WrongMember)
+        } else if !named(&self.name) || self.name == me.name || self.id == 0 {
+            Err(Rejection::UnknownMember)
+        } else if self.id == me.id {
+            Err(Rejection::OwnId)
         } else {
             Ok(())
         }
@@ -124,25 +131,24 @@
             cluster: "m".into(),
             name: "a".into(),
             to: "b".into(),
-            birth: 5,
-            life: 1,
-            mark: Mark::default(),
-            refused: None,
+            id: 5,
+            start_count: 1,
+            position: LogPosition::default(),
+            rejection: None,
         };
-        let judged =
-            |hello: &Hello| hello.judge(&Me { cluster: "m", name: "b", birth: 6 }, |name| name < "c");
+        let judged = |hello: &Hello| hello.judge(&Me { cluster: "m", name: "b", id: 6 }, |name| name < "c");
         assert_eq!(judged(&hello), Ok(()));
         let with = |change: &dyn Fn(&mut Hello)| {
             let mut other = hello.clone();
             change(&mut other);
             judged(&other).unwrap_err()
         };
-        assert_eq!(with(&|h| h.versions = (2, 3)), Refusal::Version);
-        assert_eq!(with(&|h| h.cluster = "n".into()), Refusal::OtherFleet);
-        assert_eq!(with(&|h| h.to = "c".into()), Refusal::NotMe);
-        assert_eq!(with(&|h| h.name = "z".into()), Refusal::Stranger);
-        assert_eq!(with(&|h| h.name = "b".into()), Refusal::Stranger);
-        assert_eq!(with(&|h| h.birth = 6), Refusal::MyBirth);
+        assert_eq!(with(&|h| h.versions = (2, 3)), Rejection::Version);
+        assert_eq!(with(&|h| h.cluster = "n".into()), Rejection::OtherFleet);
+        assert_eq!(with(&|h| h.to = "c".into()), Rejection::WrongMember);
+        assert_eq!(with(&|h| h.name = "z".into()), Rejection::UnknownMember);
+        assert_eq!(with(&|h| h.name = "b".into()), Rejection::UnknownMember);
+        assert_eq!(with(&|h| h.id = 6), Rejection::OwnId);
         let read = |text: &str| fawnspoke_frames::read_hello::<Hello>(text.as_bytes());
         let packet = fawnspoke_frames::hello_packet(&hello).unwrap();
         assert_eq!(fawnspoke_frames::read_hello::<Hello>(&packet).unwrap(), hello);
@@ -152,7 +158,7 @@
     proptest! {
         #[test]
         fn bytes_that_are_no_frame_are_an_error_and_no_more(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(Frame::Log(message)) = fawnspoke_frames::read::<Frame>(&bytes) {
+            if let Ok(Frame::Raft(message)) = fawnspoke_frames::read::<Frame>(&bytes) {
                 let _ = message.lib();
             }
             let _ = fawnspoke_frames::read_hello::<Hello>(&bytes);
--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -5,9 +5,9 @@
 use crate::roll::{Did, Entry, Name, Roll, WANTED_MOST, Word};
 use crate::term::Term;
 use crate::tries::{self, Tries};
-use crate::{Id, Rules, Seconds};
-use fawnspoke_cluster::file::File;
-use fawnspoke_cluster::part::{Part, View, Wants};
+use crate::{MemberId, Rules, Seconds};
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::state_machine::{Decisions, MemberView, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What was sent and not agreed by then is sent anew, in terms.
@@ -38,7 +38,7 @@
     /// Discovery is to be asked now.
     AskNow,
     /// For the log: a duty was given.
-    Given(Name, u64, Option<Id>),
+    Given(Name, u64, Option<MemberId>),
     /// For the log: a holder's word was agreed.
     Told(Name, u64, Word),
     /// For the log: a word under an older epoch was refused; the duty's own is the second.
@@ -66,7 +66,7 @@
 
 impl Settings {
     /// As the operators' file says.
-    pub fn of(file: &File) -> Settings {
+    pub fn of(file: &FleetConfig) -> Settings {
         Settings {
             term: file.term_s,
             clock_rate: file.clock_rate,
@@ -81,7 +81,7 @@
 /// All duties of one member.
 pub struct Duties {
     settings: Settings,
-    me: Id,
+    me: MemberId,
     roll: Roll,
     term: Term,
     granter: Granter,
@@ -153,7 +153,7 @@
         }
     }
 
-    fn keep(&mut self, now: Seconds, view: &View) {
+    fn keep(&mut self, now: Seconds, view: &MemberView) {
         if self.holds(now, Name::Keeper).is_none() {
             return;
         }
@@ -161,7 +161,7 @@
             self.round_at = now + self.settings.round;
             self.tell(now, Name::Keeper, Word::Round(self.rounds + 1));
         }
-        if view.log >= self.settings.cut_after && now >= self.cut_at {
+        if view.log_length >= self.settings.cut_after && now >= self.cut_at {
             self.cut_at = now + AGAIN * self.settings.term;
             self.tell(now, Name::Keeper, Word::Cut);
         }
@@ -294,20 +294,20 @@
     }
 }
 
-impl Part for Duties {
-    type Fact = Fact;
-    type News = News;
+impl StateMachine for Duties {
+    type Input = Fact;
+    type Update = News;
 
-    fn begin(&mut self, me: Id) {
+    fn set_member_id(&mut self, me: MemberId) {
         self.me = me;
         self.news.push(News::Began);
     }
 
-    fn proposable(&self, entry: &[u8]) -> bool {
+    fn accepts_proposal(&self, entry: &[u8]) -> bool {
         postcard::from_bytes::<Entry>(entry).is_ok_and(|entry| !matches!(entry, Entry::Give { .. }))
     }
 
-    fn agreed(&mut self, now: Seconds, _at: u64, entry: &[u8]) {
+    fn apply_entry(&mut self, now: Seconds, _at: u64, entry: &[u8]) {
         let Ok(entry) = postcard::from_bytes::<Entry>(entry) else { return };
         if let Entry::Release { name, epoch } = entry
             && let Some(duty) = self.roll.get(name).filter(|duty| duty.epoch == epoch)
@@ -322,11 +322,11 @@
         self.did(now, did);
     }
 
-    fn removed(&mut self, member: Id) {
+    fn member_removed(&mut self, member: MemberId) {
         self.roll.forget(member);
     }
 
-    fn applied(&mut self, at: u64) {
+    fn applied_up_to(&mut self, at: u64) {
         self.term.applied(at);
     }
 
@@ -351,38 +351,38 @@
         true
     }
 
-    fn question(&mut self, now: Seconds) -> Option<u64> {
+    fn confirmation_request(&mut self, now: Seconds) -> Option<u64> {
         if self.leaving { None } else { self.term.question(now) }
     }
 
-    fn confirmed(&mut self, now: Seconds, question: u64, after: u64) {
+    fn leadership_confirmed(&mut self, now: Seconds, question: u64, after: u64) {
         self.term.confirmed(now, question, after);
     }
 
-    fn leads(&mut self, now: Seconds, leads: bool) {
+    fn leadership_changed(&mut self, now: Seconds, leads: bool) {
         self.granter.leads(now, leads);
     }
 
-    fn heard(&mut self, now: Seconds, from: Id) {
+    fn request_received(&mut self, now: Seconds, from: MemberId) {
         self.granter.heard(now, from);
     }
 
-    fn lapsed(&self, now: Seconds, member: Id) -> bool {
+    fn lease_expired(&self, now: Seconds, member: MemberId) -> bool {
         self.granter.lapsed(now, member)
     }
 
-    fn leave(&mut self, _now: Seconds) {
+    fn release_all(&mut self, _now: Seconds) {
         self.leaving = true;
         let held: Vec<_> = self.roll.held(self.me).collect();
         self.asked.extend(held.into_iter().map(|(name, epoch)| (Ask::Release(name, epoch), None)));
         self.release_first();
     }
 
-    fn left(&self) -> bool {
+    fn has_released_all(&self) -> bool {
         self.roll.held(self.me).next().is_none()
     }
 
-    fn fact(&mut self, now: Seconds, fact: Fact) {
+    fn handle_input(&mut self, now: Seconds, fact: Fact) {
         match fact {
             Fact::Tries(fact) => {
                 self.tries.fact(now, fact);
@@ -399,7 +399,7 @@
         }
     }
 
-    fn decide(&mut self, now: Seconds, view: &View) -> Wants<News> {
+    fn decide(&mut self, now: Seconds, view: &MemberView) -> Decisions<News> {
         if view.members.0.contains_key(&self.me) {
             self.keep(now, view);
             self.tries.idle(now);
@@ -423,16 +423,16 @@
         if self.lists.take_ask(now) {
             self.news.push(News::AskNow);
         }
-        Wants {
-            propose: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            grants: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            news: std::mem::take(&mut self.news),
-            cut: std::mem::take(&mut self.cut),
+        Decisions {
+            proposals: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
+            leader_proposals: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
+            updates: std::mem::take(&mut self.news),
+            compact: std::mem::take(&mut self.cut),
         }
     }
 
-    fn show(&self, now: Seconds, view: &View) -> serde_json::Value {
-        let name = |id: Id| view.members.0.get(&id).map(|member| member.name.clone());
+    fn status(&self, now: Seconds, view: &MemberView) -> serde_json::Value {
+        let name = |id: MemberId| view.members.0.get(&id).map(|member| member.name.clone());
         let duties: Vec<_> = self
             .roll
             .duties()
@@ -475,27 +475,28 @@
                 members.apply(&Change::Join { id, name: format!("n{id}") });
             }
             let mut duties = Duties::new(settings(), 0);
-            duties.begin(1);
+            duties.set_member_id(1);
             One { duties, members, at: 0 }
         }
 
         fn agreed(&mut self, now: Seconds, entry: Entry) {
             self.at += 1;
-            self.duties.agreed(now, self.at, &postcard::to_stdvec(&entry).unwrap());
-            self.duties.applied(self.at);
+            self.duties.apply_entry(now, self.at, &postcard::to_stdvec(&entry).unwrap());
+            self.duties.applied_up_to(self.at);
         }
 
         fn decide(&mut self, now: Seconds) -> (Vec<Entry>, Vec<News>) {
-            let view = View { me: 1, name: "n1", leader: Some(2), members: &self.members, log: 0 };
+            let view =
+                MemberView { id: 1, name: "n1", leader: Some(2), members: &self.members, log_length: 0 };
             let wants = self.duties.decide(now, &view);
             let read = |entry: &Vec<u8>| postcard::from_bytes(entry).unwrap();
-            (wants.propose.iter().map(read).collect(), wants.news)
+            (wants.proposals.iter().map(read).collect(), wants.updates)
         }
 
         /// Its term runs until `now` and three seconds.
         fn confirmed(&mut self, now: Seconds) {
-            let question = self.duties.question(now).unwrap();
-            self.duties.confirmed(now, question, self.at);
+            let question = self.duties.confirmation_request(now).unwrap();
+            self.duties.leadership_confirmed(now, question, self.at);
         }
     }
 
@@ -504,11 +505,14 @@
     #[test]
     fn what_only_a_leader_decides_is_proposed_for_nobody_else() {
         let duties = Duties::new(settings(), 0);
-        let proposable = |entry: Entry| duties.proposable(&postcard::to_stdvec(&entry).unwrap());
+        let proposable = |entry: Entry| duties.accepts_proposal(&postcard::to_stdvec(&entry).unwrap());
         assert!(
             proposable(Entry::Want { name: T, by: 1 }) && proposable(Entry::Release { name: T, epoch: 1 })
         );
-        assert!(!proposable(Entry::Give { name: T, was: 0, to: Some(1) }) && !duties.proposable(b"\xff\xff"));
+        assert!(
+            !proposable(Entry::Give { name: T, was: 0, to: Some(1) })
+                && !duties.accepts_proposal(b"\xff\xff")
+        );
     }
 
     #[test]
@@ -517,7 +521,7 @@
         one.agreed(1.0, Entry::Want { name: T, by: 2 });
         one.agreed(1.0, Entry::Give { name: T, was: 0, to: Some(2) });
         one.decide(1.0);
-        one.duties.fact(2.0, Fact::Tries(tries::Fact::Out(7)));
+        one.duties.handle_input(2.0, Fact::Tries(tries::Fact::Out(7)));
         let (entries, news) = one.decide(2.0);
         assert!(entries.contains(&Entry::Want { name: T, by: 1 }), "{entries:?}");
         assert!(news.contains(&News::Tries(7, tries::Bound::Held(5.0))), "{news:?}");
@@ -536,7 +540,7 @@
     fn a_discovery_that_answers_leaves_the_log_in_peace() {
         let mut one = One::new();
         one.agreed(1.0, Entry::Want { name: Name::Keeper, by: 1 });
-        one.duties.fact(1.0, Fact::ListFailed);
+        one.duties.handle_input(1.0, Fact::ListFailed);
         assert!(one.decide(1.0).0.contains(&Entry::Want { name: Name::Lists, by: 1 }));
         one.agreed(1.1, Entry::Want { name: Name::Lists, by: 1 });
         one.agreed(1.1, Entry::Give { name: Name::Lists, was: 0, to: Some(1) });
@@ -544,14 +548,14 @@
         let still = Entry::Tell { name: Name::Lists, epoch: 1, word: Word::List(0) };
         assert!(one.decide(1.2).0.contains(&still));
         // It answers, with nothing new.
-        one.duties.fact(2.0, Fact::List(4));
+        one.duties.handle_input(2.0, Fact::List(4));
         let unwant = Entry::Unwant { name: Name::Lists, by: 1 };
         assert!(one.decide(2.0).0.contains(&unwant));
         one.agreed(2.1, unwant);
         for tick in 0..40 {
             let now = 2.5 + f64::from(tick);
             one.confirmed(now);
-            one.duties.fact(now, Fact::List(5 + tick as u64));
+            one.duties.handle_input(now, Fact::List(5 + tick as u64));
             assert_eq!(one.decide(now).0, []);
         }
     }
@@ -563,7 +567,7 @@
         one.agreed(1.0, Entry::Give { name: Name::Keeper, was: 0, to: Some(1) });
         one.confirmed(1.1);
         assert_eq!(one.duties.holds(1.2, Name::Keeper), Some(1));
-        one.duties.leave(1.3);
+        one.duties.release_all(1.3);
         assert_eq!(one.duties.holds(1.3, Name::Keeper), None);
         assert!(one.decide(1.3).0.contains(&Entry::Release { name: Name::Keeper, epoch: 1 }));
     }
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -1,8 +1,8 @@
 //! The leader's side: who gets what, and from when on it is free to be given.
 
 use crate::roll::{Entry, Name, Roll};
-use crate::{Id, Rules, Seconds};
-use fawnspoke_cluster::file::guard;
+use crate::{MemberId, Rules, Seconds};
+use fawnspoke_cluster::config::guard_time;
 use fawnspoke_cluster::members::Members;
 use rendezvous_hash::{IdNode, RendezvousNodes};
 use std::collections::{BTreeMap, VecDeque};
@@ -22,17 +22,17 @@
     rules: Rules,
     /// Since when this member leads, where it does.
     since: Option<Seconds>,
-    heard: BTreeMap<Id, Seconds>,
+    heard: BTreeMap<MemberId, Seconds>,
     /// Members that stop: they get nothing until then.
-    leaving: BTreeMap<Id, Seconds>,
-    lapses: BTreeMap<Id, VecDeque<Seconds>>,
+    leaving: BTreeMap<MemberId, Seconds>,
+    lapses: BTreeMap<MemberId, VecDeque<Seconds>>,
     proposed: BTreeMap<Name, (u64, Seconds)>,
 }
 
 impl Granter {
     /// One that does not lead.
     pub fn new(term: Seconds, clock_rate: f64, rules: Rules) -> Granter {
-        let guard = guard(term, if rules.clocks { clock_rate } else { 0.0 });
+        let guard = guard_time(term, if rules.clocks { clock_rate } else { 0.0 });
         Granter {
             term,
             guard,
@@ -54,17 +54,17 @@
     }
 
     /// A member's question has come. `now` was read after that.
-    pub fn heard(&mut self, now: Seconds, from: Id) {
+    pub fn heard(&mut self, now: Seconds, from: MemberId) {
         self.heard.insert(from, now);
     }
 
     /// A member gave up a duty by its word: it stops, or has no use for it.
-    pub fn released(&mut self, now: Seconds, by: Id) {
+    pub fn released(&mut self, now: Seconds, by: MemberId) {
         self.leaving.insert(by, now + self.term);
     }
 
     /// Whether a term that a member may have has surely passed on its own clock.
-    pub fn lapsed(&self, now: Seconds, member: Id) -> bool {
+    pub fn lapsed(&self, now: Seconds, member: MemberId) -> bool {
         let Some(since) = self.since else { return false };
         let heard = self.heard.get(&member).copied();
         let from =
@@ -73,14 +73,14 @@
     }
 
     /// Whether a member may be given something.
-    fn fit(&self, now: Seconds, member: Id) -> bool {
+    fn fit(&self, now: Seconds, member: MemberId) -> bool {
         let there = self.heard.get(&member).is_some_and(|at| now < at + self.term);
         let leaving = self.leaving.get(&member).is_some_and(|until| now < *until);
         there && !leaving && !self.flaps(now, member)
     }
 
     /// Whether it lost duties by its own lapses too often.
-    pub fn flaps(&self, now: Seconds, member: Id) -> bool {
+    pub fn flaps(&self, now: Seconds, member: MemberId) -> bool {
         let Some(lapses) = self.lapses.get(&member) else { return false };
         let recent = lapses.iter().filter(|at| now < **at + LAPSE_TIME).count();
         recent >= LAPSES
@@ -93,7 +93,7 @@
             return Vec::new();
         }
         let mut entries = Vec::new();
-        let fit: Vec<Id> = members.0.keys().copied().filter(|id| self.fit(now, *id)).collect();
+        let fit: Vec<MemberId> = members.0.keys().copied().filter(|id| self.fit(now, *id)).collect();
         for (name, duty) in roll.duties() {
             let free = duty.holder.is_none_or(|holder| self.lapsed(now, holder));
             if !free {
@@ -128,7 +128,7 @@
 }
 
 /// One of these, by the highest random weight: duties are spread evenly, and few move as members come and go.
-fn choose(name: Name, among: Vec<Id>) -> Option<Id> {
+fn choose(name: Name, among: Vec<MemberId>) -> Option<MemberId> {
     let mut nodes = RendezvousNodes::default();
     for id in among {
         nodes.insert(IdNode::new(id));
@@ -141,7 +141,7 @@
     use super::*;
     use fawnspoke_cluster::members::Change;
 
-    fn members(ids: &[Id]) -> Members {
+    fn members(ids: &[MemberId]) -> Members {
         let mut members = Members::default();
         ids.iter().for_each(|id| members.apply(&Change::Join { id: *id, name: format!("n{id}") }));
         members
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -27,8 +27,8 @@
 pub mod term;
 pub mod tries;
 
-use fawnspoke_cluster::file::File;
-pub use fawnspoke_cluster::{Id, Seconds};
+use fawnspoke_cluster::config::FleetConfig;
+pub use fawnspoke_cluster::{MemberId, Seconds};
 
 /// Which of the rules hold. All of them, but in tests that show that checkers find a break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,9 +70,9 @@
 /// The longest time from the end of a holder to its duty being another's, on any clock within the rate, in seconds: the
 /// guard and two beats until the granter looks; before that an election, where the holder led too. Taken for granted: a
 /// majority, an election in which votes are not split, and round trips that are short beside a beat.
-pub fn bound(file: &File, led: bool) -> Seconds {
-    let election = if led { file.election_most() } else { 0.0 };
-    (file.guard() + election + 2.0 * file.beat()) / (1.0 - file.clock_rate)
+pub fn bound(file: &FleetConfig, led: bool) -> Seconds {
+    let election = if led { file.max_election_time() } else { 0.0 };
+    (file.guard_time() + election + 2.0 * file.heartbeat_interval()) / (1.0 - file.clock_rate)
 }
 
 #[cfg(test)]
@@ -82,7 +82,7 @@
     #[test]
     fn the_bound_has_an_election_in_it_where_the_holder_led() {
         let text = "cluster = \"m\"\nterm_s = 1.0\nmember \"a\" {\n at = \"127.0.0.1:1\"\n voter = true\n}\n";
-        let file = File::parse(text, "a").unwrap();
+        let file = FleetConfig::parse(text, "a").unwrap();
         let (alone, led) = (bound(&file, false), bound(&file, true));
         // (1.02 / 0.98 + 0.1) / 0.98, and a term more for twenty beats.
         assert!((alone - 1.1641).abs() < 0.001 && (led - alone - 1.0 / 0.98).abs() < 0.001, "{alone} {led}");
--- a/crates/duty/src/roll.rs
+++ b/crates/duty/src/roll.rs
@@ -1,6 +1,6 @@
 //! Who holds what, as agreed in the log.
 
-use crate::{Id, Rules};
+use crate::{MemberId, Rules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -56,14 +56,14 @@
         /// Which.
         name: Name,
         /// Who.
-        by: Id,
+        by: MemberId,
     },
     /// A member has no use for it any more.
     Unwant {
         /// Which.
         name: Name,
         /// Who.
-        by: Id,
+        by: MemberId,
     },
     /// The granter gives it, taking it off the holder under an epoch.
     Give {
@@ -72,7 +72,7 @@
         /// The duty's epoch when that was decided; another one means that it was decided on what is no longer so.
         was: u64,
         /// To whom; to nobody where nobody may hold it.
-        to: Option<Id>,
+        to: Option<MemberId>,
     },
     /// The holder gives it up and acts no more.
     Release {
@@ -98,9 +98,9 @@
     /// Grows with each change of holder, over all duties together.
     pub epoch: u64,
     /// Who holds it, where somebody does.
-    pub holder: Option<Id>,
+    pub holder: Option<MemberId>,
     /// Who has use for it.
-    pub wanted: BTreeSet<Id>,
+    pub wanted: BTreeSet<MemberId>,
     /// The last word under this epoch.
     pub word: Option<Word>,
 }
@@ -111,7 +111,7 @@
     /// Nothing that anybody has to act on.
     Nothing,
     /// The duty has this holder from here on, under a new epoch.
-    Given(Name, u64, Option<Id>),
+    Given(Name, u64, Option<MemberId>),
     /// Its holder has told something.
     Told(Name, u64, Word),
     /// A word under this epoch came too late; the duty's own is the second one.
@@ -138,12 +138,12 @@
     }
 
     /// Those that a member holds, as agreed, with their epochs.
-    pub fn held(&self, by: Id) -> impl Iterator<Item = (Name, u64)> {
+    pub fn held(&self, by: MemberId) -> impl Iterator<Item = (Name, u64)> {
         self.duties.iter().filter(move |(_, d)| d.holder == Some(by)).map(|(name, d)| (*name, d.epoch))
     }
 
     /// A member that is no more wants nothing. What it held is given on once its term has passed.
-    pub fn forget(&mut self, member: Id) {
+    pub fn forget(&mut self, member: MemberId) {
         self.duties.values_mut().for_each(|duty| {
             duty.wanted.remove(&member);
         });
@@ -155,7 +155,7 @@
         self.duties.retain(|_, duty| duty.holder.is_some() || !duty.wanted.is_empty());
     }
 
-    fn give(&mut self, name: Name, to: Option<Id>) -> Did {
+    fn give(&mut self, name: Name, to: Option<MemberId>) -> Did {
         let Some(duty) = self.duties.get_mut(&name) else { return Did::Nothing };
         self.epoch += 1;
         (duty.epoch, duty.holder, duty.word) = (self.epoch, to, None);
@@ -259,13 +259,13 @@
         assert!(roll.get(T).is_some());
         roll.apply(&Entry::Give { name: T, was: 1, to: None }, Rules::default());
         assert!(roll.get(T).is_none());
-        let many = (1..=WANTED_MOST as Id + 9).map(|by| Entry::Want { name: Name::Keeper, by });
+        let many = (1..=WANTED_MOST as MemberId + 9).map(|by| Entry::Want { name: Name::Keeper, by });
         for entry in many {
             roll.apply(&entry, Rules::default());
         }
         assert_eq!(roll.get(Name::Keeper).map(|duty| duty.wanted.len()), Some(WANTED_MOST));
         // Members that are gone leave nothing behind.
-        (1..=WANTED_MOST as Id).for_each(|member| roll.forget(member));
+        (1..=WANTED_MOST as MemberId).for_each(|member| roll.forget(member));
         assert!(roll.get(Name::Keeper).is_none());
         for number in 0..DUTIES_MOST as u32 + 5 {
             roll.apply(&Entry::Want { name: Name::Tries(number), by: 1 }, Rules::default());
--- a/crates/duty/tests/world/mod.rs
+++ b/crates/duty/tests/world/mod.rs
@@ -1,14 +1,14 @@
 //! Members without sockets: a network, clocks, stalls, kills and folders by one seed, over the core and the library that
 //! run in a dispatcher.
 
-use fawnspoke_cluster::core::{Core, founded};
-use fawnspoke_cluster::file::File;
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::core::{Core, bootstrap_records};
 use fawnspoke_cluster::identity::Identity;
 use fawnspoke_cluster::store::Record;
 use fawnspoke_cluster::wire::Frame;
 use fawnspoke_duty::duties::{Duties, Fact, News, Settings};
 use fawnspoke_duty::roll::{Name, Word};
-use fawnspoke_duty::{Id, Rules, Seconds, tries};
+use fawnspoke_duty::{MemberId, Rules, Seconds, tries};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -61,8 +61,8 @@
 /// One frame on its way.
 struct Flight {
     at: Seconds,
-    from: Id,
-    to: Id,
+    from: MemberId,
+    to: MemberId,
     frame: Frame,
 }
 
@@ -70,18 +70,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// A member looked at its clock and acted under an epoch.
-    Acted { at: Seconds, by: Id, name: Name, epoch: u64 },
+    Acted { at: Seconds, by: MemberId, name: Name, epoch: u64 },
     /// A member begins, and learns the log anew.
-    Began { by: Id },
+    Began { by: MemberId },
     /// A member learnt from the log that a duty was given.
-    Given { by: Id, name: Name, epoch: u64, holder: Option<Id> },
+    Given { by: MemberId, name: Name, epoch: u64, holder: Option<MemberId> },
     /// A member learnt of a word that was agreed.
-    Told { at: Seconds, by: Id, name: Name, epoch: u64, word: Word },
+    Told { at: Seconds, by: MemberId, name: Name, epoch: u64, word: Word },
 }
 
 pub struct World {
     plan: Plan,
-    file: Arc<File>,
+    file: Arc<FleetConfig>,
     rng: fastrand::Rng,
     now: Seconds,
     members: Vec<Member>,
@@ -109,11 +109,11 @@
             let _ =
                 writeln!(text, "member \"m{i}\" {{\n at = \"127.0.0.1:{}\"\n voter = {voter}\n}}", 7000 + i);
         }
-        let file = Arc::new(File::parse(&text, "m0").unwrap());
+        let file = Arc::new(FleetConfig::parse(&text, "m0").unwrap());
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut members = Vec::new();
         for i in 0..count {
-            let identity = Identity { name: format!("m{i}"), birth: rng.u64(1..), life: 0 };
+            let identity = Identity { name: format!("m{i}"), id: rng.u64(1..), start_count: 0 };
             let rate =
                 1.0 + plan.rate * (2.0 * rng.f64() - 1.0).signum() * if rng.bool() { 1.0 } else { rng.f64() };
             members.push(Member {
@@ -144,7 +144,7 @@
             reborn: 0,
         };
         let part = world.part(0, 0);
-        world.members[0].disk = founded(&world.members[0].identity, &part).unwrap();
+        world.members[0].disk = bootstrap_records(&world.members[0].identity, &part).unwrap();
         world.members[0].synced = world.members[0].disk.len();
         world
     }
@@ -159,14 +159,14 @@
     }
 
     fn start(&mut self, i: usize) {
-        self.members[i].identity.life += 1;
+        self.members[i].identity.start_count += 1;
         self.members[i].questions += 1 << 20;
         let part = self.part(i, self.members[i].questions);
         let (now, seed, file) = (self.clock(i), self.rng.u64(..), self.file.clone());
         let member = &self.members[i];
         let core = Core::new(file, member.identity.clone(), member.disk.clone(), part, now, seed).unwrap();
         self.members[i].core = Some(core);
-        self.seen.push(Seen::Began { by: self.members[i].identity.birth });
+        self.seen.push(Seen::Began { by: self.members[i].identity.id });
         // What the place is for it, it has forgotten; it finds out.
         if self.rng.f64() < 0.7 {
             self.tell(i, tries::Fact::Out(7));
@@ -176,7 +176,7 @@
     fn tell(&mut self, i: usize, fact: tries::Fact) {
         let now = self.clock(i);
         if let Some(core) = &mut self.members[i].core {
-            core.fact(now, Fact::Tries(fact));
+            core.handle_input(now, Fact::Tries(fact));
         }
         self.work(i);
     }
@@ -185,8 +185,8 @@
         self.members[i].core.is_some() && self.now >= self.members[i].stopped_until
     }
 
-    fn index(&self, id: Id) -> Option<usize> {
-        self.members.iter().position(|member| member.identity.birth == id)
+    fn index(&self, id: MemberId) -> Option<usize> {
+        self.members.iter().position(|member| member.identity.id == id)
     }
 
     /// Syncs, applies, sends.
@@ -195,7 +195,7 @@
         let full = self.now < self.members[i].full_until;
         let member = &mut self.members[i];
         let Some(core) = &mut member.core else { return };
-        while let Some((records, sync)) = core.poll() {
+        while let Some((records, sync)) = core.take_records() {
             if full && !records.is_empty() {
                 // Nothing was written: it begins anew from what is there.
                 self.die(i, 0.3);
@@ -205,14 +205,14 @@
             if sync {
                 member.synced = member.disk.len();
             }
-            core.synced(now).unwrap();
+            core.records_persisted(now).unwrap();
         }
-        if let Some(records) = core.take_cut(false).unwrap() {
+        if let Some(records) = core.compact(false).unwrap() {
             (member.disk, member.synced) = (records, 0);
             member.synced = member.disk.len();
         }
-        let (me, name) = (member.identity.birth, i);
-        let (frames, news) = (core.take_frames(), core.take_news());
+        let (me, name) = (member.identity.id, i);
+        let (frames, news) = (core.take_frames(), core.take_updates());
         for news in news {
             let seen = match news {
                 News::Acts(name, epoch, _) => Seen::Acted { at: self.now, by: me, name, epoch },
@@ -224,7 +224,7 @@
         }
         for (to, frame) in frames {
             // The first frame of a link finds room in its queue.
-            let lost = self.rng.f64() < 0.01 && frame != Frame::Looked;
+            let lost = self.rng.f64() < 0.01 && frame != Frame::HelloVerified;
             let slow = self.rng.f64() < 0.02;
             let delay = if slow { self.rng.f64() * 3.0 } else { 0.001 + 0.02 * self.rng.f64() };
             let linked = self.index(to).is_some_and(|j| self.linked.get(&pair(name, j)) == Some(&true));
@@ -253,9 +253,9 @@
         for j in 0..self.members.len() {
             if i != j && self.linked.insert(pair(i, j), false) == Some(true) {
                 for (one, other) in [(i, j), (j, i)] {
-                    let id = self.members[other].identity.birth;
+                    let id = self.members[other].identity.id;
                     if let Some(core) = &mut self.members[one].core {
-                        core.unlink(id);
+                        core.peer_disconnected(id);
                     }
                 }
             }
@@ -267,7 +267,7 @@
             for j in i + 1..self.members.len() {
                 let cut = |a, b| self.cuts.get(&(a, b)).is_some_and(|until| self.now < *until);
                 let (one, other) = (&self.members[i].name, &self.members[j].name);
-                let calls = (self.file.calls(one, other), self.file.calls(other, one));
+                let calls = (self.file.dials(one, other), self.file.dials(other, one));
                 let there = self.up(i) && self.up(j) && !cut(i, j) && !cut(j, i);
                 if !there || calls == (false, false) || self.linked.get(&pair(i, j)) == Some(&true) {
                     continue;
@@ -276,10 +276,11 @@
                 for (one, other) in [(i, j), (j, i)] {
                     let (identity, mark) = {
                         let core = self.members[other].core.as_ref().unwrap();
-                        (core.identity().clone(), core.mark())
+                        (core.identity().clone(), core.log_position())
                     };
                     let core = self.members[one].core.as_mut().unwrap();
-                    let linked = core.link(identity.birth, &identity.name, identity.life, &mark);
+                    let linked =
+                        core.peer_connected(identity.id, &identity.name, identity.start_count, &mark);
                     if linked.is_err() && !self.plan.forgetful {
                         // It is told so, and born anew.
                         well = false;
@@ -288,7 +289,7 @@
                         let birth = self.rng.u64(1..);
                         let member = &mut self.members[other];
                         (member.disk, member.synced) = (Vec::new(), 0);
-                        member.identity = Identity { name: member.name.clone(), birth, life: 0 };
+                        member.identity = Identity { name: member.name.clone(), id: birth, start_count: 0 };
                         break;
                     }
                 }
@@ -296,8 +297,8 @@
                     self.linked.insert(pair(i, j), true);
                     // Who is called learns by what it hears.
                     let (caller, called) = if calls.0 { (i, j) } else { (j, i) };
-                    let id = self.members[called].identity.birth;
-                    self.members[caller].core.as_mut().unwrap().called(id);
+                    let id = self.members[called].identity.id;
+                    self.members[caller].core.as_mut().unwrap().peer_accepted(id);
                     self.work(caller);
                 }
             }
@@ -331,7 +332,8 @@
             6 => self.members[i].full_until = now + 0.5 * self.rng.f64(),
             7 => {
                 // The leader, of all members.
-                if let Some(i) = (0..count).find(|i| self.members[*i].core.as_ref().is_some_and(Core::leads))
+                if let Some(i) =
+                    (0..count).find(|i| self.members[*i].core.as_ref().is_some_and(Core::is_leader))
                 {
                     self.members[i].stopped_until = now + 0.1 + 3.0 * self.rng.f64();
                 }
@@ -374,7 +376,7 @@
             }
             let now = self.clock(to);
             if let Some(core) = &mut self.members[to].core {
-                core.hear(now, flight.from, flight.frame);
+                core.receive_frame(now, flight.from, flight.frame);
             }
             self.work(to);
         }
@@ -383,7 +385,7 @@
                 continue;
             }
             let now = self.clock(i);
-            if self.members[i].core.as_ref().is_some_and(|core| core.due() <= now) {
+            if self.members[i].core.as_ref().is_some_and(|core| core.next_tick_at() <= now) {
                 if let Some(core) = &mut self.members[i].core {
                     core.tick(now);
                 }
@@ -405,7 +407,7 @@
         for name in [Name::Keeper, Name::Tries(7)] {
             let holds = |i: &usize| {
                 let core = self.members[*i].core.as_ref()?;
-                core.part().holds(self.clock(*i), name)
+                core.state_machine().holds(self.clock(*i), name)
             };
             let holders: Vec<_> =
                 (0..self.members.len()).filter_map(|i| holds(&i).map(|epoch| (i, epoch))).collect();
@@ -454,13 +456,13 @@
     pub fn kept(&self) -> bool {
         (0..self.members.len()).any(|i| {
             let core = self.members[i].core.as_ref();
-            core.is_some_and(|core| core.part().holds(self.clock(i), Name::Keeper).is_some())
+            core.is_some_and(|core| core.state_machine().holds(self.clock(i), Name::Keeper).is_some())
         })
     }
 
     /// All take part in the library's protocol.
     pub fn all_speak(&self) -> bool {
-        self.members.iter().all(|member| member.core.as_ref().is_some_and(Core::speaks))
+        self.members.iter().all(|member| member.core.as_ref().is_some_and(Core::is_participating))
     }
 
     /// All members agree, and all are members.
@@ -469,7 +471,7 @@
         let most = cores.iter().map(|core| core.applied()).max().unwrap_or(0);
         for core in &cores {
             let name = &core.identity().name;
-            if !core.members().0.contains_key(&core.identity().birth) {
+            if !core.members().0.contains_key(&core.identity().id) {
                 return Err(format!("{name} is no member; {:?}", core.members()));
             }
             if core.applied() + 50 < most {
@@ -485,12 +487,12 @@
     pub fn state(&self) -> String {
         let mut text = String::new();
         for (i, member) in self.members.iter().enumerate() {
-            let id = member.identity.birth;
-            let (life, disk) = (member.identity.life, member.disk.len());
+            let id = member.identity.id;
+            let (life, disk) = (member.identity.start_count, member.disk.len());
             let _ = write!(text, "{} {id:016x} life {life} disk {disk} ", member.name);
             if let Some(core) = &member.core {
-                let (term, applied, speaks) = (core.term(), core.applied(), core.speaks());
-                let linked: Vec<_> = core.linked().values().collect();
+                let (term, applied, speaks) = (core.term(), core.applied(), core.is_participating());
+                let linked: Vec<_> = core.connected_members().values().collect();
                 let (members, led) = (&core.members().0, core.leader().map(|id| format!("{id:016x}")));
                 let _ =
                     write!(text, "term {term} applied {applied} speaks {speaks} leader {led:?} {linked:?} ");
@@ -501,10 +503,10 @@
                 let _ = write!(
                     text,
                     "{members:?} mark {:?} leads {} {} kept {:?}",
-                    core.mark(),
-                    core.leads(),
-                    core.show(self.clock(i))["part"],
-                    core.part().holds(self.clock(i), Name::Keeper)
+                    core.log_position(),
+                    core.is_leader(),
+                    core.status(self.clock(i))["part"],
+                    core.state_machine().holds(self.clock(i), Name::Keeper)
                 );
             }
             text.push('\n');
--- a/crates/fawnspoke/src/fleet.rs
+++ b/crates/fawnspoke/src/fleet.rs
@@ -1,8 +1,8 @@
 //! `fawnspoke fleet` and what `fawnspoke door` shows of a fleet.
 
 use clap::Subcommand;
-use fawnspoke_cluster::file::File;
-use fawnspoke_cluster::shell::{self, Settings};
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::runtime::{self, Settings};
 use fawnspoke_duty::bound;
 use fawnspoke_duty::duties::{Duties, Settings as DutySettings};
 use serde_json::Value;
@@ -34,7 +34,7 @@
 /// One line that names the file, the key and what is wrong.
 pub fn run(asked: Fleet) -> Result<String, String> {
     match asked {
-        Fleet::Check { file, name } => File::read(&file, &name).map(|read| {
+        Fleet::Check { file, name } => FleetConfig::load(&file, &name).map(|read| {
             let (members, voters) = (read.member.len(), read.voters().count());
             let (follows, led) = (bound(&read, false), bound(&read, true));
             format!(
@@ -44,10 +44,10 @@
                 read.cluster
             )
         }),
-        Fleet::Found { file, name, state } => File::read(&file, &name).and_then(|read| {
+        Fleet::Found { file, name, state } => FleetConfig::load(&file, &name).and_then(|read| {
             let part = Duties::new(DutySettings::of(&read), 0);
-            let identity = shell::found(&Settings { file: read.clone(), name, state }, &part)?;
-            Ok(format!("{} is founded by {}, birth {:016x}", read.cluster, identity.name, identity.birth))
+            let identity = runtime::bootstrap(&Settings { config: read.clone(), name, state_dir: state }, &part)?;
+            Ok(format!("{} is founded by {}, birth {:016x}", read.cluster, identity.name, identity.id))
         }),
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration: one JSON file and a few variables, checked once at the start.
 
 use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use fawnspoke_cluster::file::File;
-use fawnspoke_cluster::shell;
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::runtime;
 use fawnspoke_control::{door, record};
 use serde::Deserialize;
 use serde_json::Value;
@@ -20,7 +20,7 @@
     pub control_address: Option<SocketAddr>,
     pub state_dir: PathBuf,
     /// The operators' file of the fleet, where this dispatcher is a member of one.
-    pub fleet: Option<File>,
+    pub fleet: Option<FleetConfig>,
     pub seed: u64,
     pub limits: Limits,
     /// The file as it was read; its `known` is the list of endpoints, in discovery's form.
@@ -260,12 +260,12 @@
         if control_address.is_some() {
             raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk: record::BYTES_MOST };
         }
-        let fleet = fleet.map(|path| File::read(path, &raw.name)).transpose()?;
+        let fleet = fleet.map(|path| FleetConfig::load(path, &raw.name)).transpose()?;
         if let Some(file) = &fleet {
-            raw.limits.reserved.descriptors += shell::descriptors(file, &raw.name);
-            raw.limits.reserved.disk += shell::disk(file);
+            raw.limits.reserved.descriptors += runtime::max_descriptors(file, &raw.name);
+            raw.limits.reserved.disk += runtime::max_disk_bytes(file);
             let max_fleet_bytes = raw.limits.disk_mb * 1e6 * Limits::FLEET_DISK_SHARE;
-            if shell::disk(file) as f64 > max_fleet_bytes {
+            if runtime::max_disk_bytes(file) as f64 > max_fleet_bytes {
                 return Err(format!(
                     "FAWNSPOKE_FLEET: disk_mb: {} of {} MB; the journal needs at least half of them",
                     file.disk_mb, raw.limits.disk_mb
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -5,7 +5,7 @@
 use crate::serving::Phase;
 use crate::{Node, log};
 use fawnspoke_cluster::clock;
-use fawnspoke_cluster::shell::{self, Member};
+use fawnspoke_cluster::runtime::{self, MemberHandle};
 use fawnspoke_duty::Seconds as BootSeconds;
 use fawnspoke_duty::duties::{Duties, Fact, News, Settings};
 use fawnspoke_duty::lists::Pace;
@@ -23,7 +23,7 @@
 
 /// What binds this dispatcher, and the parts that say so. Without the fleet's file there are none.
 pub struct FleetConstraints {
-    member: RefCell<Option<Member<Fact>>>,
+    member: RefCell<Option<MemberHandle<Fact>>>,
     update_sender: UnboundedSender<News>,
     updates: RefCell<Option<UnboundedReceiver<News>>>,
     /// Destinations that are out for the decisions, and what binds tries there.
@@ -83,14 +83,14 @@
     /// Begins the member, where this dispatcher is to be one. It takes its record once whoever has it lets it go.
     pub fn start_member(&self, config: &Config) {
         let Some(file) = &config.fleet else { return };
-        let member_settings = shell::Settings {
-            file: file.clone(),
+        let member_settings = runtime::Settings {
+            config: file.clone(),
             name: config.name.clone(),
-            state: config.state_dir.clone(),
+            state_dir: config.state_dir.clone(),
         };
         let duties = Settings { rules: duty_rules(), ..Settings::of(file) };
         let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
-        match shell::begin(member_settings, create_duties, self.update_sender.clone()) {
+        match runtime::spawn(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
             Err(error) => {
                 log::info_limited(format_args!("fleet: no thread: {error}; this dispatcher is alone"))
@@ -100,7 +100,7 @@
 
     fn report(&self, fact: Fact) {
         if let Some(member) = &*self.member.borrow() {
-            member.tell(fact);
+            member.send(fact);
         }
     }
 
@@ -176,7 +176,7 @@
             Permission::Holder(epoch) if self.log_actions => {
                 log::info(format_args!(
                     "fleet: {:.6} acts tries/{destination} epoch {epoch}",
-                    clock::of_all(now)
+                    clock::to_machine_time(now)
                 ));
                 true
             }
@@ -264,7 +264,7 @@
     /// Where there is none, or it does not answer.
     pub async fn status(&self) -> Result<String, String> {
         let member = self.member.borrow().clone().ok_or("this dispatcher is no member of a fleet")?;
-        member.show(STATUS_TIMEOUT).await.ok_or_else(|| "the member does not answer".into())
+        member.status(STATUS_TIMEOUT).await.ok_or_else(|| "the member does not answer".into())
     }
 }
 
@@ -297,7 +297,7 @@
                 let holder_name = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
                 log::info(format_args!(
                     "fleet: {:.6} given {name} epoch {epoch} to {holder_name}",
-                    clock::of_all(clock::now())
+                    clock::to_machine_time(clock::now())
                 ));
             }
             News::Refused(name, epoch, current_epoch) => {
@@ -315,7 +315,7 @@
                 }
             }
             News::Acts(name, epoch, at) if constraints.log_actions => {
-                log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::of_all(at)));
+                log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::to_machine_time(at)));
             }
             News::Acts(..) => {}
         }
