--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -1,8 +1,8 @@
 //! The leader's side: who gets what, and from when on it is free to be given.
 
 use crate::lease_table::{DutyId, Entry, LeaseTable};
-use crate::{Id, SafetyRules, Seconds};
-use fawnspoke_cluster::file::guard;
+use crate::{MemberId, SafetyRules, Seconds};
+use fawnspoke_cluster::config::guard_time;
 use fawnspoke_cluster::members::Members;
 use rendezvous_hash::{IdNode, RendezvousNodes};
 use std::collections::{BTreeMap, VecDeque};
@@ -22,17 +22,17 @@
     rules: SafetyRules,
     /// Since when this member leads, where it does.
     leading_since: Option<Seconds>,
-    last_renewals: BTreeMap<Id, Seconds>,
+    last_renewals: BTreeMap<MemberId, Seconds>,
     /// Members that stop: they get nothing until then.
-    released_until: BTreeMap<Id, Seconds>,
-    expirations: BTreeMap<Id, VecDeque<Seconds>>,
+    released_until: BTreeMap<MemberId, Seconds>,
+    expirations: BTreeMap<MemberId, VecDeque<Seconds>>,
     pending_grants: BTreeMap<DutyId, (u64, Seconds)>,
 }
 
 impl LeaseGranter {
     /// One that does not lead.
     pub fn new(term: Seconds, max_clock_error: f64, rules: SafetyRules) -> LeaseGranter {
-        let guard = guard(term, if rules.guard_covers_drift { max_clock_error } else { 0.0 });
+        let guard = guard_time(term, if rules.guard_covers_drift { max_clock_error } else { 0.0 });
         LeaseGranter {
             term,
             guard,
@@ -54,17 +54,17 @@
     }
 
     /// A member's question has come. `now` was read after that.
-    pub fn renewal_received(&mut self, now: Seconds, member: Id) {
+    pub fn renewal_received(&mut self, now: Seconds, member: MemberId) {
         self.last_renewals.insert(member, now);
     }
 
     /// A member gave up a duty by its word: it stops, or has no use for it.
-    pub fn duty_released(&mut self, now: Seconds, member: Id) {
+    pub fn duty_released(&mut self, now: Seconds, member: MemberId) {
         self.released_until.insert(member, now + self.term);
     }
 
     /// Whether a term that a member may have has surely passed on its own clock.
-    pub fn has_expired(&self, now: Seconds, member: Id) -> bool {
+    pub fn has_expired(&self, now: Seconds, member: MemberId) -> bool {
         let Some(leading_since) = self.leading_since else { return false };
         let last_renewal = self.last_renewals.get(&member).copied();
         let start = if self.rules.new_leader_waits {
@@ -76,14 +76,14 @@
     }
 
     /// Whether a member may be given something.
-    fn is_eligible(&self, now: Seconds, member: Id) -> bool {
+    fn is_eligible(&self, now: Seconds, member: MemberId) -> bool {
         let is_reachable = self.last_renewals.get(&member).is_some_and(|at| now < at + self.term);
         let released_recently = self.released_until.get(&member).is_some_and(|until| now < *until);
         is_reachable && !released_recently && !self.is_flapping(now, member)
     }
 
     /// Whether it lost duties by its own lapses too often.
-    pub fn is_flapping(&self, now: Seconds, member: Id) -> bool {
+    pub fn is_flapping(&self, now: Seconds, member: MemberId) -> bool {
         let Some(expirations) = self.expirations.get(&member) else { return false };
         let recent_count = expirations.iter().filter(|at| now < **at + EXPIRATION_WINDOW).count();
         recent_count >= MAX_EXPIRATIONS
@@ -96,7 +96,8 @@
             return Vec::new();
         }
         let mut entries = Vec::new();
-        let eligible: Vec<Id> = members.0.keys().copied().filter(|id| self.is_eligible(now, *id)).collect();
+        let eligible: Vec<MemberId> =
+            members.0.keys().copied().filter(|id| self.is_eligible(now, *id)).collect();
         for (duty_id, lease) in table.iter() {
             let is_free = lease.holder.is_none_or(|holder| self.has_expired(now, holder));
             if !is_free {
@@ -135,7 +136,7 @@
 }
 
 /// One of these, by the highest random weight: duties are spread evenly, and few move as members come and go.
-fn select_holder(duty: DutyId, candidates: Vec<Id>) -> Option<Id> {
+fn select_holder(duty: DutyId, candidates: Vec<MemberId>) -> Option<MemberId> {
     let mut nodes = RendezvousNodes::default();
     for id in candidates {
         nodes.insert(IdNode::new(id));
@@ -148,7 +149,7 @@
     use super::*;
     use fawnspoke_cluster::members::Change;
 
-    fn members(ids: &[Id]) -> Members {
+    fn members(ids: &[MemberId]) -> Members {
         let mut members = Members::default();
         ids.iter().for_each(|id| members.apply(&Change::Join { id: *id, name: format!("n{id}") }));
         members
--- a/crates/duty/src/lease_table.rs
+++ b/crates/duty/src/lease_table.rs
@@ -1,6 +1,6 @@
 //! Who holds what, as agreed in the log.
 
-use crate::{Id, SafetyRules};
+use crate::{MemberId, SafetyRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -56,14 +56,14 @@
         /// Which.
         duty: DutyId,
         /// Who.
-        member: Id,
+        member: MemberId,
     },
     /// A member has no use for it any more.
     Withdraw {
         /// Which.
         duty: DutyId,
         /// Who.
-        member: Id,
+        member: MemberId,
     },
     /// The granter gives it, taking it off the holder under an epoch.
     Grant {
@@ -72,7 +72,7 @@
         /// The duty's epoch when that was decided; another one means that it was decided on what is no longer so.
         expected_epoch: u64,
         /// To whom; to nobody where nobody may hold it.
-        holder: Option<Id>,
+        holder: Option<MemberId>,
     },
     /// The holder gives it up and acts no more.
     Release {
@@ -98,9 +98,9 @@
     /// Grows with each change of holder, over all duties together.
     pub epoch: u64,
     /// Who holds it, where somebody does.
-    pub holder: Option<Id>,
+    pub holder: Option<MemberId>,
     /// Who has use for it.
-    pub requested_by: BTreeSet<Id>,
+    pub requested_by: BTreeSet<MemberId>,
     /// The last word under this epoch.
     pub latest_update: Option<HolderUpdate>,
 }
@@ -111,7 +111,7 @@
     /// Nothing that anybody has to act on.
     NoChange,
     /// The duty has this holder from here on, under a new epoch.
-    Granted(DutyId, u64, Option<Id>),
+    Granted(DutyId, u64, Option<MemberId>),
     /// Its holder has told something.
     Updated(DutyId, u64, HolderUpdate),
     /// A word under this epoch came too late; the duty's own is the second one.
@@ -138,7 +138,7 @@
     }
 
     /// Those that a member holds, as agreed, with their epochs.
-    pub fn held_by(&self, member: Id) -> impl Iterator<Item = (DutyId, u64)> {
+    pub fn held_by(&self, member: MemberId) -> impl Iterator<Item = (DutyId, u64)> {
         self.leases
             .iter()
             .filter(move |(_, lease)| lease.holder == Some(member))
@@ -146,7 +146,7 @@
     }
 
     /// A member that is no more wants nothing. What it held is given on once its term has passed.
-    pub fn remove_member(&mut self, member: Id) {
+    pub fn remove_member(&mut self, member: MemberId) {
         self.leases.values_mut().for_each(|lease| {
             lease.requested_by.remove(&member);
         });
@@ -158,7 +158,7 @@
         self.leases.retain(|_, lease| lease.holder.is_some() || !lease.requested_by.is_empty());
     }
 
-    fn grant(&mut self, duty: DutyId, holder: Option<Id>) -> ApplyResult {
+    fn grant(&mut self, duty: DutyId, holder: Option<MemberId>) -> ApplyResult {
         let Some(lease) = self.leases.get_mut(&duty) else { return ApplyResult::NoChange };
         self.last_epoch += 1;
         (lease.epoch, lease.holder, lease.latest_update) = (self.last_epoch, holder, None);
@@ -265,7 +265,7 @@
         assert!(table.get(TRIALS).is_some());
         table.apply(&Entry::Grant { duty: TRIALS, expected_epoch: 1, holder: None }, SafetyRules::default());
         assert!(table.get(TRIALS).is_none());
-        let requests = (1..=MAX_REQUESTERS as Id + 9)
+        let requests = (1..=MAX_REQUESTERS as MemberId + 9)
             .map(|member| Entry::Request { duty: DutyId::LogMaintenance, member });
         for entry in requests {
             table.apply(&entry, SafetyRules::default());
@@ -275,7 +275,7 @@
             Some(MAX_REQUESTERS)
         );
         // Members that are gone leave nothing behind.
-        (1..=MAX_REQUESTERS as Id).for_each(|member| table.remove_member(member));
+        (1..=MAX_REQUESTERS as MemberId).for_each(|member| table.remove_member(member));
         assert!(table.get(DutyId::LogMaintenance).is_none());
         for number in 0..MAX_DUTIES as u32 + 5 {
             table.apply(&Entry::Request { duty: DutyId::Trials(number), member: 1 }, SafetyRules::default());
