--- a/crates/cluster/src/connections.rs
+++ b/crates/cluster/src/connections.rs
@@ -218,13 +218,13 @@
         &self, wire: &mut Framed<TcpStream, LengthDelimitedCodec>, link: Connection,
     ) -> Option<(MemberId, MemberId)> {
         let packet = wire.next().await?.ok()?;
-        let hello: Hello = fawnspoke_frames::read_hello(&packet).ok()?;
+        let hello: Hello = fawnspoke_frames::decode_hello(&packet).ok()?;
         let id = hello.id;
         let (answer, answered) = oneshot::channel();
         let hello = Box::new(hello);
         self.events.send(Event::Hello { hello, called: false, answer, link }).ok()?;
         let (own, accepted) = answered.await.ok()?;
-        wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await.ok()?;
+        wire.send(Bytes::from(fawnspoke_frames::encode_hello(&own).ok()?)).await.ok()?;
         accepted.then_some((id, own.id))
     }
 
@@ -255,9 +255,9 @@
         let stream = timeout(CONNECT_TIME, TcpStream::connect(at)).await.ok()?.ok()?;
         let mut wire = codec(stream);
         let said = async {
-            wire.send(Bytes::from(fawnspoke_frames::hello_packet(&hello).ok()?)).await.ok()?;
+            wire.send(Bytes::from(fawnspoke_frames::encode_hello(&hello).ok()?)).await.ok()?;
             let packet = wire.next().await?.ok()?;
-            fawnspoke_frames::read_hello::<Hello>(&packet).ok()
+            fawnspoke_frames::decode_hello::<Hello>(&packet).ok()
         };
         let theirs = Box::new(timeout(patience, said).await.ok().flatten()?);
         if theirs.rejection.is_some() {
@@ -270,7 +270,7 @@
         let (own, accepted) = answered.await.ok()?;
         if !accepted {
             // The one that was called learns why.
-            let _ = wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await;
+            let _ = wire.send(Bytes::from(fawnspoke_frames::encode_hello(&own).ok()?)).await;
             return Some(false);
         }
         self.run(id, own.id, wire, &link, frames).await;
@@ -296,9 +296,9 @@
         };
         let read = async {
             while let Ok(Some(Ok(packet))) = timeout(silent, source.next()).await {
-                let Ok(frame) = fawnspoke_frames::read::<Frame>(&packet) else {
+                let Ok(frame) = fawnspoke_frames::decode::<Frame>(&packet) else {
                     // What can't be read ends its link, and so does a caller's refusal.
-                    if let Ok(hello) = fawnspoke_frames::read_hello::<Hello>(&packet)
+                    if let Ok(hello) = fawnspoke_frames::decode_hello::<Hello>(&packet)
                         && hello.rejection.is_some()
                     {
                         let (name, hello) = (hello.name.clone(), Box::new(hello));
--- a/crates/cluster/src/runtime.rs
+++ b/crates/cluster/src/runtime.rs
@@ -325,7 +325,7 @@
             self.store.replace(&records).map_err(|error| format!("the record: {error}"))?;
         }
         for (to, frame) in self.core.take_frames() {
-            if let (Some(link), Ok(packet)) = (self.up.get(&to), fawnspoke_frames::packet(&frame)) {
+            if let (Some(link), Ok(packet)) = (self.up.get(&to), fawnspoke_frames::encode(&frame)) {
                 link.send(packet);
             }
         }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -149,19 +149,19 @@
         assert_eq!(with(&|h| h.name = "z".into()), Rejection::UnknownMember);
         assert_eq!(with(&|h| h.name = "b".into()), Rejection::UnknownMember);
         assert_eq!(with(&|h| h.id = 6), Rejection::OwnId);
-        let read = |text: &str| fawnspoke_frames::read_hello::<Hello>(text.as_bytes());
-        let packet = fawnspoke_frames::hello_packet(&hello).unwrap();
-        assert_eq!(fawnspoke_frames::read_hello::<Hello>(&packet).unwrap(), hello);
+        let read = |text: &str| fawnspoke_frames::decode_hello::<Hello>(text.as_bytes());
+        let packet = fawnspoke_frames::encode_hello(&hello).unwrap();
+        assert_eq!(fawnspoke_frames::decode_hello::<Hello>(&packet).unwrap(), hello);
         assert!(read("{\"versions\":[1,1]}").is_err());
     }
 
     proptest! {
         #[test]
         fn bytes_that_are_no_frame_are_an_error_and_no_more(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(Frame::Raft(message)) = fawnspoke_frames::read::<Frame>(&bytes) {
+            if let Ok(Frame::Raft(message)) = fawnspoke_frames::decode::<Frame>(&bytes) {
                 let _ = message.lib();
             }
-            let _ = fawnspoke_frames::read_hello::<Hello>(&bytes);
+            let _ = fawnspoke_frames::decode_hello::<Hello>(&bytes);
         }
     }
 }
--- a/crates/control/src/figures.rs
+++ b/crates/control/src/metrics.rs
@@ -5,9 +5,9 @@
 use std::fmt::Write;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 
-/// How a message ended, as operators count it.
+/// How a message count_outcome, as operators count it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum CountedOutcome {
     /// Delivered.
     Fulfilled,
     /// Refused at the door, or handed back.
@@ -28,17 +28,17 @@
 /// The gauges: how things are now, not how often they happened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Messages taken and not ended.
-    pub open: u64,
+    /// Messages taken and not count_outcome.
+    pub pending_messages: u64,
     /// Endpoints in the list.
-    pub listed: u64,
+    pub listed_endpoints: u64,
     /// Listed endpoints that get nothing now, by hand or by the dispatcher's own choice.
-    pub avoided: u64,
+    pub out_of_rotation: u64,
 }
 
 /// All figures of one process.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Class>,
     relayed: AtomicU64,
     open: AtomicU64,
@@ -47,34 +47,34 @@
     ready: AtomicBool,
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0, for classes of these names.
-    pub fn new(classes: &[String]) -> Figures {
+    pub fn new(classes: &[String]) -> Metrics {
         let class = |name: &String| Class { name: name.clone(), ..Class::default() };
-        Figures { classes: classes.iter().map(class).collect(), ..Figures::default() }
+        Metrics { classes: classes.iter().map(class).collect(), ..Metrics::default() }
     }
 
-    /// A message of this class has ended. One of a class that is no longer configured is under no name.
-    pub fn ended(&self, class: usize, end: End) {
+    /// A message of this class has count_outcome. One of a class that is no longer configured is under no name.
+    pub fn count_outcome(&self, class: usize, end: CountedOutcome) {
         let Some(class) = self.classes.get(class) else { return };
         let count = match end {
-            End::Fulfilled => &class.fulfilled,
-            End::Throttled => &class.throttled,
-            End::Faulted => &class.faulted,
+            CountedOutcome::Fulfilled => &class.fulfilled,
+            CountedOutcome::Throttled => &class.throttled,
+            CountedOutcome::Faulted => &class.faulted,
         };
         count.fetch_add(1, Relaxed);
     }
 
     /// So many messages were written whole to an endpoint.
-    pub fn relayed(&self, messages: u64) {
+    pub fn add_relayed(&self, messages: u64) {
         self.relayed.fetch_add(messages, Relaxed);
     }
 
     /// How things are now.
-    pub fn set(&self, gauges: Gauges) {
-        self.open.store(gauges.open, Relaxed);
-        self.listed.store(gauges.listed, Relaxed);
-        self.avoided.store(gauges.avoided, Relaxed);
+    pub fn set_gauges(&self, gauges: Gauges) {
+        self.open.store(gauges.pending_messages, Relaxed);
+        self.listed.store(gauges.listed_endpoints, Relaxed);
+        self.avoided.store(gauges.out_of_rotation, Relaxed);
     }
 
     /// Whether this process serves.
@@ -88,7 +88,7 @@
     }
 
     /// The lines of all figures.
-    pub fn lines(&self) -> String {
+    pub fn statsd_lines(&self) -> String {
         let mut text = String::new();
         for class in &self.classes {
             for (what, count) in [
@@ -117,16 +117,16 @@
 
     #[test]
     fn each_end_stands_under_its_class() {
-        let figures = Figures::new(&["a".into(), "b".into()]);
-        figures.ended(0, End::Fulfilled);
-        figures.ended(1, End::Throttled);
-        figures.ended(1, End::Throttled);
-        figures.ended(1, End::Faulted);
-        figures.ended(7, End::Faulted);
-        figures.relayed(4);
-        figures.set(Gauges { open: 5, listed: 6, avoided: 2 });
+        let figures = Metrics::new(&["a".into(), "b".into()]);
+        figures.count_outcome(0, CountedOutcome::Fulfilled);
+        figures.count_outcome(1, CountedOutcome::Throttled);
+        figures.count_outcome(1, CountedOutcome::Throttled);
+        figures.count_outcome(1, CountedOutcome::Faulted);
+        figures.count_outcome(7, CountedOutcome::Faulted);
+        figures.add_relayed(4);
+        figures.set_gauges(Gauges { pending_messages: 5, listed_endpoints: 6, out_of_rotation: 2 });
         assert_eq!(
-            figures.lines(),
+            figures.statsd_lines(),
             "app.fulfilled.a:1|c\napp.throttled.a:0|c\napp.faulted.a:0|c\napp.fulfilled.b:0|c\n\
              app.throttled.b:2|c\napp.faulted.b:1|c\napp.relayed:4|c\napp.open_requests:5|g\n\
              app.registry_entries:6|g\napp.out_of_rotation:2|g\n"
--- a/crates/control/src/door.rs
+++ b/crates/control/src/server.rs
@@ -1,8 +1,8 @@
 //! The shell: listens on a thread of its own, so that an answer waits for no round, no journal and no start.
 
-use crate::figures::Figures;
-use crate::orders::{Kind, Subject};
-use crate::protocol::{Call, Decoder, END_OF_FIGURES, no, yes};
+use crate::metrics::Metrics;
+use crate::overrides::{OverrideKey, OverrideKind};
+use crate::protocol::{Decoder, END_OF_METRICS, Request, failure, success};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -18,9 +18,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Descriptors of the door: its callers', its listener's and its runtime's.
-pub const DESCRIPTORS: usize = CALLERS_MOST + ANSWERED_MOST + 6;
+pub const MAX_DESCRIPTORS: usize = MAX_CLIENTS + ANSWERED_MOST + 6;
 /// Callers at once. One that has said nothing whole leaves when the next one comes.
-pub const CALLERS_MOST: usize = 16;
+pub const MAX_CLIENTS: usize = 16;
 /// Callers beyond those: all of them have said what they want, and are being answered.
 const ANSWERED_MOST: usize = 16;
 /// How often callers get a turn to leave before one more is accepted.
@@ -38,29 +38,31 @@
 
 /// What the dispatcher's thread is asked.
 #[derive(Debug)]
-pub enum Asked {
+pub enum ControlCommand {
     /// To carry out an order.
-    Order(Order),
+    Override(OverrideCommand),
     /// How the fleet stands.
-    Fleet(oneshot::Sender<Result<String, String>>),
+    FleetStatus(oneshot::Sender<Result<String, String>>),
 }
 
 /// An order for the dispatcher's thread.
 #[derive(Debug)]
-pub struct Order {
+pub struct OverrideCommand {
     /// What it is about.
-    pub subject: Subject,
+    pub key: OverrideKey,
     /// Given, or called back.
-    pub given: bool,
+    pub activate: bool,
     /// Where the answer goes: a yes or a no with its text.
-    pub answer: oneshot::Sender<Result<String, String>>,
+    pub reply: oneshot::Sender<Result<String, String>>,
 }
 
 /// Opens the door; it stays open as long as the process.
 ///
 /// # Errors
 /// Where the address can't be listened at, or no thread be started.
-pub fn open(at: SocketAddr, figures: Arc<Figures>, orders: UnboundedSender<Asked>) -> io::Result<SocketAddr> {
+pub fn start(
+    at: SocketAddr, figures: Arc<Metrics>, orders: UnboundedSender<ControlCommand>,
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(at)?;
     listener.set_nonblocking(true)?;
     let at = listener.local_addr()?;
@@ -83,8 +85,8 @@
 }
 
 struct Door {
-    figures: Arc<Figures>,
-    orders: UnboundedSender<Asked>,
+    figures: Arc<Metrics>,
+    orders: UnboundedSender<ControlCommand>,
     /// Callers that have said nothing whole, the oldest first.
     waiting: RefCell<VecDeque<Rc<Notify>>>,
     callers: Cell<usize>,
@@ -98,7 +100,7 @@
                     // The oldest that has said nothing is gone before this one counts; where all have said what they want,
                     // they are answered in a moment.
                     for _ in 0..YIELDS {
-                        if self.callers.get() < CALLERS_MOST {
+                        if self.callers.get() < MAX_CLIENTS {
                             break;
                         }
                         if let Some(oldest) = self.waiting.borrow_mut().pop_front() {
@@ -106,7 +108,7 @@
                         }
                         yield_now().await;
                     }
-                    if self.callers.get() >= CALLERS_MOST + ANSWERED_MOST {
+                    if self.callers.get() >= MAX_CLIENTS + ANSWERED_MOST {
                         continue;
                     }
                     // It counts from here on: more may be accepted before its task has run.
@@ -137,11 +139,11 @@
         };
         self.waiting.borrow_mut().retain(|waiting| !Rc::ptr_eq(waiting, &leave));
         let answer = match call {
-            None => no("too many callers that say nothing"),
-            Some(Err(_)) => no("no whole line within 2 s"),
+            None => failure("too many callers that say nothing"),
+            Some(Err(_)) => failure("no whole line within 2 s"),
             Some(Ok(call)) => match call? {
                 Ok(call) => self.answer(call).await,
-                Err(malformed) => no(malformed),
+                Err(malformed) => failure(malformed),
             },
         };
         timeout(ANSWER_TIME, async {
@@ -151,40 +153,44 @@
         .await?
     }
 
-    async fn answer(&self, call: Call) -> String {
-        let (answer, answered) = oneshot::channel();
+    async fn answer(&self, call: Request) -> String {
+        let (reply, answered) = oneshot::channel();
         let asked = match call {
-            Call::Status if self.figures.ready() => return yes("serving"),
-            Call::Status => return no("not serving"),
-            Call::Metrics => return format!("{}{END_OF_FIGURES}\n", self.figures.lines()),
-            Call::Suspend(id) => Asked::Order(Order { subject: subject(id), given: true, answer }),
-            Call::Restore(id) => Asked::Order(Order { subject: subject(id), given: false, answer }),
-            Call::Fleet => Asked::Fleet(answer),
+            Request::Status if self.figures.ready() => return success("serving"),
+            Request::Status => return failure("not serving"),
+            Request::Metrics => return format!("{}{END_OF_METRICS}\n", self.figures.statsd_lines()),
+            Request::Suspend(id) => {
+                ControlCommand::Override(OverrideCommand { key: suspend_key(id), activate: true, reply })
+            }
+            Request::Restore(id) => {
+                ControlCommand::Override(OverrideCommand { key: suspend_key(id), activate: false, reply })
+            }
+            Request::Fleet => ControlCommand::FleetStatus(reply),
         };
         if self.orders.send(asked).is_err() {
-            return no("this process takes no orders any more");
+            return failure("this process takes no orders any more");
         }
         match timeout(ORDER_TIME, answered).await {
-            Ok(Ok(Ok(text))) => yes(text),
-            Ok(Ok(Err(text))) => no(text),
-            Ok(Err(_)) => no("this process takes no orders any more"),
-            Err(_) => no("not carried out within 0.8 s; it may be yet"),
+            Ok(Ok(Ok(text))) => success(text),
+            Ok(Ok(Err(text))) => failure(text),
+            Ok(Err(_)) => failure("this process takes no orders any more"),
+            Err(_) => failure("not carried out within 0.8 s; it may be yet"),
         }
     }
 }
 
-fn subject(id: String) -> Subject {
-    Subject { kind: Kind::Hold, id }
+fn suspend_key(endpoint_id: String) -> OverrideKey {
+    OverrideKey { kind: OverrideKind::Suspend, endpoint_id }
 }
 
-type Read = Result<Call, crate::protocol::Malformed>;
+type Read = Result<Request, crate::protocol::RequestError>;
 
 async fn read(stream: &mut TcpStream) -> io::Result<Read> {
     let (mut decoder, mut bytes) = (Decoder::default(), [0; 1024]);
     loop {
         let read = stream.read(&mut bytes).await?;
         if read == 0 {
-            return Ok(Err(decoder.end()));
+            return Ok(Err(decoder.finish()));
         }
         if let Some(call) = decoder.feed(&bytes[..read]) {
             return Ok(call);
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -1,7 +1,9 @@
 //! The door's decoder under bytes of any kind, in any pieces; the orders under generated calls against a plain list.
 
-use fawnspoke_control::orders::{Kind, ORDERS_MOST, Orders, Step, Subject};
-use fawnspoke_control::protocol::{Call, Decoder, LINE_MOST, Malformed, Reply, no, yes};
+use fawnspoke_control::overrides::{MAX_OVERRIDES, OverrideKey, OverrideKind, Overrides, UpdateResult};
+use fawnspoke_control::protocol::{
+    Decoder, MAX_LINE_BYTES, Request, RequestError, Response, failure, success,
+};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -12,7 +14,7 @@
 }
 
 /// What is fed in pieces, until the decoder says something.
-fn fed(bytes: &[u8], pieces: &[usize]) -> Option<Result<Call, Malformed>> {
+fn fed(bytes: &[u8], pieces: &[usize]) -> Option<Result<Request, RequestError>> {
     let (mut decoder, mut rest) = (Decoder::default(), bytes);
     let mut lengths = pieces.iter().copied().chain(std::iter::repeat(1));
     while !rest.is_empty() {
@@ -36,7 +38,7 @@
         Just(b"\r".to_vec()),
         Just(b"\n".to_vec()),
         Just(vec![0]),
-        Just(vec![b'x'; LINE_MOST]),
+        Just(vec![b'x'; MAX_LINE_BYTES]),
         proptest::collection::vec(any::<u8>(), 0..20),
         "[a-z0-9-]{1,12}".prop_map(String::into_bytes),
     ];
@@ -54,22 +56,22 @@
         let cut = fed(&bytes, &pieces);
         match (&whole, &cut) {
             // A line that is too long may be found out before its end comes.
-            (Some(Err(_)), Some(Err(Malformed::LongLine))) | (None, Some(Err(Malformed::LongLine))) => {}
+            (Some(Err(_)), Some(Err(RequestError::LongLine))) | (None, Some(Err(RequestError::LongLine))) => {}
             _ => prop_assert_eq!(&whole, &cut),
         }
         // A line that is whole and short is always answered, one that is not whole never is.
         let line = bytes.iter().position(|byte| *byte == b'\n');
-        prop_assert_eq!(cut.is_some(), line.is_some() || bytes.len() > LINE_MOST + 1);
+        prop_assert_eq!(cut.is_some(), line.is_some() || bytes.len() > MAX_LINE_BYTES + 1);
         if let Some(Ok(call)) = whole {
-            prop_assert_eq!(fed(call.line().as_bytes(), &[]), Some(Ok(call)));
+            prop_assert_eq!(fed(call.to_line().as_bytes(), &[]), Some(Ok(call)));
         }
     }
 
     #[test]
     fn an_answer_is_one_line_whatever_its_text(text in any::<String>()) {
-        for line in [yes(&text), no(&text)] {
+        for line in [success(&text), failure(&text)] {
             prop_assert_eq!(line.lines().count(), 1);
-            prop_assert!(Reply::read(&line).is_some());
+            prop_assert!(Response::parse(&line).is_some());
         }
     }
 
@@ -77,25 +79,25 @@
     fn orders_are_those_of_a_plain_list(
         calls in proptest::collection::vec((any::<bool>(), 0..12u8, any::<bool>()), 0..60),
     ) {
-        let (mut orders, mut plain) = (Orders::default(), BTreeSet::new());
+        let (mut orders, mut plain) = (Overrides::default(), BTreeSet::new());
         for (i, (given, id, known)) in calls.into_iter().enumerate() {
-            let subject = Subject { kind: Kind::Hold, id: format!("e{id}") };
+            let subject = OverrideKey { kind: OverrideKind::Suspend, endpoint_id: format!("e{id}") };
             let step = match given {
-                true => orders.give(subject, known, i as u64),
-                false => orders.call_back(&subject, known),
+                true => orders.add(subject, known, i as u64),
+                false => orders.remove(&subject, known),
             };
             let allowed = known || plain.contains(&id);
-            prop_assert_eq!(matches!(step, Step::Refused(_)), !allowed);
+            prop_assert_eq!(matches!(step, UpdateResult::Rejected(_)), !allowed);
             if allowed {
                 let changed = if given { plain.insert(id) } else { plain.remove(&id) };
-                prop_assert_eq!(matches!(step, Step::Changes(_)), changed);
+                prop_assert_eq!(matches!(step, UpdateResult::Changed(_)), changed);
             }
             prop_assert_eq!(orders.len(), plain.len());
-            let held = plain.iter().all(|id| orders.holds(&format!("e{id}")));
+            let held = plain.iter().all(|id| orders.is_suspended(&format!("e{id}")));
             prop_assert!(held);
-            prop_assert!(orders.len() <= ORDERS_MOST);
+            prop_assert!(orders.len() <= MAX_OVERRIDES);
             // At any point a kill may come: what is on record is what is in force.
-            prop_assert_eq!(&Orders::from_record(&orders.record()).unwrap(), &orders);
+            prop_assert_eq!(&Overrides::from_json(&orders.to_json()).unwrap(), &orders);
         }
     }
 }
--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use fawnspoke_control::client;
-use fawnspoke_control::protocol::{Call, Reply};
+use fawnspoke_control::protocol::{Request, Response};
 use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
 use fawnspoke_lab::bench::Settings;
 use fawnspoke_lab::command;
@@ -324,13 +324,13 @@
         _ => None,
     };
     let call = match asked.ask {
-        Ask::Status => Call::Status,
-        Ask::Metrics => Call::Metrics,
-        Ask::Members | Ask::Duties => Call::Fleet,
-        Ask::Suspend { id } => Call::Suspend(id),
-        Ask::Restore { id } => Call::Restore(id),
+        Ask::Status => Request::Status,
+        Ask::Metrics => Request::Metrics,
+        Ask::Members | Ask::Duties => Request::Fleet,
+        Ask::Suspend { id } => Request::Suspend(id),
+        Ask::Restore { id } => Request::Restore(id),
     };
-    let reply = match client::ask(asked.at, &call, Duration::from_secs_f64(asked.patience)) {
+    let reply = match client::send_request(asked.at, &call, Duration::from_secs_f64(asked.patience)) {
         Ok(reply) => reply,
         Err(error) => {
             eprintln!("fawnspoke: {}: {error}", asked.at);
@@ -338,19 +338,23 @@
         }
     };
     let (text, code) = match (&reply, asked.json) {
-        (Reply::Yes(text), json) if shown.is_some() => match (serde_json::from_str(text), shown) {
+        (Response::Success(text), json) if shown.is_some() => match (serde_json::from_str(text), shown) {
             (Ok(fleet), Some(shown)) if !json => (shown(&fleet), 0),
             _ => (text.clone(), 0),
         },
-        (Reply::Yes(text), true) => (serde_json::json!({"success": true, "text": text}).to_string(), 0),
-        (Reply::No(text), true) => (serde_json::json!({"success": false, "text": text}).to_string(), 1),
-        (Reply::Yes(text), false) => (format!("yes: {text}"), 0),
-        (Reply::No(text), false) => (format!("no: {text}"), 1),
-        (Reply::Figures(figures), true) => {
+        (Response::Success(text), true) => {
+            (serde_json::json!({"success": true, "text": text}).to_string(), 0)
+        }
+        (Response::Failure(text), true) => {
+            (serde_json::json!({"success": false, "text": text}).to_string(), 1)
+        }
+        (Response::Success(text), false) => (format!("yes: {text}"), 0),
+        (Response::Failure(text), false) => (format!("no: {text}"), 1),
+        (Response::Metrics(figures), true) => {
             let figures = figures.iter().map(|(name, value, _)| (name.clone(), (*value).into()));
             (serde_json::Value::Object(figures.collect()).to_string(), 0)
         }
-        (Reply::Figures(figures), false) => {
+        (Response::Metrics(figures), false) => {
             let lines = figures.iter().map(|(name, value, _)| format!("{value:>12}  {name}"));
             (lines.collect::<Vec<_>>().join("\n"), 0)
         }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -55,7 +55,7 @@
         "reject_hint": 0, "context": [], "priority": 0});
     let message = serde_json::from_value(heartbeat).expect("a message");
     let frame = fawnspoke_cluster::wire::Frame::Raft(Box::new(message));
-    send(&mut link, &fawnspoke_frames::packet(&frame).expect("a frame"));
+    send(&mut link, &fawnspoke_frames::encode(&frame).expect("a frame"));
     eventually("that it opens its record anew", || {
         stage.members.dispatchers[0].logged("not as its rules have it")
     });
--- a/crates/fawnspoke/tests/sockets/in_service.rs
+++ b/crates/fawnspoke/tests/sockets/in_service.rs
@@ -1,7 +1,7 @@
 //! What operators do to a dispatcher that serves: questions and orders at its door, and upgrades.
 
 use crate::stage::*;
-use fawnspoke_control::protocol::{Call, Reply as Said};
+use fawnspoke_control::protocol::{Request, Response as Said};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -15,24 +15,24 @@
     dispatcher.door = true;
     dispatcher.start();
     // It listens a moment before it says so.
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+    eventually("the yes", || yes(&dispatcher.ask(&Request::Status)));
     dispatcher
 }
 
-fn suspend(id: &str) -> Call {
-    Call::Suspend(id.into())
+fn suspend(id: &str) -> Request {
+    Request::Suspend(id.into())
 }
 
-fn restore(id: &str) -> Call {
-    Call::Restore(id.into())
+fn restore(id: &str) -> Request {
+    Request::Restore(id.into())
 }
 
 fn yes(said: &Said) -> bool {
-    matches!(said, Said::Yes(_))
+    matches!(said, Said::Success(_))
 }
 
 fn figures(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let Said::Figures(figures) = dispatcher.ask(&Call::Metrics) else { panic!("no figures") };
+    let Said::Metrics(figures) = dispatcher.ask(&Request::Metrics) else { panic!("no figures") };
     figures.into_iter().map(|(name, value, _)| (name, value)).collect()
 }
 
@@ -137,7 +137,7 @@
 
     let mut old = dispatcher.upgrade();
     assert_ne!(dispatcher.control(), door);
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+    eventually("the yes", || yes(&dispatcher.ask(&Request::Status)));
     // Neither connection has noticed.
     half.write(b"56789");
     assert_eq!(half.answer().status(), 202);
@@ -164,7 +164,7 @@
             assert_eq!(dispatcher.hand_in(class, &format!("{class}-{i}"), 7), 202);
         }
         let mut old = dispatcher.upgrade();
-        eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+        eventually("the yes", || yes(&dispatcher.ask(&Request::Status)));
         stop(&mut old);
     }
     assert_eq!(figures(&dispatcher)["app.open_requests"], 15);
@@ -185,7 +185,7 @@
     eventually("the call", || endpoint.seen().len() == 1);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old = dispatcher.upgrade();
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+    eventually("the yes", || yes(&dispatcher.ask(&Request::Status)));
     assert!(dispatcher.logged("with what is on record"));
     // The old one broke its call off before anything was given: never two attempts at once.
     eventually("the old one's word", || dispatcher.logged("calls out"));
@@ -240,7 +240,7 @@
     let door = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut child = dispatcher.command().env("GW_CONTROL", door.to_string()).spawn().unwrap();
     // Its door answers while it waits.
-    let asked = || fawnspoke_control::client::ask(door, &Call::Status, Duration::from_secs(5));
+    let asked = || fawnspoke_control::client::send_request(door, &Request::Status, Duration::from_secs(5));
     eventually("a no", || asked().is_ok_and(|said| !yes(&said)));
     stop(&mut child);
     drop(held);
@@ -290,7 +290,7 @@
         bad.push(stream);
         if i % 20 == 0 {
             let asked = Instant::now();
-            assert!(yes(&dispatcher.ask(&Call::Status)));
+            assert!(yes(&dispatcher.ask(&Request::Status)));
             assert!(yes(&dispatcher.ask(&restore("e"))));
             assert!(!figures(&dispatcher).is_empty());
             quick += u32::from(asked.elapsed() < Duration::from_secs(1));
--- a/crates/fawnspoke/tests/sockets/machine.rs
+++ b/crates/fawnspoke/tests/sockets/machine.rs
@@ -468,7 +468,7 @@
     let machine = Machine::under(&mut dispatcher);
     dispatcher.start();
     machine.set(Field::FolderError, libc::ENOSPC.into());
-    let answer = dispatcher.ask(&fawnspoke_control::protocol::Call::Suspend("e".into()));
+    let answer = dispatcher.ask(&fawnspoke_control::protocol::Request::Suspend("e".into()));
     let text = format!("{answer:?}");
     assert!(text.contains("not on record"), "{text}");
     machine.set(Field::FolderError, 0);
--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// None that is known.
-pub fn hello_packet(hello: &impl Serialize) -> Result<Vec<u8>, FrameError> {
+pub fn encode_hello(hello: &impl Serialize) -> Result<Vec<u8>, FrameError> {
     Ok(serde_json::to_vec(hello)?)
 }
 
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// Where it is none.
-pub fn read_hello<T: DeserializeOwned>(packet: &[u8]) -> Result<T, FrameError> {
+pub fn decode_hello<T: DeserializeOwned>(packet: &[u8]) -> Result<T, FrameError> {
     Ok(serde_json::from_slice(packet)?)
 }
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 /// None that is known.
-pub fn packet(frame: &impl Serialize) -> Result<Vec<u8>, FrameError> {
+pub fn encode(frame: &impl Serialize) -> Result<Vec<u8>, FrameError> {
     Ok(postcard::to_stdvec(frame)?)
 }
 
@@ -45,6 +45,6 @@
 ///
 /// # Errors
 /// Where it is no frame of this kind.
-pub fn read<T: DeserializeOwned>(packet: &[u8]) -> Result<T, FrameError> {
+pub fn decode<T: DeserializeOwned>(packet: &[u8]) -> Result<T, FrameError> {
     Ok(postcard::from_bytes(packet)?)
 }
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -4,16 +4,16 @@
 //! (the *taker*) owns the rest from then on. Who owns is who holds the [`lock`] on the folder that lasts: the kernel
 //! frees it with its process.
 //!
-//! - [`giver`] and [`taker`]: the two sides as state machines, free of I/O: events in, actions out;
+//! - [`sender`] and [`receiver`]: the two sides as state machines, free of I/O: events in, actions out;
 //! - [`frames`]: what passes between them;
 //! - [`link`]: the socket over which it passes, descriptors with it;
 //! - [`lock`]: the lock.
 
 pub mod frames;
-pub mod giver;
 pub mod link;
 pub mod lock;
-pub mod taker;
+pub mod receiver;
+pub mod sender;
 
 /// A point on a clock, or a span, in seconds.
 pub type Seconds = f64;
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -1,6 +1,6 @@
 //! The link: a Unix socket that keeps packets apart and carries descriptors.
 
-use crate::frames::PACKET_MOST;
+use crate::frames::MAX_PACKET_BYTES;
 use rustix::cmsg_space;
 use rustix::io::Errno;
 use rustix::net::{
@@ -99,7 +99,7 @@
     }
 
     /// Whether the other side has ended, as far as the socket knows now; a packet that waits is no end.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         let mut byte = [0];
         match recv(&self.socket, &mut byte, RecvFlags::PEEK | RecvFlags::DONTWAIT) {
             Ok((_, read)) => read == 0,
@@ -112,7 +112,7 @@
     /// # Errors
     /// `BrokenPipe` where the other side has gone; `InvalidInput` where the packet is too long.
     pub async fn send(&self, packet: &[u8], descriptor: Option<BorrowedFd<'_>>) -> io::Result<()> {
-        if packet.is_empty() || packet.len() > PACKET_MOST {
+        if packet.is_empty() || packet.len() > MAX_PACKET_BYTES {
             return Err(io::ErrorKind::InvalidInput.into());
         }
         let descriptors: Vec<BorrowedFd> = descriptor.into_iter().collect();
@@ -134,7 +134,7 @@
     /// Those of the socket; `InvalidData` where a packet is longer than any frame.
     pub async fn receive(&self) -> io::Result<Option<(Vec<u8>, Option<OwnedFd>)>> {
         let receive = || {
-            let mut packet = vec![0; PACKET_MOST];
+            let mut packet = vec![0; MAX_PACKET_BYTES];
             let mut space = [MaybeUninit::uninit(); cmsg_space!(ScmRights(1))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let parts = &mut [IoSliceMut::new(&mut packet)];
@@ -180,17 +180,17 @@
         let server = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut client = std::net::TcpStream::connect(server.local_addr().unwrap()).unwrap();
         let (served, _) = server.accept().unwrap();
-        assert!(!taker.has_ended());
+        assert!(!taker.is_closed());
         giver.send(b"first", None).await.unwrap();
-        assert!(!taker.has_ended());
-        giver.send(&vec![7; PACKET_MOST], Some(served.as_fd())).await.unwrap();
+        assert!(!taker.is_closed());
+        giver.send(&vec![7; MAX_PACKET_BYTES], Some(served.as_fd())).await.unwrap();
         // The sender's copy closes: the connection lives on in the other one.
         drop(served);
         drop(giver);
         assert_eq!(taker.receive().await.unwrap().unwrap().0, b"first");
         let (packet, descriptor) = taker.receive().await.unwrap().unwrap();
-        assert_eq!(packet.len(), PACKET_MOST);
-        assert!(taker.has_ended());
+        assert_eq!(packet.len(), MAX_PACKET_BYTES);
+        assert!(taker.is_closed());
         assert!(taker.receive().await.unwrap().is_none());
         let mut moved = std::net::TcpStream::from(descriptor.unwrap());
         moved.write_all(b"hello").unwrap();
--- a/crates/handover/src/lock.rs
+++ b/crates/handover/src/lock.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 
 /// The owner's file in the folder; always empty.
-pub const FILE: &str = "lock";
+pub const OWNER_FILE: &str = "lock";
 /// The file of those that may have calls out; always empty.
-pub const CALLS: &str = "calls";
+pub const CALLS_FILE: &str = "calls";
 
 /// A lock that is held until it is dropped.
 #[derive(Debug)]
@@ -23,28 +23,28 @@
 /// # Errors
 /// Those of the file, and of a file system that knows no locks.
 pub fn try_lock(folder: &Path) -> io::Result<Option<Lock>> {
-    held(open(folder, FILE)?, FlockOperation::NonBlockingLockExclusive)
+    held(open(folder, OWNER_FILE)?, FlockOperation::NonBlockingLockExclusive)
 }
 
 /// Shares the calls' lock with whoever has calls out already; none where one is just looking whether anybody has.
 ///
 /// # Errors
 /// As for [`try_lock`].
-pub fn share_calls(folder: &Path) -> io::Result<Option<Lock>> {
-    held(open(folder, CALLS)?, FlockOperation::NonBlockingLockShared)
+pub fn share_calls_lock(folder: &Path) -> io::Result<Option<Lock>> {
+    held(open(folder, CALLS_FILE)?, FlockOperation::NonBlockingLockShared)
 }
 
 /// The calls' lock where no other process may have calls out; none where one may.
 ///
 /// # Errors
 /// As for [`try_lock`].
-pub fn quiet_calls(folder: &Path) -> io::Result<Option<Lock>> {
-    let alone = held(open(folder, CALLS)?, FlockOperation::NonBlockingLockExclusive)?;
+pub fn lock_calls_if_idle(folder: &Path) -> io::Result<Option<Lock>> {
+    let alone = held(open(folder, CALLS_FILE)?, FlockOperation::NonBlockingLockExclusive)?;
     alone.map_or(Ok(None), |lock| held(lock._file, FlockOperation::NonBlockingLockShared))
 }
 
 /// Whether an error tells that the file system knows no locks; any other may pass.
-pub fn is_unknown(error: &io::Error) -> bool {
+pub fn is_unsupported(error: &io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(code, Some(Errno::NOLCK | Errno::NOTSUP | Errno::NOSYS | Errno::INVAL))
 }
@@ -81,13 +81,13 @@
         assert!(try_lock(&folder).unwrap().is_none());
         drop(held);
         assert!(try_lock(&folder).unwrap().is_some());
-        let first = quiet_calls(&folder).unwrap();
-        assert!(first.is_some() && quiet_calls(&folder).unwrap().is_none());
-        let second = share_calls(&folder).unwrap();
+        let first = lock_calls_if_idle(&folder).unwrap();
+        assert!(first.is_some() && lock_calls_if_idle(&folder).unwrap().is_none());
+        let second = share_calls_lock(&folder).unwrap();
         drop(first);
-        assert!(second.is_some() && quiet_calls(&folder).unwrap().is_none());
+        assert!(second.is_some() && lock_calls_if_idle(&folder).unwrap().is_none());
         drop(second);
-        assert!(quiet_calls(&folder).unwrap().is_some());
+        assert!(lock_calls_if_idle(&folder).unwrap().is_some());
         std::fs::remove_dir_all(folder).unwrap();
     }
 }
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,16 +1,16 @@
-//! Every order of events of an upgrade: the two sides, the lock, the link between them, kills at any point, and a giver
+//! Every order of events of an upgrade: the two sides, the lock, the link between them, kills at any point, and a sender
 //! that loses patience. Checked state by state.
 
-use fawnspoke_handover::giver::{self, Giver};
-use fawnspoke_handover::taker::{self, Taker};
+use fawnspoke_handover::receiver::{self, ReceiverState};
+use fawnspoke_handover::sender::{self, SenderState};
 use stateright::{Checker, Model, Property};
 
 /// Who holds the lock.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum Holder {
     Nobody,
-    Giver,
-    Taker(usize),
+    Sender,
+    Receiver(usize),
 }
 
 /// What is on its way, in order.
@@ -23,221 +23,235 @@
     Unusable,
 }
 
-/// Where a side stands, without its times: these are chosen by the checker, as "time passes" steps.
+/// Where a model_state stands, without its times: these are chosen by the checker, as "time passes" steps.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
-enum Side {
+enum SenderSide {
     Owner { stopping: bool },
-    Given { broken: bool, stopping: bool },
-    Finishing { finished: bool, stopping: bool },
-    Orphan { stopping: bool },
-    Over,
+    AwaitingReceiver { link_closed: bool, stopping: bool },
+    Draining { drained: bool, stopping: bool },
+    ReceiverLost { stopping: bool },
+    Ended,
 }
 
-/// A new process, and its link to the giver.
+/// A new process, and its link to the sender.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
-struct Newcomer {
-    taker: Taker,
+struct Receiver {
+    state: ReceiverState,
     alive: bool,
-    /// None: no link. To the giver, to the taker.
+    /// None: no link. To the sender, to the state.
     link: Option<(Vec<Packet>, Vec<Packet>)>,
-    /// The giver's end is open still.
-    giver_end: bool,
+    /// The sender's end is open still.
+    sender_end_open: bool,
     /// The own end is.
-    taker_end: bool,
+    receiver_end_open: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct World {
-    giver: Side,
-    giver_alive: bool,
+    sender: SenderSide,
+    sender_alive: bool,
     holder: Holder,
-    takers: Vec<Newcomer>,
-    /// The taker that the giver has given to.
-    given_to: Option<usize>,
-    /// A call of the giver is out on an open connection.
-    call_out: bool,
-    /// The giver shares the lock of those that may have calls out.
-    calls_lock: bool,
+    receivers: Vec<Receiver>,
+    /// The state that the sender has given to.
+    handed_over_to: Option<usize>,
+    /// A call of the sender is out on an open connection.
+    call_in_flight: bool,
+    /// The sender shares the lock of those that may have calls out.
+    calls_lock_held: bool,
     /// Both have sent that message while the other's attempt was out.
-    doubled: bool,
-    /// The giver began anew: it is a taker like any other then, and out of this picture.
+    sent_twice: bool,
+    /// The sender began anew: it is a state like any other then, and out of this picture.
     restarted: bool,
     kills: u8,
-    told: bool,
+    terminated: bool,
     /// What came can be used.
     usable: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 enum Step {
-    TakerBegins(usize),
-    TakerAgain(usize),
-    GiverReads(usize),
-    TakerReads(usize),
-    GiverSeesEnd(usize),
-    TakerSeesEnd(usize),
-    GiverImpatient,
-    GiverTicks,
-    CallEnds,
+    ReceiverStarts(usize),
+    ReceiverRetries(usize),
+    SenderReads(usize),
+    ReceiverReads(usize),
+    SenderSeesLinkClose(usize),
+    ReceiverSeesLinkClose(usize),
+    SenderTicksAfterTimeouts,
+    SenderTicksBeforeTimeouts,
+    CallCompletes,
     Finished,
     Terminate,
-    KillGiver,
-    KillTaker(usize),
+    KillSender,
+    KillReceiver(usize),
     KillAll,
 }
 
 struct Upgrade {
     kills: u8,
-    takers: usize,
+    receivers: usize,
 }
 
-/// The machine in a state, at a time when all its spans have passed or none has.
-fn machine(side: Side, late: bool) -> (Giver, f64) {
+/// The sender_state in a state, at a time when all its spans have passed or none has.
+fn sender_state(model_state: SenderSide, timeouts_elapsed: bool) -> (SenderState, f64) {
     let now = 100.0;
-    let at = if late { now } else { now + 50.0 };
-    let giver = match side {
-        Side::Owner { stopping } => Giver::Owner { stopping },
-        Side::Given { broken, stopping } => {
-            let broken = broken.then_some(if late { 0.0 } else { now });
-            Giver::Given { doubt_at: at, try_at: at, broken, stopping }
+    let at = if timeouts_elapsed { now } else { now + 50.0 };
+    let sender = match model_state {
+        SenderSide::Owner { stopping } => SenderState::Owner { stopping },
+        SenderSide::AwaitingReceiver { link_closed, stopping } => {
+            let link_closed_at = link_closed.then_some(if timeouts_elapsed { 0.0 } else { now });
+            SenderState::AwaitingReceiver { timeout_at: at, lock_retry_at: at, link_closed_at, stopping }
         }
-        Side::Finishing { finished, stopping } => {
-            let end_at = (stopping || finished).then_some(at);
-            Giver::Finishing { finished, end_at }
+        SenderSide::Draining { drained, stopping } => {
+            let exit_at = (stopping || drained).then_some(at);
+            SenderState::Draining { drained, exit_at }
         }
-        Side::Orphan { stopping } => {
-            Giver::Orphan { since: if late { 0.0 } else { now }, try_at: at, stopping }
-        }
-        Side::Over => Giver::Over,
+        SenderSide::ReceiverLost { stopping } => SenderState::ReceiverLost {
+            since: if timeouts_elapsed { 0.0 } else { now },
+            lock_retry_at: at,
+            stopping,
+        },
+        SenderSide::Ended => SenderState::Ended,
     };
-    (giver, now)
+    (sender, now)
 }
 
-fn side(giver: Giver) -> Side {
-    match giver {
-        Giver::Owner { stopping } => Side::Owner { stopping },
-        Giver::Given { broken, stopping, .. } => Side::Given { broken: broken.is_some(), stopping },
-        Giver::Finishing { finished, end_at } => {
-            Side::Finishing { finished, stopping: end_at.is_some() && !finished }
+fn model_state(state: SenderState) -> SenderSide {
+    match state {
+        SenderState::Owner { stopping } => SenderSide::Owner { stopping },
+        SenderState::AwaitingReceiver { link_closed_at, stopping, .. } => {
+            SenderSide::AwaitingReceiver { link_closed: link_closed_at.is_some(), stopping }
+        }
+        SenderState::Draining { drained, exit_at } => {
+            SenderSide::Draining { drained, stopping: exit_at.is_some() && !drained }
         }
-        Giver::Orphan { stopping, .. } => Side::Orphan { stopping },
-        Giver::Over => Side::Over,
+        SenderState::ReceiverLost { stopping, .. } => SenderSide::ReceiverLost { stopping },
+        SenderState::Ended => SenderSide::Ended,
     }
 }
 
 impl World {
-    fn giver(&mut self, event: giver::Event, late: bool) {
+    fn sender_event(&mut self, event: sender::Event, timeouts_elapsed: bool) {
         let mut next = Some(event);
         while let Some(event) = next.take() {
-            let (mut machine, now) = machine(self.giver, late);
-            let actions = machine.step(now, event);
-            self.giver = side(machine);
+            let (mut sender_state, now) = sender_state(self.sender, timeouts_elapsed);
+            let actions = sender_state.step(now, event);
+            self.sender = model_state(sender_state);
             for action in actions {
                 match action {
                     // Whoever asked hears it where that is known.
-                    giver::Action::Refuse(_) => {}
-                    giver::Action::Give => {
+                    sender::Action::Reject(_) => {}
+                    sender::Action::HandOver => {
                         self.holder = Holder::Nobody;
-                        if let Some(to) = self.given_to {
-                            self.post_taker(to, Packet::State);
+                        if let Some(to) = self.handed_over_to {
+                            self.send_to_receiver(to, Packet::State);
                         }
                     }
-                    giver::Action::TryLock => {
-                        let got = matches!(self.holder, Holder::Nobody | Holder::Giver);
+                    sender::Action::TryLock => {
+                        let got = matches!(self.holder, Holder::Nobody | Holder::Sender);
                         if got {
-                            self.holder = Holder::Giver;
+                            self.holder = Holder::Sender;
                         }
-                        next = Some(giver::Event::Locked(got));
+                        next = Some(sender::Event::LockResult(got));
                     }
-                    giver::Action::Resume => self.hang_up(),
-                    giver::Action::HandRest => {}
-                    giver::Action::Cut => (self.call_out, self.calls_lock) = (false, false),
-                    giver::Action::Restart => {
+                    sender::Action::Resume => self.close_link(),
+                    sender::Action::SendConnections => {}
+                    sender::Action::AbortCalls => {
+                        (self.call_in_flight, self.calls_lock_held) = (false, false)
+                    }
+                    sender::Action::Restart => {
                         self.restarted = true;
-                        self.call_out = false;
+                        self.call_in_flight = false;
                     }
-                    giver::Action::Exit => self.giver_ends(),
+                    sender::Action::Exit => self.end_sender(),
                 }
             }
         }
     }
 
-    /// The giver closes the link that it has given over.
-    fn hang_up(&mut self) {
-        if let Some(to) = self.given_to.take() {
-            self.takers[to].giver_end = false;
+    /// The sender closes the link that it has given over.
+    fn close_link(&mut self) {
+        if let Some(to) = self.handed_over_to.take() {
+            self.receivers[to].sender_end_open = false;
         }
     }
 
-    fn giver_ends(&mut self) {
-        self.giver_alive = false;
-        self.giver = Side::Over;
-        self.takers.iter_mut().for_each(|taker| taker.giver_end = false);
-        (self.call_out, self.calls_lock) = (false, false);
-        if self.holder == Holder::Giver {
+    fn end_sender(&mut self) {
+        self.sender_alive = false;
+        self.sender = SenderSide::Ended;
+        self.receivers.iter_mut().for_each(|state| state.sender_end_open = false);
+        (self.call_in_flight, self.calls_lock_held) = (false, false);
+        if self.holder == Holder::Sender {
             self.holder = Holder::Nobody;
         }
     }
 
-    fn taker(&mut self, i: usize, event: taker::Event) {
+    fn receiver_event(&mut self, i: usize, event: receiver::Event) {
         let mut next = Some(event);
         while let Some(event) = next.take() {
-            for action in self.takers[i].taker.step(event) {
+            for action in self.receivers[i].state.step(event) {
                 match action {
-                    taker::Action::Connect => {
+                    receiver::Action::Connect => {
                         // One that is finishing has closed its doorstep, and an owner beside it has one of its own,
                         // which is found or not: not to find it is the worse.
-                        let there = self.giver_alive && !self.restarted;
-                        let there = there && matches!(self.giver, Side::Owner { .. } | Side::Given { .. });
-                        let one = &mut self.takers[i];
+                        let there = self.sender_alive && !self.restarted;
+                        let there = there
+                            && matches!(
+                                self.sender,
+                                SenderSide::Owner { .. } | SenderSide::AwaitingReceiver { .. }
+                            );
+                        let one = &mut self.receivers[i];
                         if there && one.link.is_none() {
                             one.link = Some((vec![], vec![]));
-                            (one.giver_end, one.taker_end) = (true, true);
+                            (one.sender_end_open, one.receiver_end_open) = (true, true);
                         }
-                        // A link before this one that the giver has not done with: it hears nobody else meanwhile.
+                        // A link before this one that the sender has not done with: it hears nobody else meanwhile.
                         next = Some(match there {
-                            true if one.taker_end => taker::Event::Connected,
-                            true => taker::Event::Refused,
-                            false => taker::Event::Nobody,
+                            true if one.receiver_end_open => receiver::Event::Connected,
+                            true => receiver::Event::Rejected,
+                            false => receiver::Event::NoListener,
                         });
                     }
-                    taker::Action::Ask { .. } => self.post_giver(i, Packet::Hello),
-                    taker::Action::SayUnusable => {
-                        self.post_giver(i, Packet::Unusable);
-                        self.takers[i].taker_end = false;
+                    receiver::Action::RequestState { .. } => self.send_to_sender(i, Packet::Hello),
+                    receiver::Action::ReportUnusable => {
+                        self.send_to_sender(i, Packet::Unusable);
+                        self.receivers[i].receiver_end_open = false;
                     }
-                    taker::Action::TryLock => {
-                        let got = self.holder == Holder::Nobody || self.holder == Holder::Taker(i);
+                    receiver::Action::TryLock => {
+                        let got = self.holder == Holder::Nobody || self.holder == Holder::Receiver(i);
                         if got {
-                            self.holder = Holder::Taker(i);
+                            self.holder = Holder::Receiver(i);
                         }
-                        next = Some(taker::Event::Locked(got));
+                        next = Some(receiver::Event::LockResult(got));
+                    }
+                    receiver::Action::CheckCallsDrained => {
+                        next = Some(receiver::Event::CallsDrained(!self.calls_lock_held))
                     }
-                    taker::Action::TryQuiet => next = Some(taker::Event::Quiet(!self.calls_lock)),
-                    taker::Action::Confirm => next = Some(taker::Event::Linked(self.takers[i].giver_end)),
-                    taker::Action::Unlock => self.holder = Holder::Nobody,
-                    taker::Action::Drop => self.takers[i].taker_end = false,
-                    taker::Action::Wait => {}
-                    taker::Action::Own => self.post_giver(i, Packet::Mine),
+                    receiver::Action::CheckLink => {
+                        next = Some(receiver::Event::LinkChecked(self.receivers[i].sender_end_open))
+                    }
+                    receiver::Action::Unlock => self.holder = Holder::Nobody,
+                    receiver::Action::DiscardState => self.receivers[i].receiver_end_open = false,
+                    receiver::Action::ScheduleRetry => {}
+                    receiver::Action::TakeOver => self.send_to_sender(i, Packet::Mine),
                     // From what is on record alone, a call without an end is taken for ended.
-                    taker::Action::Begin => self.doubled |= self.call_out,
+                    receiver::Action::StartFromJournal => self.sent_twice |= self.call_in_flight,
                 }
             }
         }
     }
 
-    fn post_giver(&mut self, i: usize, packet: Packet) {
-        let one = &mut self.takers[i];
-        if one.taker_end
+    fn send_to_sender(&mut self, i: usize, packet: Packet) {
+        let one = &mut self.receivers[i];
+        if one.receiver_end_open
             && let Some((to, _)) = &mut one.link
         {
             to.push(packet);
         }
     }
 
-    fn post_taker(&mut self, i: usize, packet: Packet) {
-        let one = &mut self.takers[i];
-        if one.giver_end
+    fn send_to_receiver(&mut self, i: usize, packet: Packet) {
+        let one = &mut self.receivers[i];
+        if one.sender_end_open
             && let Some((_, to)) = &mut one.link
         {
             to.push(packet);
@@ -245,17 +259,17 @@
     }
 
     /// A link that nobody holds is none.
-    fn tidy(&mut self) {
-        for one in &mut self.takers {
-            if !one.giver_end && !one.taker_end {
+    fn drop_closed_links(&mut self) {
+        for one in &mut self.receivers {
+            if !one.sender_end_open && !one.receiver_end_open {
                 one.link = None;
             }
         }
     }
 
-    fn owning(&self) -> usize {
-        let giver = self.giver_alive && matches!(self.giver, Side::Owner { .. });
-        usize::from(giver) + self.takers.iter().filter(|one| one.alive && one.taker.owns()).count()
+    fn owner_count(&self) -> usize {
+        let sender = self.sender_alive && matches!(self.sender, SenderSide::Owner { .. });
+        usize::from(sender) + self.receivers.iter().filter(|one| one.alive && one.state.is_owner()).count()
     }
 }
 
@@ -264,202 +278,216 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let newcomer =
-            Newcomer { taker: Taker::default(), alive: true, link: None, giver_end: false, taker_end: false };
+        let receiver = Receiver {
+            state: ReceiverState::default(),
+            alive: true,
+            link: None,
+            sender_end_open: false,
+            receiver_end_open: false,
+        };
         let world = |usable| World {
-            giver: Side::Owner { stopping: false },
-            giver_alive: true,
-            holder: Holder::Giver,
-            takers: vec![newcomer.clone(); self.takers],
-            given_to: None,
-            call_out: true,
-            calls_lock: true,
-            doubled: false,
+            sender: SenderSide::Owner { stopping: false },
+            sender_alive: true,
+            holder: Holder::Sender,
+            receivers: vec![receiver.clone(); self.receivers],
+            handed_over_to: None,
+            call_in_flight: true,
+            calls_lock_held: true,
+            sent_twice: false,
             restarted: false,
             kills: 0,
-            told: false,
+            terminated: false,
             usable,
         };
         vec![world(true), world(false)]
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let giver = world.giver_alive && !world.restarted && world.giver != Side::Over;
-        for (i, one) in world.takers.iter().enumerate() {
+        let sender = world.sender_alive && !world.restarted && world.sender != SenderSide::Ended;
+        for (i, one) in world.receivers.iter().enumerate() {
             if one.alive {
-                match one.taker {
-                    Taker::Looking { .. } => steps.push(Step::TakerBegins(i)),
-                    Taker::Locking { .. } | Taker::Quieting => steps.push(Step::TakerAgain(i)),
+                match one.state {
+                    ReceiverState::Connecting { .. } => steps.push(Step::ReceiverStarts(i)),
+                    ReceiverState::Locking { .. } | ReceiverState::AwaitingCallDrain => {
+                        steps.push(Step::ReceiverRetries(i))
+                    }
                     _ => {}
                 }
                 if let Some((_, to)) = &one.link
-                    && one.taker_end
+                    && one.receiver_end_open
                 {
                     if !to.is_empty() {
-                        steps.push(Step::TakerReads(i));
-                    } else if !one.giver_end {
-                        steps.push(Step::TakerSeesEnd(i));
+                        steps.push(Step::ReceiverReads(i));
+                    } else if !one.sender_end_open {
+                        steps.push(Step::ReceiverSeesLinkClose(i));
                     }
                 }
                 if world.kills < self.kills {
-                    steps.push(Step::KillTaker(i));
+                    steps.push(Step::KillReceiver(i));
                 }
             }
-            if giver
+            if sender
                 && let Some((to, _)) = &one.link
-                && one.giver_end
+                && one.sender_end_open
             {
                 if !to.is_empty() {
-                    steps.push(Step::GiverReads(i));
-                } else if !one.taker_end {
-                    steps.push(Step::GiverSeesEnd(i));
+                    steps.push(Step::SenderReads(i));
+                } else if !one.receiver_end_open {
+                    steps.push(Step::SenderSeesLinkClose(i));
                 }
             }
         }
-        if giver {
-            steps.extend([Step::GiverImpatient, Step::GiverTicks]);
-            if matches!(world.giver, Side::Finishing { finished: false, .. }) && !world.call_out {
+        if sender {
+            steps.extend([Step::SenderTicksAfterTimeouts, Step::SenderTicksBeforeTimeouts]);
+            if matches!(world.sender, SenderSide::Draining { drained: false, .. }) && !world.call_in_flight {
                 steps.push(Step::Finished);
             }
-            if !world.told {
+            if !world.terminated {
                 steps.push(Step::Terminate);
             }
         }
-        if world.giver_alive && world.call_out {
-            steps.push(Step::CallEnds);
+        if world.sender_alive && world.call_in_flight {
+            steps.push(Step::CallCompletes);
         }
-        if world.kills < self.kills && world.giver_alive && !world.restarted {
-            steps.extend([Step::KillGiver, Step::KillAll]);
+        if world.kills < self.kills && world.sender_alive && !world.restarted {
+            steps.extend([Step::KillSender, Step::KillAll]);
         }
     }
 
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
         let mut world = last.clone();
         match step {
-            Step::TakerBegins(i) => world.taker(i, taker::Event::Begin),
-            Step::TakerAgain(i) => world.taker(i, taker::Event::Again),
-            Step::TakerReads(i) => {
-                let packet = world.takers[i].link.as_mut().map(|(_, to)| to.remove(0))?;
-                let event = match (packet, world.takers[i].taker) {
-                    (Packet::Refused, _) => taker::Event::Refused,
+            Step::ReceiverStarts(i) => world.receiver_event(i, receiver::Event::Started),
+            Step::ReceiverRetries(i) => world.receiver_event(i, receiver::Event::RetryDue),
+            Step::ReceiverReads(i) => {
+                let packet = world.receivers[i].link.as_mut().map(|(_, to)| to.remove(0))?;
+                let event = match (packet, world.receivers[i].state) {
+                    (Packet::Refused, _) => receiver::Event::Rejected,
                     // What the decisions hold is of no use, or was not asked for.
-                    (Packet::State, Taker::Asking { without }) => {
-                        taker::Event::Given(world.usable || without)
+                    (Packet::State, ReceiverState::AwaitingState { without_decisions }) => {
+                        receiver::Event::StateReceived(world.usable || without_decisions)
                     }
-                    (Packet::State, _) => taker::Event::Given(true),
+                    (Packet::State, _) => receiver::Event::StateReceived(true),
                     _ => return None,
                 };
-                world.taker(i, event);
+                world.receiver_event(i, event);
             }
-            Step::TakerSeesEnd(i) => {
-                world.takers[i].taker_end = false;
-                if world.takers[i].taker.owns() {
-                    // Whatever the giver had out has ended with its end of the link: its messages may go again.
-                    world.doubled |= world.call_out;
+            Step::ReceiverSeesLinkClose(i) => {
+                world.receivers[i].receiver_end_open = false;
+                if world.receivers[i].state.is_owner() {
+                    // Whatever the sender had out has ended with its end of the link: its messages may go again.
+                    world.sent_twice |= world.call_in_flight;
                 } else {
-                    world.taker(i, taker::Event::Broken);
+                    world.receiver_event(i, receiver::Event::LinkClosed);
                 }
             }
-            Step::GiverReads(i) => {
-                let packet = world.takers[i].link.as_mut().map(|(to, _)| to.remove(0))?;
-                let mine = world.given_to == Some(i);
+            Step::SenderReads(i) => {
+                let packet = world.receivers[i].link.as_mut().map(|(to, _)| to.remove(0))?;
+                let mine = world.handed_over_to == Some(i);
                 match packet {
-                    Packet::Hello if world.giver == (Side::Owner { stopping: false }) => {
+                    Packet::Hello if world.sender == (SenderSide::Owner { stopping: false }) => {
                         // Without the decisions' state the calls are broken off before anything is given.
-                        if matches!(world.takers[i].taker, Taker::Asking { without: true }) {
-                            world.call_out = false;
+                        if matches!(
+                            world.receivers[i].state,
+                            ReceiverState::AwaitingState { without_decisions: true }
+                        ) {
+                            world.call_in_flight = false;
                         }
-                        world.given_to = Some(i);
-                        world.giver(giver::Event::Asked, false);
+                        world.handed_over_to = Some(i);
+                        world.sender_event(sender::Event::HandoverRequested, false);
                     }
                     Packet::Hello => {
-                        world.post_taker(i, Packet::Refused);
-                        world.takers[i].giver_end = false;
+                        world.send_to_receiver(i, Packet::Refused);
+                        world.receivers[i].sender_end_open = false;
                     }
-                    Packet::Mine if mine => world.giver(giver::Event::Mine, false),
+                    Packet::Mine if mine => world.sender_event(sender::Event::OwnershipAcquired, false),
                     Packet::Unusable if mine => {
-                        world.hang_up();
-                        world.giver(giver::Event::Unusable, false);
+                        world.close_link();
+                        world.sender_event(sender::Event::StateUnusable, false);
                     }
                     _ => return None,
                 }
             }
-            Step::GiverSeesEnd(i) => {
-                world.takers[i].giver_end = false;
-                if world.given_to == Some(i) {
-                    world.given_to = None;
-                    world.giver(giver::Event::Broken, false);
+            Step::SenderSeesLinkClose(i) => {
+                world.receivers[i].sender_end_open = false;
+                if world.handed_over_to == Some(i) {
+                    world.handed_over_to = None;
+                    world.sender_event(sender::Event::LinkClosed, false);
                 }
             }
-            Step::GiverImpatient => world.giver(giver::Event::Tick, true),
-            Step::GiverTicks => world.giver(giver::Event::Tick, false),
-            Step::CallEnds => world.call_out = false,
-            Step::Finished => world.giver(giver::Event::Finished, false),
+            Step::SenderTicksAfterTimeouts => world.sender_event(sender::Event::Tick, true),
+            Step::SenderTicksBeforeTimeouts => world.sender_event(sender::Event::Tick, false),
+            Step::CallCompletes => world.call_in_flight = false,
+            Step::Finished => world.sender_event(sender::Event::Drained, false),
             Step::Terminate => {
-                world.told = true;
-                world.giver(giver::Event::Terminate, false);
+                world.terminated = true;
+                world.sender_event(sender::Event::Terminate, false);
             }
-            Step::KillGiver | Step::KillTaker(_) | Step::KillAll => {
+            Step::KillSender | Step::KillReceiver(_) | Step::KillAll => {
                 world.kills += 1;
-                if !matches!(step, Step::KillTaker(_)) {
-                    world.giver_ends();
+                if !matches!(step, Step::KillReceiver(_)) {
+                    world.end_sender();
                 }
-                for i in 0..self.takers {
-                    if step == Step::KillAll || step == Step::KillTaker(i) {
-                        (world.takers[i].alive, world.takers[i].taker_end) = (false, false);
-                        if world.holder == Holder::Taker(i) {
+                for i in 0..self.receivers {
+                    if step == Step::KillAll || step == Step::KillReceiver(i) {
+                        (world.receivers[i].alive, world.receivers[i].receiver_end_open) = (false, false);
+                        if world.holder == Holder::Receiver(i) {
                             world.holder = Holder::Nobody;
                         }
                     }
                 }
             }
         }
-        world.tidy();
+        world.drop_closed_links();
         (world != *last).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one owner at most", |_, world: &World| world.owning() <= 1),
+            Property::always("one owner at most", |_, world: &World| world.owner_count() <= 1),
             Property::always("who owns holds the lock", |_, world: &World| {
-                let giver = world.giver_alive && matches!(world.giver, Side::Owner { .. });
-                let takers = world.takers.iter().enumerate();
-                let mut owners = takers.filter(|(_, one)| one.alive && one.taker.owns());
-                (!giver || world.holder == Holder::Giver)
-                    && owners.all(|(i, _)| world.holder == Holder::Taker(i))
+                let sender = world.sender_alive && matches!(world.sender, SenderSide::Owner { .. });
+                let receivers = world.receivers.iter().enumerate();
+                let mut owners = receivers.filter(|(_, one)| one.alive && one.state.is_owner());
+                (!sender || world.holder == Holder::Sender)
+                    && owners.all(|(i, _)| world.holder == Holder::Receiver(i))
             }),
             Property::always(
                 "no message is sent by one while the other's attempt is out",
-                |_, world: &World| !world.doubled,
+                |_, world: &World| !world.sent_twice,
             ),
             // Where one is alive it owns, or something can happen still: no dead end without an owner.
             Property::always("no process is stuck", |model: &Upgrade, world: &World| {
                 let mut steps = Vec::new();
                 model.actions(world, &mut steps);
                 let moves = steps.into_iter().any(|step| {
-                    !matches!(step, Step::KillAll | Step::KillGiver | Step::KillTaker(_) | Step::Terminate)
-                        && model.next_state(world, step).is_some()
+                    !matches!(
+                        step,
+                        Step::KillAll | Step::KillSender | Step::KillReceiver(_) | Step::Terminate
+                    ) && model.next_state(world, step).is_some()
                 });
-                let none = !world.giver_alive && world.takers.iter().all(|one| !one.alive);
-                world.owning() == 1 || world.restarted || none || moves
+                let none = !world.sender_alive && world.receivers.iter().all(|one| !one.alive);
+                world.owner_count() == 1 || world.restarted || none || moves
             }),
             Property::sometimes("a new one takes over", |_, world: &World| {
-                world.takers[0].taker.owns() && matches!(world.giver, Side::Finishing { .. })
+                world.receivers[0].state.is_owner() && matches!(world.sender, SenderSide::Draining { .. })
             }),
             Property::sometimes("the old one serves on", |_, world: &World| {
-                world.kills > 0 && matches!(world.giver, Side::Owner { .. }) && world.given_to.is_none()
+                world.kills > 0
+                    && matches!(world.sender, SenderSide::Owner { .. })
+                    && world.handed_over_to.is_none()
             }),
             Property::sometimes("an orphan begins anew", |_, world: &World| world.restarted),
         ]
     }
 }
 
-fn check(takers: usize, kills: u8, least: usize) {
-    let checker = Upgrade { kills, takers }.checker().threads(2).spawn_bfs().join();
+fn check(receivers: usize, kills: u8, min_states: usize) {
+    let checker = Upgrade { kills, receivers }.checker().threads(2).spawn_bfs().join();
     let states = checker.unique_state_count();
-    println!("{takers} new processes, {kills} kills: {states} states");
+    println!("{receivers} new processes, {kills} kills: {states} states");
     checker.assert_properties();
-    assert!(states >= least, "{states} states");
+    assert!(states >= min_states, "{states} states");
 }
 
 #[test]
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -1,7 +1,7 @@
 //! How soon a dispatcher's door answers while the dispatcher is saturated, without and beside callers that say nothing.
 
-use fawnspoke_control::client::ask;
-use fawnspoke_control::protocol::Call;
+use fawnspoke_control::client::send_request;
+use fawnspoke_control::protocol::Request;
 use hdrhistogram::Histogram;
 use std::collections::VecDeque;
 use std::fmt;
@@ -64,14 +64,14 @@
 }
 
 fn ask_until(at: SocketAddr, over: &AtomicBool) -> Answers {
-    let calls = [Call::Status, Call::Metrics, Call::Restore("nobody".into())];
+    let calls = [Request::Status, Request::Metrics, Request::Restore("nobody".into())];
     let mut answers = Answers { times: histogram(), none: 0 };
     for call in calls.iter().cycle() {
         if over.load(Ordering::SeqCst) {
             break;
         }
         let began = Instant::now();
-        match ask(at, call, PATIENCE) {
+        match send_request(at, call, PATIENCE) {
             Ok(_) => answers.times.saturating_record(began.elapsed().as_micros() as u64),
             Err(_) => answers.none += 1,
         }
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -5,7 +5,7 @@
 use crate::layout::Layout;
 use crate::relay::{Relay, Way};
 use crate::stage::{Dispatcher, Platform, eventually};
-use fawnspoke_control::protocol::{Call, Reply};
+use fawnspoke_control::protocol::{Request, Response};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fs;
@@ -118,8 +118,8 @@
     /// How a member sees the fleet; nothing where it does not say.
     pub fn show(&self, i: usize) -> Option<Value> {
         let at = self.dispatchers[i].control().filter(|_| self.dispatchers[i].runs())?;
-        match fawnspoke_control::client::ask(at, &Call::Fleet, PATIENCE) {
-            Ok(Reply::Yes(text)) => serde_json::from_str(&text).ok(),
+        match fawnspoke_control::client::send_request(at, &Request::Fleet, PATIENCE) {
+            Ok(Response::Success(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         }
     }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -2,8 +2,8 @@
 
 use crate::http::Wire;
 use crate::record::{Recorder, Sig, What};
-use fawnspoke_control::client::ask;
-use fawnspoke_control::protocol::{Call, Reply};
+use fawnspoke_control::client::send_request;
+use fawnspoke_control::protocol::{Request, Response};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 use std::fs::{self, File, OpenOptions};
@@ -73,8 +73,10 @@
 
 /// Whether the process behind a door says that it serves.
 pub async fn serves(control: SocketAddr) -> bool {
-    let asked = tokio::task::spawn_blocking(move || ask(control, &Call::Status, Duration::from_millis(500)));
-    matches!(asked.await, Ok(Ok(Reply::Yes(_))))
+    let asked = tokio::task::spawn_blocking(move || {
+        send_request(control, &Request::Status, Duration::from_millis(500))
+    });
+    matches!(asked.await, Ok(Ok(Response::Success(_))))
 }
 
 impl Process {
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -5,7 +5,7 @@
 use crate::http::Wire;
 use crate::platform::{self, Mood};
 use crate::record::{End, Recorder};
-use fawnspoke_control::protocol::{Call as DoorCall, Reply as DoorReply};
+use fawnspoke_control::protocol::{Request as DoorCall, Response as DoorReply};
 use serde_json::{Value, json};
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -468,7 +468,7 @@
     /// Where it has none, or no answer comes in 30 s.
     pub fn ask(&self, call: &DoorCall) -> DoorReply {
         let at = self.control.expect("a door");
-        fawnspoke_control::client::ask(at, call, PATIENCE).expect("an answer")
+        fawnspoke_control::client::send_request(at, call, PATIENCE).expect("an answer")
     }
 
     /// Where its door is.
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -6,7 +6,7 @@
 use crate::serving::Phase;
 use crate::transfer::{Completion, Transfer};
 use crate::{Node, log};
-use fawnspoke_control::figures::End;
+use fawnspoke_control::metrics::CountedOutcome;
 use fawnspoke_journal::Notice;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 /// Records how a call ended as soon as that is known, then tells the round loop.
 pub fn complete_call(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
     for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
-        node.count_message_end(end.number, End::Fulfilled);
+        node.count_message_end(end.number, CountedOutcome::Fulfilled);
     }
     {
         let mut journal = node.journal.borrow_mut();
@@ -141,13 +141,13 @@
                     node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.message.destination));
                 dest.inspect(|dest| node.traffic.update(dest.0, |counters| counters.handed_back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
-                node.count_message_end(id.0, End::Throttled);
+                node.count_message_end(id.0, CountedOutcome::Throttled);
                 end(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
                 let dest = node.journal.borrow().get(id.0).map(|kept| kept.message.destination);
                 dest.inspect(|dest| node.traffic.update(*dest, |counters| counters.given_up += 1));
-                node.count_message_end(id.0, End::Faulted);
+                node.count_message_end(id.0, CountedOutcome::Faulted);
                 end(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::serving::Phase;
 use crate::stream::{HeadScanner, SharedStream, Unread};
 use crate::{Node, log};
-use fawnspoke_control::figures::Figures;
+use fawnspoke_control::metrics::Metrics;
 use fawnspoke_journal::AcceptedMessage;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
@@ -58,7 +58,7 @@
     /// Bytes went to the socket since the last flush; once it is flushed, a request is written whole.
     wrote: Cell<bool>,
     /// Who counts the messages of the request that is being written.
-    relays: RefCell<Option<(Arc<Figures>, u64)>>,
+    relays: RefCell<Option<(Arc<Metrics>, u64)>>,
 }
 
 impl Heard {
@@ -74,7 +74,7 @@
         if self.wrote.take()
             && let Some((figures, messages)) = self.relays.take()
         {
-            figures.relayed(messages);
+            figures.add_relayed(messages);
         }
     }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -3,7 +3,7 @@
 use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use fawnspoke_cluster::config::FleetConfig;
 use fawnspoke_cluster::runtime;
-use fawnspoke_control::{door, record};
+use fawnspoke_control::{override_file, server};
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -258,7 +258,8 @@
             .map_err(|error| format!("{}: {}", error.path(), error.inner()))?;
         let control_address = control_address.or(raw.control);
         if control_address.is_some() {
-            raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk: record::BYTES_MOST };
+            raw.limits.reserved =
+                Reserved { descriptors: server::MAX_DESCRIPTORS, disk: override_file::MAX_DISK_BYTES };
         }
         let fleet = fleet.map(|path| FleetConfig::load(path, &raw.name)).transpose()?;
         if let Some(file) = &fleet {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -3,10 +3,10 @@
 use crate::serving::Phase;
 use crate::transfer::Transfer;
 use crate::{Node, log};
-use fawnspoke_control::door::Asked;
-use fawnspoke_control::figures::Gauges;
-use fawnspoke_control::orders::{Change, ORDERS_MOST, Orders, Step, Subject};
-use fawnspoke_control::record::File;
+use fawnspoke_control::metrics::Gauges;
+use fawnspoke_control::override_file::OverrideFile;
+use fawnspoke_control::overrides::{Change, MAX_OVERRIDES, OverrideKey, Overrides, UpdateResult};
+use fawnspoke_control::server::ControlCommand;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -18,8 +18,8 @@
 
 /// The orders in force, and where they are on record.
 pub struct OperatorOverrides {
-    overrides: RefCell<Orders>,
-    file: File,
+    overrides: RefCell<Overrides>,
+    file: OverrideFile,
     /// What is on record is not what is in force: the folder refused it.
     unsaved: Cell<bool>,
     /// Called back while no list had them in service: they come back cold. No more than orders may be in force.
@@ -29,12 +29,12 @@
 impl OperatorOverrides {
     /// Orders that an earlier life left. One that can't be read is said, and holds nothing: the dispatcher serves.
     pub fn open(state_dir: &Path) -> OperatorOverrides {
-        let file = File::new(state_dir);
-        let overrides = file.read().unwrap_or_else(|error| {
+        let file = OverrideFile::new(state_dir);
+        let overrides = file.load().unwrap_or_else(|error| {
             log::info_limited(format_args!("orders: {error}; none is in force"));
-            Orders::default()
+            Overrides::default()
         });
-        for (id, _) in overrides.held() {
+        for (id, _) in overrides.suspended() {
             log::info(format_args!("orders: {id} is out by hand"));
         }
         OperatorOverrides {
@@ -50,7 +50,7 @@
     /// # Errors
     /// Those of the folder; [`Control::retry_save`] tries again.
     fn save(&self) -> io::Result<()> {
-        let saved = self.file.write(&self.overrides.borrow());
+        let saved = self.file.save(&self.overrides.borrow());
         self.unsaved.set(saved.is_err());
         saved
     }
@@ -64,16 +64,16 @@
 
     /// Whether an endpoint is out by hand.
     pub fn is_suspended(&self, host: &str) -> bool {
-        self.overrides.borrow().holds(host)
+        self.overrides.borrow().is_suspended(host)
     }
 }
 
 /// Carries out what operators order, for as long as the process runs.
-pub async fn process_commands(node: Rc<Node>, mut commands: UnboundedReceiver<Asked>) {
+pub async fn process_commands(node: Rc<Node>, mut commands: UnboundedReceiver<ControlCommand>) {
     while let Some(asked) = commands.recv().await {
         let command = match asked {
-            Asked::Order(command) => command,
-            Asked::Fleet(answer) => {
+            ControlCommand::Override(command) => command,
+            ControlCommand::FleetStatus(answer) => {
                 let node = node.clone();
                 spawn_local(async move { answer.send(node.fleet.status().await) });
                 continue;
@@ -84,51 +84,51 @@
             node.transfer(Transfer::Order(command));
             continue;
         }
-        let answer = apply_command(&node, &command.subject, command.given);
+        let answer = apply_command(&node, &command.key, command.activate);
         // A caller that has left was told that it may be carried out yet.
-        let _ = command.answer.send(answer);
+        let _ = command.reply.send(answer);
     }
 }
 
 /// Carries out one order: on record, then in force.
-pub fn apply_command(node: &Node, subject: &Subject, suspend: bool) -> Result<String, String> {
+pub fn apply_command(node: &Node, subject: &OverrideKey, suspend: bool) -> Result<String, String> {
     let operator_overrides = &node.overrides;
-    let id = &subject.id;
+    let id = &subject.endpoint_id;
     let ever_listed = node.directory.borrow().ever_listed(id);
     let now = node.unix_now() / 1000;
     let step = {
         let mut overrides = operator_overrides.overrides.borrow_mut();
         match suspend {
-            true => overrides.give(subject.clone(), ever_listed, now),
-            false => overrides.call_back(subject, ever_listed),
+            true => overrides.add(subject.clone(), ever_listed, now),
+            false => overrides.remove(subject, ever_listed),
         }
     };
     // Also where it stands already, but is not on record.
-    let must_save = matches!(step, Step::Changes(_)) || operator_overrides.unsaved.get();
+    let must_save = matches!(step, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
         |error: &io::Error| format!("in force, but not on record yet, and gone with this process: {error}");
-    if let (Step::Stands, Err(error)) = (&step, &saved) {
+    if let (UpdateResult::Unchanged, Err(error)) = (&step, &saved) {
         return Err(unsaved_text(error));
     }
     match step {
-        Step::Stands if suspend => return Ok(format!("{id} is out already")),
-        Step::Stands => return Ok(format!("{id} may serve")),
-        Step::Refused(refusal) => return Err(refusal.to_string()),
-        Step::Changes(change) => {
-            let entry = node.directory.borrow_mut().set_suspended(id, change == Change::Began);
+        UpdateResult::Unchanged if suspend => return Ok(format!("{id} is out already")),
+        UpdateResult::Unchanged => return Ok(format!("{id} may serve")),
+        UpdateResult::Rejected(refusal) => return Err(refusal.to_string()),
+        UpdateResult::Changed(change) => {
+            let entry = node.directory.borrow_mut().set_suspended(id, change == Change::Added);
             if let Some(entry) = entry {
                 node.send_event(Event::ListUpdate(vec![entry]));
-                if change == Change::Began {
+                if change == Change::Added {
                     node.pool.close_idle(entry.endpoint);
                 }
             }
             // It was restarted meanwhile.
             let mut restored = operator_overrides.restored.borrow_mut();
             restored.retain(|other| other != id);
-            if change == Change::Ended {
+            if change == Change::Removed {
                 restored.push_back(id.clone());
-                if restored.len() > ORDERS_MOST {
+                if restored.len() > MAX_OVERRIDES {
                     restored.pop_front();
                 }
             }
@@ -166,5 +166,9 @@
         listed += 1;
         avoided += u64::from(!ready || dispatcher.is_unavailable(now, endpoint));
     }
-    Gauges { open: node.journal.borrow().open_messages() as u64, listed, avoided }
+    Gauges {
+        pending_messages: node.journal.borrow().open_messages() as u64,
+        listed_endpoints: listed,
+        out_of_rotation: avoided,
+    }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -158,7 +158,7 @@
         node.dispatcher.borrow_mut().decide(now, &mut actions);
         execute(&node, now, &actions, &mut timer);
         compactor.step(&node);
-        node.metrics.set(control::gauges(&node));
+        node.metrics.set_gauges(control::gauges(&node));
         if now >= counted_at + COUNT_EVERY {
             counted_at = now;
             let journal = node.journal.borrow();
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -10,13 +10,15 @@
 use crate::stream::SharedStream;
 use crate::transfer::{Completion, Transfer};
 use crate::{Node, clients, control, log, requests};
-use fawnspoke_control::figures::Gauges;
-use fawnspoke_control::orders::{Kind, Subject};
-use fawnspoke_handover::frames::{self, CHUNK, FromGiver, FromTaker, Hello, STATE_MOST, VERSION};
-use fawnspoke_handover::giver::{Action, Event, Giver};
+use fawnspoke_control::metrics::Gauges;
+use fawnspoke_control::overrides::{OverrideKey, OverrideKind};
+use fawnspoke_handover::frames::{
+    self, Hello, MAX_STATE_BYTES, PROTOCOL_VERSION, ReceiverFrame, STATE_CHUNK_BYTES, SenderFrame,
+};
 use fawnspoke_handover::link::{Link, Listener};
 use fawnspoke_handover::lock::{self, Lock};
-use fawnspoke_handover::taker::{self, Taker};
+use fawnspoke_handover::receiver::{self, ReceiverState};
+use fawnspoke_handover::sender::{Action, Event, SenderState};
 use fawnspoke_journal::OpenError;
 use fawnspoke_journal::recent_outcomes::RecentOutcomes;
 use rustix::time::{ClockId, clock_gettime};
@@ -142,7 +144,7 @@
                     let _permit = permit;
                     let hello = timeout(HELLO_TIMEOUT, link.receive()).await;
                     if let Ok(Ok(Some((packet, _)))) = hello
-                        && let Ok(hello) = Hello::read(&packet)
+                        && let Ok(hello) = Hello::decode(&packet)
                     {
                         let _ = requests.send(HandoverRequest { link, hello });
                     }
@@ -171,7 +173,7 @@
 
 async fn refuse(link: &Link, reason: &str) {
     log::info_limited(format_args!("handover: refused: {reason}"));
-    if let Ok(packet) = frames::packet(&FromGiver::Refused(reason.into())) {
+    if let Ok(packet) = frames::encode(&SenderFrame::Rejected(reason.into())) {
         let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
     }
 }
@@ -182,17 +184,17 @@
     requests: &mut UnboundedReceiver<HandoverRequest>, (terminate, interrupt): (&mut Signal, &mut Signal),
     transfers: &mut UnboundedReceiver<Transfer>,
 ) -> HandoverResult {
-    if first_request.hello.version != VERSION {
+    if first_request.hello.version != PROTOCOL_VERSION {
         refuse(
             &first_request.link,
-            &format!("version {VERSION} of the frames here, {} there", first_request.hello.version),
+            &format!("version {PROTOCOL_VERSION} of the frames here, {} there", first_request.hello.version),
         )
         .await;
         return HandoverResult::Resumed { stopping };
     }
     let started_at = Instant::now();
-    let (mut state_machine, mut link) = (Giver::Owner { stopping }, Some(first_request.link));
-    let (mut event, mut finished) = (Event::Asked, false);
+    let (mut state_machine, mut link) = (SenderState::Owner { stopping }, Some(first_request.link));
+    let (mut event, mut finished) = (Event::HandoverRequested, false);
     let (mut commands, mut command_count) = (ForwardedCommands::new(), 0);
     let mut later_request: Option<HandoverRequest> = None;
     loop {
@@ -200,7 +202,7 @@
         let mut next = None;
         for action in state_machine.step(node.now(), event) {
             match action {
-                Action::Refuse(reason) => {
+                Action::Reject(reason) => {
                     // The first one, where this process is stopping, or one that came meanwhile.
                     if let Some(refused_link) =
                         later_request.take().map(|request| request.link).or_else(|| link.take())
@@ -208,7 +210,7 @@
                         refuse(&refused_link, reason).await;
                     }
                 }
-                Action::Give => {
+                Action::HandOver => {
                     log::info_limited(format_args!("handover: asked; giving"));
                     if !first_request.hello.decisions {
                         // Who begins from the record takes them for ended.
@@ -227,7 +229,7 @@
                     };
                     if let Err(error) = sent {
                         log::info_limited(format_args!("handover: {error}"));
-                        next = Some(Event::Broken);
+                        next = Some(Event::LinkClosed);
                     }
                 }
                 Action::TryLock => {
@@ -235,7 +237,7 @@
                         log::info_limited(format_args!("handover: lock: {error}"));
                         None
                     });
-                    next = Some(Event::Locked(lock.is_some()));
+                    next = Some(Event::LockResult(lock.is_some()));
                     if lock.is_some() {
                         node.owner_lock.replace(lock);
                     }
@@ -253,10 +255,10 @@
                     let took = started_at.elapsed().as_secs_f64();
                     log::info_limited(format_args!("handover: not taken; serving again after {took:.3} s"));
                 }
-                Action::HandRest => {
+                Action::SendConnections => {
                     node.handover_socket.close();
                     node.metrics.set_ready(false);
-                    node.metrics.set(Gauges::default());
+                    node.metrics.set_gauges(Gauges::default());
                     node.serving_state.set_phase(Phase::HandedOver);
                     for (endpoint, connection) in node.pool.take_reusable() {
                         node.transfer(Transfer::IdleConnection { endpoint, connection });
@@ -267,7 +269,7 @@
                         "handover: taken after {took:.3} s; {in_flight} calls out"
                     ));
                 }
-                Action::Cut => {
+                Action::AbortCalls => {
                     node.abort_calls().await;
                     node.calls_lock.replace(None);
                 }
@@ -283,7 +285,7 @@
                 }
             }
         }
-        if let Giver::Owner { stopping } = state_machine {
+        if let SenderState::Owner { stopping } = state_machine {
             return HandoverResult::Resumed { stopping };
         }
         if let Some(next) = next {
@@ -299,18 +301,18 @@
         {
             finished = true;
             node.calls_lock.replace(None);
-            event = Event::Finished;
+            event = Event::Drained;
             continue;
         }
         event = tokio::select! {
             frame = next_frame(link.as_ref()) => match frame {
-                Some(FromTaker::Mine) => Event::Mine,
-                Some(FromTaker::Unusable(reason)) => {
+                Some(ReceiverFrame::OwnershipAcquired) => Event::OwnershipAcquired,
+                Some(ReceiverFrame::StateUnusable(reason)) => {
                     log::info_limited(format_args!("handover: what was given is of no use there: {reason}"));
                     link = None;
-                    Event::Unusable
+                    Event::StateUnusable
                 }
-                Some(FromTaker::Carried { number, yes, text }) => {
+                Some(ReceiverFrame::OverrideResult { number, success: yes, message: text }) => {
                     if let Some(answer) = commands.remove(&number) {
                         let _ = answer.send(if yes { Ok(text) } else { Err(text) });
                     }
@@ -318,12 +320,12 @@
                 }
                 None => {
                     link = None;
-                    Event::Broken
+                    Event::LinkClosed
                 }
             },
             Some(request) = requests.recv() => {
                 later_request = Some(request);
-                Event::Asked
+                Event::HandoverRequested
             }
             Some(transfer) = transfers.recv(), if handed_over => {
                 let Some(link) = &link else { continue };
@@ -340,10 +342,10 @@
 }
 
 /// The next frame; none once the link has ended. Without a link it never comes.
-async fn next_frame(link: Option<&Link>) -> Option<FromTaker> {
+async fn next_frame(link: Option<&Link>) -> Option<ReceiverFrame> {
     let Some(link) = link else { return std::future::pending().await };
     let (packet, _) = link.receive().await.ok()??;
-    frames::read(&packet).ok()
+    frames::decode(&packet).ok()
 }
 
 type BoxError = Box<dyn std::error::Error>;
@@ -369,11 +371,11 @@
             &mut state,
         )?;
     }
-    for chunk in state.chunks(CHUNK) {
-        let packet = frames::packet(&FromGiver::State(chunk.to_vec()))?;
+    for chunk in state.chunks(STATE_CHUNK_BYTES) {
+        let packet = frames::encode(&SenderFrame::State(chunk.to_vec()))?;
         timeout(PACKET_TIMEOUT, link.send(&packet, None)).await??;
     }
-    let packet = frames::packet(&FromGiver::State(Vec::new()))?;
+    let packet = frames::encode(&SenderFrame::State(Vec::new()))?;
     timeout(PACKET_TIMEOUT, link.send(&packet, Some(node.listener.as_fd()))).await??;
     Ok(())
 }
@@ -384,22 +386,32 @@
 ) -> Result<(), BoxError> {
     let mut sent_connection = None;
     let (frame, stream) = match transfer {
-        Transfer::Client { stream, read, asked_ms } => (FromGiver::Client { read, asked_ms }, Some(stream)),
+        Transfer::Client { stream, read, asked_ms } => {
+            (SenderFrame::Client { partial_request: read, waited_ms: asked_ms }, Some(stream))
+        }
         Transfer::IdleConnection { endpoint, connection } => {
             let idle_ms = connection.idle_since.elapsed().as_millis() as u32;
-            let frame = FromGiver::Idle { endpoint: endpoint.0, at: connection.address, idle_ms };
+            let frame =
+                SenderFrame::IdleConnection { endpoint: endpoint.0, address: connection.address, idle_ms };
             let stream = connection.stream.clone();
             sent_connection = Some(connection);
             (frame, Some(stream))
         }
-        Transfer::Completion(completion) => (FromGiver::Ended(frames::packet(&completion)?), None),
+        Transfer::Completion(completion) => (SenderFrame::CallCompleted(frames::encode(&completion)?), None),
         Transfer::Order(command) => {
             *command_count += 1;
-            commands.insert(*command_count, command.answer);
-            (FromGiver::Order { number: *command_count, given: command.given, id: command.subject.id }, None)
+            commands.insert(*command_count, command.reply);
+            (
+                SenderFrame::OverrideCommand {
+                    number: *command_count,
+                    activate: command.activate,
+                    endpoint_id: command.key.endpoint_id,
+                },
+                None,
+            )
         }
     };
-    let packet = frames::packet(&frame)?;
+    let packet = frames::encode(&frame)?;
     timeout(PACKET_TIMEOUT, link.send(&packet, stream.as_ref().map(SharedStream::descriptor))).await??;
     drop(sent_connection);
     Ok(())
@@ -425,10 +437,10 @@
 
 /// Waits until this process owns the folder: at once where no other does, else by a hand-over, or when the other ends.
 pub async fn acquire_ownership(config: &Config) -> (Locks, Option<ReceivedHandover>) {
-    use taker::{Action, Event};
-    let (mut state_machine, mut link, mut locks) = (Taker::default(), None, Locks::default());
+    use receiver::{Action, Event};
+    let (mut state_machine, mut link, mut locks) = (ReceiverState::default(), None, Locks::default());
     let (mut journal_only, mut state, mut listener) = (false, None, None);
-    let mut event = Event::Begin;
+    let mut event = Event::Started;
     let (mut refusal_logged, mut lock_error_logged) = (false, false);
     loop {
         let mut next = None;
@@ -441,16 +453,16 @@
                             link = Some(connected);
                             Event::Connected
                         }
-                        Ok(None) => Event::Nobody,
+                        Ok(None) => Event::NoListener,
                         // Many ask at once.
-                        Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Event::Refused,
+                        Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Event::Rejected,
                         Err(error) => {
                             log::info_limited(format_args!("handover: no socket: {error}"));
-                            Event::Nobody
+                            Event::NoListener
                         }
                     });
                 }
-                Action::Ask { decisions } => {
+                Action::RequestState { with_decisions: decisions } => {
                     journal_only = !decisions;
                     next = Some(match &link {
                         Some(link) => {
@@ -464,52 +476,52 @@
                             )
                             .await
                         }
-                        None => Event::Broken,
+                        None => Event::LinkClosed,
                     });
                 }
-                Action::SayUnusable => {
-                    let frame = FromTaker::Unusable("another program's, or other settings".into());
-                    if let (Some(link), Ok(packet)) = (link.take(), frames::packet(&frame)) {
+                Action::ReportUnusable => {
+                    let frame = ReceiverFrame::StateUnusable("another program's, or other settings".into());
+                    if let (Some(link), Ok(packet)) = (link.take(), frames::encode(&frame)) {
                         let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
                     }
                     (state, listener) = (None, None);
                 }
                 Action::TryLock => match lock::try_lock(&config.state_dir) {
                     Ok(lock) => {
-                        next = Some(Event::Locked(lock.is_some()));
+                        next = Some(Event::LockResult(lock.is_some()));
                         locks.owner = lock;
                     }
-                    Err(error) if lock::is_unknown(&error) => {
+                    Err(error) if lock::is_unsupported(&error) => {
                         log::info_limited(format_args!("handover: lock: {error}; going on without"));
-                        next = Some(Event::Locked(true));
+                        next = Some(Event::LockResult(true));
                     }
                     // Somebody may hold it.
                     Err(error) => {
                         if !std::mem::replace(&mut lock_error_logged, true) {
                             log::info_limited(format_args!("handover: lock: {error}; trying again"));
                         }
-                        next = Some(Event::Locked(false));
+                        next = Some(Event::LockResult(false));
                     }
                 },
-                Action::Confirm => {
-                    let linked = link.as_ref().is_some_and(|link| !link.has_ended());
-                    next = Some(Event::Linked(linked));
+                Action::CheckLink => {
+                    let linked = link.as_ref().is_some_and(|link| !link.is_closed());
+                    next = Some(Event::LinkChecked(linked));
                 }
                 Action::Unlock => locks = Locks::default(),
-                Action::TryQuiet => {
-                    let quiet = lock::quiet_calls(&config.state_dir);
-                    let unknown = quiet.as_ref().is_err_and(lock::is_unknown);
+                Action::CheckCallsDrained => {
+                    let quiet = lock::lock_calls_if_idle(&config.state_dir);
+                    let unknown = quiet.as_ref().is_err_and(lock::is_unsupported);
                     locks.calls = quiet.unwrap_or_default();
-                    next = Some(Event::Quiet(locks.calls.is_some() || unknown));
+                    next = Some(Event::CallsDrained(locks.calls.is_some() || unknown));
                 }
-                Action::Drop => (link, state, listener) = (None, None, None),
-                Action::Wait => {
+                Action::DiscardState => (link, state, listener) = (None, None, None),
+                Action::ScheduleRetry => {
                     next = Some(tokio::select! {
-                        true = link_ended(link.as_ref()) => Event::Broken,
-                        () = sleep(Duration::from_secs_f64(taker::AGAIN)) => Event::Again,
+                        true = link_ended(link.as_ref()) => Event::LinkClosed,
+                        () = sleep(Duration::from_secs_f64(receiver::RETRY_SECONDS)) => Event::RetryDue,
                     });
                 }
-                Action::Own => {
+                Action::TakeOver => {
                     let received = link.take().map(|link| ReceivedHandover {
                         link,
                         state: state.take(),
@@ -518,24 +530,24 @@
                     let source = if journal_only { "what is on record" } else { "all that it knew" };
                     // Whoever looks just now whether anybody has calls out is done in a moment.
                     locks.calls = loop {
-                        match lock::share_calls(&config.state_dir) {
+                        match lock::share_calls_lock(&config.state_dir) {
                             Ok(None) => sleep(Duration::from_millis(1)).await,
-                            Err(error) if !lock::is_unknown(&error) => sleep(POLL_INTERVAL).await,
+                            Err(error) if !lock::is_unsupported(&error) => sleep(POLL_INTERVAL).await,
                             shared => break shared.unwrap_or_default(),
                         }
                     };
                     log::info(format_args!("handover: taken from the process before, with {source}"));
                     return (locks, received);
                 }
-                Action::Begin => return (locks, None),
+                Action::StartFromJournal => return (locks, None),
             }
         }
         match next {
             Some(next) => event = next,
             None => {
                 // No state waits for nothing; should one, it looks again.
-                sleep(Duration::from_secs_f64(taker::AGAIN)).await;
-                event = Event::Again;
+                sleep(Duration::from_secs_f64(receiver::RETRY_SECONDS)).await;
+                event = Event::RetryDue;
             }
         }
     }
@@ -552,49 +564,53 @@
 async fn request_state(
     link: &Link, config: &Config, decisions: bool, state: &mut Option<HandoverState>,
     listener: &mut Option<OwnedFd>, refusal_logged: &mut bool,
-) -> taker::Event {
-    use taker::Event;
-    let Ok(hello) = (Hello { version: VERSION, decisions }).packet() else { return Event::Broken };
+) -> receiver::Event {
+    use receiver::Event;
+    let Ok(hello) = (Hello { version: PROTOCOL_VERSION, decisions }).encode() else {
+        return Event::LinkClosed;
+    };
     if link.send(&hello, None).await.is_err() {
-        return Event::Broken;
+        return Event::LinkClosed;
     }
     let mut bytes = Vec::new();
     loop {
         let Ok(Ok(Some((packet, descriptor)))) = timeout(PACKET_TIMEOUT, link.receive()).await else {
-            return Event::Broken;
+            return Event::LinkClosed;
         };
-        match frames::read(&packet) {
-            Ok(FromGiver::State(chunk)) if chunk.is_empty() => {
+        match frames::decode(&packet) {
+            Ok(SenderFrame::State(chunk)) if chunk.is_empty() => {
                 *listener = descriptor;
                 break;
             }
-            Ok(FromGiver::State(chunk)) if bytes.len() + chunk.len() <= STATE_MOST => bytes.extend(chunk),
-            Ok(FromGiver::Refused(reason)) => {
+            Ok(SenderFrame::State(chunk)) if bytes.len() + chunk.len() <= MAX_STATE_BYTES => {
+                bytes.extend(chunk)
+            }
+            Ok(SenderFrame::Rejected(reason)) => {
                 if !std::mem::replace(refusal_logged, true) {
                     log::info_limited(format_args!("handover: not yet: {reason}"));
                 }
-                return Event::Refused;
+                return Event::Rejected;
             }
-            _ => return Event::Broken,
+            _ => return Event::LinkClosed,
         }
     }
     if !decisions {
-        return Event::Given(true);
+        return Event::StateReceived(true);
     }
     match ciborium::from_reader::<HandoverState, _>(&bytes[..]) {
         Ok(received) if *received.dispatcher.settings() == config.settings => {
             *state = Some(received);
-            Event::Given(true)
+            Event::StateReceived(true)
         }
         Ok(_) => {
             log::info_limited(format_args!(
                 "handover: the process before has other settings; only what is on record is taken"
             ));
-            Event::Given(false)
+            Event::StateReceived(false)
         }
         Err(error) => {
             log::info_limited(format_args!("handover: {error}; only what is on record is taken"));
-            Event::Given(false)
+            Event::StateReceived(false)
         }
     }
 }
@@ -607,14 +623,14 @@
         let attempts = node.dispatcher.borrow().in_flight();
         in_flight.extend(attempts.into_iter().map(|attempt| ((attempt.id.0, attempt.attempt), attempt)));
     }
-    let ownership = frames::packet(&FromTaker::Mine);
+    let ownership = frames::encode(&ReceiverFrame::OwnershipAcquired);
     let sent = match &ownership {
         Ok(packet) => timeout(PACKET_TIMEOUT, link.send(packet, None)).await,
         Err(_) => Ok(Err(std::io::ErrorKind::InvalidData.into())),
     };
     if matches!(sent, Ok(Ok(()))) {
         while let Ok(Some((packet, descriptor))) = link.receive().await {
-            match frames::read(&packet) {
+            match frames::decode(&packet) {
                 Ok(frame) => receive_transfer(&node, &link, frame, descriptor, &mut in_flight).await,
                 Err(error) => log::info_limited(format_args!("handover: {error}")),
             }
@@ -646,18 +662,18 @@
 }
 
 async fn receive_transfer(
-    node: &Rc<Node>, link: &Link, frame: FromGiver, descriptor: Option<OwnedFd>,
+    node: &Rc<Node>, link: &Link, frame: SenderFrame, descriptor: Option<OwnedFd>,
     in_flight: &mut HashMap<(u64, u32), InFlightAttempt>,
 ) {
     let stream =
         descriptor.and_then(|descriptor| TcpStream::from_std(std::net::TcpStream::from(descriptor)).ok());
     match (frame, stream) {
-        (FromGiver::Client { read, asked_ms }, Some(stream)) => {
+        (SenderFrame::Client { partial_request: read, waited_ms: asked_ms }, Some(stream)) => {
             if let Err(error) = clients::adopt(node, stream, read, asked_ms) {
                 log::info_limited(format_args!("handover: a client's connection: {error}"));
             }
         }
-        (FromGiver::Idle { endpoint, at, idle_ms }, Some(stream)) => {
+        (SenderFrame::IdleConnection { endpoint, address: at, idle_ms }, Some(stream)) => {
             let now = tokio::time::Instant::now();
             let idle_since = now.checked_sub(Duration::from_millis(idle_ms.into())).unwrap_or(now);
             let endpoint = EndpointId(endpoint);
@@ -668,7 +684,7 @@
                 node.pool.add_idle(endpoint, connection);
             }
         }
-        (FromGiver::Ended(bytes), _) => match frames::read(&bytes) {
+        (SenderFrame::CallCompleted(bytes), _) => match frames::decode(&bytes) {
             Ok(Completion::Call { endpoint, dest, sent_at, mut end }) => {
                 end.ends.retain(|end| in_flight.remove(&(end.number, end.attempt)).is_some());
                 if !end.ends.is_empty() {
@@ -685,10 +701,16 @@
             }
             Err(error) => log::info_limited(format_args!("handover: {error}")),
         },
-        (FromGiver::Order { number, given, id }, _) => {
-            let result = control::apply_command(node, &Subject { kind: Kind::Hold, id }, given);
+        (SenderFrame::OverrideCommand { number, activate: given, endpoint_id: id }, _) => {
+            let result = control::apply_command(
+                node,
+                &OverrideKey { kind: OverrideKind::Suspend, endpoint_id: id },
+                given,
+            );
             let (yes, text) = result.map_or_else(|text| (false, text), |text| (true, text));
-            if let Ok(packet) = frames::packet(&FromTaker::Carried { number, yes, text }) {
+            if let Ok(packet) =
+                frames::encode(&ReceiverFrame::OverrideResult { number, success: yes, message: text })
+            {
                 let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
             }
         }
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::Item;
 use crate::{Node, log};
-use fawnspoke_control::figures::End;
+use fawnspoke_control::metrics::CountedOutcome;
 use fawnspoke_journal::{AttemptStart, QuotaLevel, UNKNOWN_ZONE};
 use std::time::Instant;
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, Outcome, Seconds};
@@ -58,11 +58,11 @@
     }
 
     /// A message that was taken has ended.
-    pub fn count_message_end(&self, number: u64, end: End) {
+    pub fn count_message_end(&self, number: u64, end: CountedOutcome) {
         let journal = self.journal.borrow();
         let Some(kept) = journal.get(number) else { return };
         if let Some(class) = self.config.classes.iter().position(|class| *class == kept.message.class) {
-            self.metrics.ended(class, end);
+            self.metrics.count_outcome(class, end);
         }
     }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -33,7 +33,7 @@
 use config::Config;
 use directory::Directory;
 use event_loop::{ExitAction, Input};
-use fawnspoke_control::figures::Figures;
+use fawnspoke_control::metrics::Metrics;
 use fawnspoke_handover::lock::Lock;
 use fawnspoke_journal::{Journal, UnixMicros};
 use rustix::io::Errno;
@@ -71,7 +71,7 @@
     pool: ConnectionPool,
     traffic: traffic::TrafficCounters,
     /// What operators are shown.
-    metrics: Arc<Figures>,
+    metrics: Arc<Metrics>,
     /// What operators have ordered.
     overrides: control::OperatorOverrides,
     /// What parts outside of the decisions say.
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -4,7 +4,7 @@
 use crate::clients::ClientConnection;
 use crate::size_limits::MAX_BODY_BYTES;
 use crate::stream::Unread;
-use fawnspoke_control::figures;
+use fawnspoke_control::metrics;
 use fawnspoke_journal::{AcceptedMessage, FinalOutcome, UnixMicros};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Bytes, Incoming};
@@ -160,7 +160,7 @@
 
 /// Handing it in again is harmless, and is worth a try when the decisions say so.
 fn reject(node: &Node, class: usize, destination_id: DestinationId) -> TextResponse {
-    node.metrics.ended(class, figures::End::Throttled);
+    node.metrics.count_outcome(class, metrics::CountedOutcome::Throttled);
     let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
     if let Ok(seconds) = HeaderValue::from_str(&format!("{:.3}", node.retry_after(destination_id))) {
         response.headers_mut().insert(RETRY_AFTER, seconds);
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -10,8 +10,8 @@
 use crate::retry::{self, Retry};
 use crate::serving::ServingState;
 use crate::{Node, client_listener, clock, control, discovery, handover, log, traffic};
-use fawnspoke_control::door;
-use fawnspoke_control::figures::Figures;
+use fawnspoke_control::metrics::Metrics;
+use fawnspoke_control::server;
 use fawnspoke_journal::compaction::{self, Limits};
 use fawnspoke_journal::{Durability, Journal, OpenError, Options, Recovery};
 use std::cell::{Cell, RefCell};
@@ -126,11 +126,11 @@
 }
 
 pub async fn run(config: Config, mut signals: Signals) -> Result<ExitAction, String> {
-    let figures = Arc::new(Figures::new(&config.classes));
+    let figures = Arc::new(Metrics::new(&config.classes));
     let (asked, orders) = unbounded_channel();
     if let Some(control) = config.control_address {
         // Operators are answered from now on, while the journal is read too.
-        let at = retry::blocking(|| door::open(control, figures.clone(), asked.clone()));
+        let at = retry::blocking(|| server::start(control, figures.clone(), asked.clone()));
         let at = at.map_err(|error| format!("control: {control}: {error}"))?;
         log::info(format_args!("{} answers operators at {at}", config.name));
     }
@@ -220,7 +220,7 @@
     spawn_local(clients::serve(node.clone()));
     spawn_local(fleet::process_updates(node.clone()));
     spawn_local(control::process_commands(node.clone(), orders));
-    node.metrics.set(control::gauges(&node));
+    node.metrics.set_gauges(control::gauges(&node));
     node.metrics.set_ready(true);
     spawn_local(reload(node.clone(), signals.hangup));
     let Signals { terminate, interrupt, .. } = signals;
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{CallEnd, Connection};
 use crate::stream::SharedStream;
-use fawnspoke_control::door::Order;
+use fawnspoke_control::server::OverrideCommand;
 use serde::{Deserialize, Serialize};
 use waydoor::{EndpointId, Outcome, RateLimitReport, Seconds};
 
@@ -15,7 +15,7 @@
     /// What came of something that was out.
     Completion(Completion),
     /// An order that came to this process's door.
-    Order(Order),
+    Order(OverrideCommand),
 }
 
 /// What came of something that was out.
