--- a/crates/fawnspoke/tests/sockets/answers.rs
+++ b/crates/fawnspoke/tests/sockets/answers.rs
@@ -1,6 +1,6 @@
 //! Answers that cannot be read, and good ones with more than belongs to them.
 
-use crate::stage::*;
+use crate::support::*;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/fawnspoke/tests/sockets/churn.rs
+++ b/crates/fawnspoke/tests/sockets/churn.rs
@@ -1,6 +1,6 @@
 //! Endpoints that come and go.
 
-use crate::stage::*;
+use crate::support::*;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that send what they should not, or nothing.
 
-use crate::stage::*;
+use crate::support::*;
 use std::time::{Duration, Instant};
 
 fn ok(_: usize, _: &Http) -> Reply {
--- a/crates/fawnspoke/tests/sockets/closing.rs
+++ b/crates/fawnspoke/tests/sockets/closing.rs
@@ -2,7 +2,7 @@
 //! answer told holds, however the rest of it fares.
 
 use crate::gated::Gated;
-use crate::stage::*;
+use crate::support::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Stdio;
--- a/crates/fawnspoke/tests/sockets/crossings.rs
+++ b/crates/fawnspoke/tests/sockets/crossings.rs
@@ -1,7 +1,7 @@
 //! Two things that cross: each test forces one order of them and says which.
 
 use crate::gated::Gated;
-use crate::stage::*;
+use crate::support::*;
 use std::time::{Duration, Instant};
 
 /// The connection of a call is on its way; another call of the destination is told to wait; then it comes up.
--- a/crates/fawnspoke/tests/sockets/gated.rs
+++ b/crates/fawnspoke/tests/sockets/gated.rs
@@ -1,6 +1,6 @@
 //! An endpoint with gates: it accepts, reads and answers only when the test says so.
 
-use crate::stage::host;
+use crate::support::host;
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
--- a/crates/fawnspoke/tests/sockets/limits.rs
+++ b/crates/fawnspoke/tests/sockets/limits.rs
@@ -1,6 +1,6 @@
 //! Limits: those that places tell, and the dispatcher's own slots.
 
-use crate::stage::*;
+use crate::support::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/fawnspoke/tests/sockets/machine.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -2,7 +2,7 @@
 //! The process runs with a preloaded library (`crates/machine-faults`) that causes them.
 
 use crate::gated::Gated;
-use crate::stage::*;
+use crate::support::*;
 use std::fs::{self, File};
 use std::os::unix::fs::FileExt;
 use std::path::PathBuf;
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -6,17 +6,16 @@
 mod closing;
 mod crossings;
 mod gated;
-mod in_service;
 mod limits;
-mod machine;
+mod machine_faults;
+mod operations;
 mod reload;
 mod settings;
 mod soak;
-mod stage;
 mod stopping;
+mod support;
 mod watch;
 
-use stage::*;
 use std::fs;
 use std::io::Write;
 use std::process::Stdio;
@@ -24,6 +23,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 use std::time::Duration;
+use support::*;
 
 fn ok() -> Reply {
     Reply::status(200)
--- a/crates/fawnspoke/tests/sockets/in_service.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -1,6 +1,6 @@
 //! What operators do to a dispatcher that serves: questions and orders at its door, and upgrades.
 
-use crate::stage::*;
+use crate::support::*;
 use fawnspoke_control::protocol::{Call, Reply as Said};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
--- a/crates/fawnspoke/tests/sockets/reload.rs
+++ b/crates/fawnspoke/tests/sockets/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: a new configuration while the process runs.
 
-use crate::stage::*;
+use crate::support::*;
 
 #[test]
 fn discovery_moves_under_traffic() {
--- a/crates/fawnspoke/tests/sockets/settings.rs
+++ b/crates/fawnspoke/tests/sockets/settings.rs
@@ -1,6 +1,6 @@
 //! Settings far from any deployment: refused with one line that names the key, or served.
 
-use crate::stage::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use std::process::Stdio;
 
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -3,8 +3,8 @@
 //!
 //! `SOAK_SEEDS=100..150 cargo test --release -p fawnspoke --test sockets soak:: -- --nocapture` plays more and prints each seed.
 
-use crate::machine::{Field, Machine};
-use crate::stage::*;
+use crate::machine_faults::{Field, Machine};
+use crate::support::*;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Write};
--- a/crates/fawnspoke/tests/sockets/stopping.rs
+++ b/crates/fawnspoke/tests/sockets/stopping.rs
@@ -1,7 +1,7 @@
 //! SIGTERM: what is still taken on, what has its answer before the end, and how connections close.
 
 use crate::gated::{Gated, Peer};
-use crate::stage::*;
+use crate::support::*;
 use std::time::Duration;
 
 /// A dispatcher that stays for as long as its one call is out, once it is told to stop; nothing may go to destination 8.
--- a/crates/fawnspoke/tests/sockets/watch.rs
+++ b/crates/fawnspoke/tests/sockets/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on the list: how it is written, where it breaks off, what opens it anew.
 
 use crate::gated::{Gated, Peer};
-use crate::stage::*;
+use crate::support::*;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
