--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -256,10 +256,10 @@
     if (0.001..=60.0).contains(&number) { Ok(number) } else { Err("must lie between 0.001 and 60".into()) }
 }
 
-impl From<Play> for command::Play {
-    fn from(play: Play) -> command::Play {
+impl From<Play> for command::PlayOptions {
+    fn from(play: Play) -> command::PlayOptions {
         let Play { seed, seeds, broken, program, record, logs } = play;
-        command::Play { seed, seeds, broken, program, record, logs }
+        command::PlayOptions { seed, seeds, naive_fault: broken, program, record, logs }
     }
 }
 
@@ -281,11 +281,13 @@
         }
         Command::Lab(Lab::Fleet { logs, every }) => command::fleet(&logs, every),
         Command::Lab(Lab::Losses { logs, before, json }) => command::losses(&logs, before.as_deref(), json),
-        Command::Lab(Lab::HandingOn { terms, times }) => command::handing_on(&terms, times as usize),
+        Command::Lab(Lab::HandingOn { terms, times }) => {
+            command::measure_duty_failover(&terms, times as usize)
+        }
         Command::Lab(Lab::Tries { count, out_s, a_second }) => {
-            command::tries(count as usize, out_s, a_second)
+            command::measure_trials(count as usize, out_s, a_second)
         }
-        Command::Lab(Lab::Rest { counts, seconds }) => command::rest(&counts, seconds),
+        Command::Lab(Lab::Rest { counts, seconds }) => command::measure_idle_cost(&counts, seconds),
         Command::Lab(Lab::Proxy { listen, to }) => command::proxy(listen, to),
         Command::Lab(Lab::Naive { fault }) => command::naive(&fault),
         Command::Door(asked) => door(asked),
--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -13,8 +13,10 @@
     assert!(next != holder && later > epoch);
     // The killed one comes back, takes nothing back, and follows.
     stage.members.dispatchers[holder].start();
-    eventually("its return", || stage.members.show(holder).is_some_and(|fleet| fleet["leader"].is_string()));
-    assert_eq!(stage.members.holder("keeper").map(|(who, _)| who), Some(next));
+    eventually("its return", || {
+        stage.members.status(holder).is_some_and(|fleet| fleet["leader"].is_string())
+    });
+    assert_eq!(stage.members.duty_holder("keeper").map(|(who, _)| who), Some(next));
     clean(&stage.members);
 }
 
@@ -27,7 +29,7 @@
         stage.members.dispatchers[holder].signal("STOP");
         let mut acted = None;
         eventually("another holder's act", || {
-            acted = stage.members.acted_after("keeper", epoch);
+            acted = stage.members.first_action_after("keeper", epoch);
             acted.is_some()
         });
         std::thread::sleep(Duration::from_millis(1200));
@@ -47,9 +49,9 @@
     let stage = started(3, 1);
     for cut in [(true, false), (false, true), (true, true)] {
         let (holder, epoch) = next_keeper(&stage.members, 0);
-        stage.members.cut_off(holder, cut);
-        eventually("another holder's act", || stage.members.acted_after("keeper", epoch).is_some());
-        stage.members.cut_off(holder, (false, false));
+        stage.members.partition(holder, cut);
+        eventually("another holder's act", || stage.members.first_action_after("keeper", epoch).is_some());
+        stage.members.partition(holder, (false, false));
         eventually("one leader for all", || {
             let leaders: Vec<_> = (0..4).map(|i| stage.members.leader(i)).collect();
             leaders[0].is_some() && leaders.iter().all(|leader| *leader == leaders[0])
@@ -62,14 +64,14 @@
 fn a_triangle_with_one_side_missing_keeps_its_keeper() {
     let stage = started(3, 0);
     // n0 and n2 don't see each other, n1 sees both.
-    stage.members.between(0, 2, (true, true));
+    stage.members.set_link_blocked(0, 2, (true, true));
     let (_, epoch) = next_keeper(&stage.members, 0);
-    let acts = |members: &Members| {
+    let acts = |members: &TestFleet| {
         members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
     };
     let before = acts(&stage.members);
     eventually("that work is done", || acts(&stage.members) > before + 20);
-    stage.members.between(0, 2, (false, false));
+    stage.members.set_link_blocked(0, 2, (false, false));
     assert!(next_keeper(&stage.members, 0).1 >= epoch);
     clean(&stage.members);
 }
@@ -78,13 +80,13 @@
 fn a_cut_that_opens_and_closes_costs_no_promise_and_work_is_done() {
     let stage = started(3, 0);
     let (holder, _) = next_keeper(&stage.members, 0);
-    let acts = |members: &Members| {
+    let acts = |members: &TestFleet| {
         members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
     };
     let before = acts(&stage.members);
     for _ in 0..10 {
         for cut in [true, false] {
-            stage.members.cut_off(holder, (cut, cut));
+            stage.members.partition(holder, (cut, cut));
             std::thread::sleep(Duration::from_millis(300));
         }
     }
@@ -103,7 +105,7 @@
     stage.members.dispatchers[holder].signal("TERM");
     let mut acted = None;
     eventually("another holder's act", || {
-        acted = stage.members.acted_after("keeper", epoch);
+        acted = stage.members.first_action_after("keeper", epoch);
         acted.is_some()
     });
     // By time it would be a second and more; the margin is for a machine that is busy.
@@ -123,14 +125,14 @@
     let (_, epoch) = next_keeper(&stage.members, 0);
     stage.members.dispatchers[1].kill();
     stage.members.dispatchers[2].kill();
-    eventually("that nobody holds it", || stage.members.holder("keeper").is_none());
+    eventually("that nobody holds it", || stage.members.duty_holder("keeper").is_none());
     for i in [0, 3] {
         for number in 0..5 {
-            assert_eq!(stage.members.dispatchers[i].hand_in("keyed", &format!("m{i}-{number}"), 7), 202);
+            assert_eq!(stage.members.dispatchers[i].submit("keyed", &format!("m{i}-{number}"), 7), 202);
         }
     }
-    eventually("all calls", || stage.endpoint.seen().len() == 10);
-    assert!(stage.members.holder("keeper").is_none());
+    eventually("all calls", || stage.endpoint.requests().len() == 10);
+    assert!(stage.members.duty_holder("keeper").is_none());
     stage.members.dispatchers[2].start();
     stage.members.dispatchers[1].start();
     // It may be the same one: nobody could give it to another.
@@ -146,8 +148,9 @@
     [3, 1, 0, 2].into_iter().for_each(|i| stage.members.dispatchers[i].start());
     next_keeper(&stage.members, epoch - 1);
     eventually("all four", || {
-        (0..4)
-            .all(|i| stage.members.show(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4))
+        (0..4).all(|i| {
+            stage.members.status(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4)
+        })
     });
     clean(&stage.members);
 }
@@ -158,21 +161,21 @@
     for _ in 0..2 {
         for i in 0..3 {
             let mut old = stage.members.dispatchers[i].upgrade();
-            stage.members.dispatchers[i].hand_in_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
+            stage.members.dispatchers[i].submit_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
             eventually("that it speaks again", || {
                 stage
                     .members
-                    .show(i)
+                    .status(i)
                     .is_some_and(|fleet| fleet["member"] == true && fleet["leader"].is_string())
             });
             let _ = old.kill();
             old.wait().expect("its end");
         }
     }
-    let members = stage.members.show(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
+    let members = stage.members.status(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
     assert_eq!(members, 3, "no new birth came of it");
     next_keeper(&stage.members, 0);
-    eventually("all calls", || stage.endpoint.seen().len() == 6);
+    eventually("all calls", || stage.endpoint.requests().len() == 6);
     clean(&stage.members);
 }
 
@@ -180,10 +183,12 @@
 fn links_that_break_in_the_middle_of_frames_and_come_late_cost_time_alone() {
     let stage = started(3, 1);
     for round in 0..20 {
-        stage.members.relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
+        stage
+            .members
+            .update_relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
         std::thread::sleep(Duration::from_millis(100));
     }
-    stage.members.relays(|way| way.delay_s = 0.0);
+    stage.members.update_relays(|way| way.delay_s = 0.0);
     next_keeper(&stage.members, 0);
     clean(&stage.members);
 }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -12,20 +12,22 @@
     let settings = "term_s = 1.0\nkeeper_round_s = 0.01\ncut_after = 100000\ndisk_mb = 0.5";
     let mut stage = stage(3, 0, settings, || Reply::status(200));
     // No file of this one may pass 16 blocks of 512 bytes; the write fails instead of ending the process.
-    stage.members.dispatchers[2].before.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
+    stage.members.dispatchers[2].shell_prelude.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
     stage.members.start();
-    eventually("that its record is full", || stage.members.dispatchers[2].logged("fleet: the record: "));
-    assert_eq!(stage.members.dispatchers[2].hand_in("keyed", "m1", 7), 202);
-    eventually("the call", || stage.endpoint.ids() == ["m1"]);
+    eventually("that its record is full", || {
+        stage.members.dispatchers[2].log_contains("fleet: the record: ")
+    });
+    assert_eq!(stage.members.dispatchers[2].submit("keyed", "m1", 7), 202);
+    eventually("the call", || stage.endpoint.message_ids() == ["m1"]);
     let (_, epoch) = next_keeper(&stage.members, 0);
-    assert!(stage.members.holder("keeper").is_some_and(|(who, _)| who != 2));
+    assert!(stage.members.duty_holder("keeper").is_some_and(|(who, _)| who != 2));
     // With room again it is a member as before.
     stage.members.dispatchers[2].kill();
-    let before = stage.members.dispatchers[2].before.replace("ulimit -f 16;", "");
-    stage.members.dispatchers[2].before = before;
+    let before = stage.members.dispatchers[2].shell_prelude.replace("ulimit -f 16;", "");
+    stage.members.dispatchers[2].shell_prelude = before;
     stage.members.dispatchers[2].start();
     eventually("its return", || {
-        stage.members.show(2).is_some_and(|fleet| fleet["speaks"] == true && fleet["leader"].is_string())
+        stage.members.status(2).is_some_and(|fleet| fleet["speaks"] == true && fleet["leader"].is_string())
     });
     assert!(next_keeper(&stage.members, epoch - 1).1 >= epoch);
     clean(&stage.members);
@@ -34,12 +36,12 @@
 #[test]
 fn a_peer_that_lies_about_the_log_costs_a_second_of_membership() {
     let mut stage = stage(1, 1, QUICK, || Reply::status(200));
-    stage.members.found().expect("a founded fleet");
+    stage.members.bootstrap().expect("a founded fleet");
     stage.members.dispatchers[0].start();
     let (_, epoch) = next_keeper(&stage.members, 0);
-    let at = stage.members.dispatchers[0].members_at().lock().expect("no panic").expect("its address");
+    let at = stage.members.dispatchers[0].member_address().lock().expect("no panic").expect("its address");
     let birth =
-        stage.members.show(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
+        stage.members.status(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
     let to = birth.expect("a birth").expect("a number");
     let send = |link: &mut TcpStream, packet: &[u8]| {
         let bytes = [&(packet.len() as u32).to_be_bytes()[..], packet].concat();
@@ -57,10 +59,10 @@
     let frame = fawnspoke_cluster::wire::Frame::Raft(Box::new(message));
     send(&mut link, &fawnspoke_frames::encode(&frame).expect("a frame"));
     eventually("that it opens its record anew", || {
-        stage.members.dispatchers[0].logged("not as its rules have it")
+        stage.members.dispatchers[0].log_contains("not as its rules have it")
     });
     drop(link);
-    assert_eq!(stage.members.dispatchers[0].hand_in("keyed", "m1", 7), 202);
+    assert_eq!(stage.members.dispatchers[0].submit("keyed", "m1", 7), 202);
     next_keeper(&stage.members, epoch - 1);
     clean(&stage.members);
 }
@@ -83,7 +85,7 @@
             stage.members.dispatchers[leader].start();
         }
         eventually("all five", || {
-            (0..5).all(|i| stage.members.show(i).is_some_and(|fleet| fleet["leader"].is_string()))
+            (0..5).all(|i| stage.members.status(i).is_some_and(|fleet| fleet["leader"].is_string()))
         });
     }
     clean(&stage.members);
--- a/crates/fawnspoke/tests/fleet/folders.rs
+++ b/crates/fawnspoke/tests/fleet/folders.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::process::Command;
 
-fn birth(members: &Members, i: usize) -> Option<String> {
-    members.show(i)?["birth"].as_str().map(str::to_string)
+fn birth(members: &TestFleet, i: usize) -> Option<String> {
+    members.status(i)?["birth"].as_str().map(str::to_string)
 }
 
 /// Copies the files of a folder.
@@ -23,11 +23,11 @@
     let mut stage = started(3, 0);
     let before = birth(&stage.members, 1);
     stage.members.dispatchers[1].kill();
-    fs::remove_dir_all(stage.members.dispatchers[1].state().join("fleet")).expect("a folder");
+    fs::remove_dir_all(stage.members.dispatchers[1].state_dir().join("fleet")).expect("a folder");
     stage.members.dispatchers[1].start();
     eventually("the new birth as a voter", || {
         let now = birth(&stage.members, 1);
-        let voters = stage.members.show(0).map(|fleet| {
+        let voters = stage.members.status(0).map(|fleet| {
             let members = fleet["members"].as_array().cloned().unwrap_or_default();
             let votes = |m: &&serde_json::Value| m["voter"] == true && m["birth"].as_str() == now.as_deref();
             (members.len(), members.iter().filter(votes).count())
@@ -42,14 +42,14 @@
 fn a_folder_that_comes_back_as_an_older_copy_is_a_new_member() {
     let mut stage = started(3, 0);
     let (state, aside) = {
-        let state = stage.members.dispatchers[2].state();
+        let state = stage.members.dispatchers[2].state_dir();
         (state.join("fleet"), state.join("aside"))
     };
     let before = birth(&stage.members, 2);
     copy(&state, &aside);
     // It acknowledges more after the copy.
     eventually("more of the log", || {
-        let fleet = stage.members.show(2).unwrap_or_default();
+        let fleet = stage.members.status(2).unwrap_or_default();
         fleet["applied"].as_u64() > Some(40)
     });
     stage.members.dispatchers[2].kill();
@@ -58,18 +58,18 @@
     stage.members.dispatchers[2].start();
     eventually("a new birth, as a voter", || {
         let now = birth(&stage.members, 2);
-        let fleet = stage.members.show(0).unwrap_or_default();
+        let fleet = stage.members.status(0).unwrap_or_default();
         let members = fleet["members"].as_array().cloned().unwrap_or_default();
         now != before && members.iter().any(|m| m["birth"].as_str() == now.as_deref() && m["voter"] == true)
     });
-    assert!(stage.members.dispatchers[2].logged("older copy"));
+    assert!(stage.members.dispatchers[2].log_contains("older copy"));
     clean(&stage.members);
 }
 
 #[test]
 fn a_second_process_of_a_folder_is_not_a_second_member() {
     let stage = started(1, 0);
-    let fleet = stage.members.dispatchers[0].state();
+    let fleet = stage.members.dispatchers[0].state_dir();
     let mut command = stage.members.dispatchers[0].command();
     // Another dispatcher altogether, but for the record of the fleet: a link to the same folder.
     let other = fleet.with_file_name("other");
@@ -88,7 +88,7 @@
 #[test]
 fn another_fleets_members_and_strangers_get_one_plain_refusal() {
     let stage = started(1, 1);
-    let heard = stage.members.dispatchers[0].members_at();
+    let heard = stage.members.dispatchers[0].member_address();
     let at = heard.lock().expect("no panic").expect("its address");
     let hello = |cluster: &str, name: &str, versions: &str| {
         let text = format!(
@@ -123,20 +123,20 @@
     let stage = stage(1, 0, QUICK, || Reply::status(200));
     let started = |text: &str| {
         let mut command = stage.members.dispatchers[0].command();
-        let file = stage.members.file(0).with_extension("bad");
+        let file = stage.members.config_file(0).with_extension("bad");
         fs::write(&file, text).expect("a file");
         command.env("FAWNSPOKE_FLEET", &file);
         // The stage's own shell line names the good file.
         let config = command.get_envs().find(|(key, _)| *key == "GW_CONFIG").and_then(|(_, value)| value);
         let output = Command::new(env!("CARGO_BIN_EXE_fawnspoke"))
             .env("GW_CONFIG", config.expect("a configuration"))
-            .env("GW_STATE", stage.members.dispatchers[0].state())
+            .env("GW_STATE", stage.members.dispatchers[0].state_dir())
             .env("FAWNSPOKE_FLEET", &file)
             .output()
             .expect("a process");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let good = fs::read_to_string(stage.members.file(0)).expect("a file");
+    let good = fs::read_to_string(stage.members.config_file(0)).expect("a file");
     for (text, expected) in [
         (good.replace("term_s = 1.0", "term_s = 1000"), "term_s: must lie between"),
         (good.replace("n0", "n5"), "does not name n0"),
--- a/crates/fawnspoke/tests/fleet/main.rs
+++ b/crates/fawnspoke/tests/fleet/main.rs
@@ -6,8 +6,8 @@
 mod folders;
 mod tries;
 
-use fawnspoke_lab::members::{Members, Shape};
-use fawnspoke_lab::stage::{Endpoint, Platform, Reply, eventually};
+use fawnspoke_lab::blocking::{Endpoint, Platform, Reply, eventually};
+use fawnspoke_lab::test_fleet::{FleetShape, TestFleet};
 use std::path::Path;
 
 /// Acts come often, and terms are short.
@@ -15,7 +15,7 @@
 
 /// A fleet with one platform and one endpoint for destination 7 that answers by the script.
 struct Stage {
-    members: Members,
+    members: TestFleet,
     endpoint: Endpoint,
     _platform: Platform,
 }
@@ -24,11 +24,11 @@
     voters: usize, observers: usize, settings: &str, script: impl Fn() -> Reply + Send + Sync + 'static,
 ) -> Stage {
     let (endpoint, platform) = (Endpoint::start(move |_, _| script()), Platform::start());
-    let shape = Shape { voters, observers, settings: settings.into() };
+    let shape = FleetShape { voters, observers, extra_config: settings.into() };
     let (program, parent) =
         (Path::new(env!("CARGO_BIN_EXE_fawnspoke")), Path::new(env!("CARGO_TARGET_TMPDIR")));
-    let known = [endpoint.host("e", 7, "up")];
-    let members = Members::new(program, parent, &shape, &[&platform], &known).expect("folders and relays");
+    let known = [endpoint.list_entry("e", 7, "up")];
+    let members = TestFleet::new(program, parent, &shape, &[&platform], &known).expect("folders and relays");
     Stage { members, endpoint, _platform: platform }
 }
 
@@ -39,16 +39,16 @@
 }
 
 /// Who holds the keeper's duty, once somebody does under a later epoch.
-fn next_keeper(members: &Members, epoch: u64) -> (usize, u64) {
+fn next_keeper(members: &TestFleet, epoch: u64) -> (usize, u64) {
     let mut found = None;
     eventually("another keeper", || {
-        found = members.holder("keeper").filter(|(_, now)| *now > epoch);
+        found = members.duty_holder("keeper").filter(|(_, now)| *now > epoch);
         found.is_some()
     });
     found.expect("a keeper")
 }
 
-fn clean(members: &Members) {
-    let faults = members.faults();
+fn clean(members: &TestFleet) {
+    let faults = members.violations();
     assert!(faults.is_empty(), "{faults:#?}");
 }
--- a/crates/fawnspoke/tests/fleet/tries.rs
+++ b/crates/fawnspoke/tests/fleet/tries.rs
@@ -16,13 +16,13 @@
     let out = Arc::new(AtomicBool::new(false));
     let asked = out.clone();
     let mut stage = stage(3, count - 3, QUICK, move || match asked.load(Ordering::SeqCst) {
-        true => Reply::Break,
+        true => Reply::Disconnect,
         false => Reply::status(200),
     });
     for dispatcher in &mut stage.members.dispatchers {
         dispatcher.config["settings"]["balancers"] = count.into();
         if !fleet {
-            dispatcher.before.clear();
+            dispatcher.shell_prelude.clear();
         }
     }
     match fleet {
@@ -30,10 +30,10 @@
         false => stage.members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.start()),
     }
     let (began, mut number) = (Instant::now(), 0);
-    let mut at = |members: &Members, until: f64| {
+    let mut at = |members: &TestFleet, until: f64| {
         while began.elapsed().as_secs_f64() < until {
             for (i, dispatcher) in members.dispatchers.iter().enumerate() {
-                let _ = dispatcher.hand_in("keyed", &format!("m{i}-{number}"), 7);
+                let _ = dispatcher.submit("keyed", &format!("m{i}-{number}"), 7);
             }
             number += 1;
             std::thread::sleep(Duration::from_millis(300));
@@ -41,12 +41,12 @@
     };
     at(&stage.members, 1.0);
     out.store(true, Ordering::SeqCst);
-    let before = stage.endpoint.seen().len();
+    let before = stage.endpoint.requests().len();
     at(&stage.members, 1.0 + out_s);
-    let tries = stage.endpoint.seen().len() - before;
+    let tries = stage.endpoint.requests().len() - before;
     out.store(false, Ordering::SeqCst);
     let taken = number * count;
-    let delivered = || stage.endpoint.ids().into_iter().collect::<BTreeSet<_>>();
+    let delivered = || stage.endpoint.message_ids().into_iter().collect::<BTreeSet<_>>();
     eventually("all messages", || delivered().len() >= taken);
     clean(&stage.members);
     Played { tries, delivered: delivered() }
--- a/crates/fawnspoke/tests/sockets/answers.rs
+++ b/crates/fawnspoke/tests/sockets/answers.rs
@@ -15,12 +15,16 @@
     class: &str, script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[host("e", endpoint.at, 7, class, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[list_entry("e", endpoint.address, 7, class, "up")]);
     (endpoint, platform, dispatcher)
 }
 
 fn times(endpoint: &Endpoint, id: &str) -> usize {
-    endpoint.seen().iter().filter(|seen| seen.id() == id || seen.request.text().contains(id)).count()
+    endpoint
+        .requests()
+        .iter()
+        .filter(|seen| seen.message_id() == id || seen.request.text().contains(id))
+        .count()
 }
 
 #[test]
@@ -39,18 +43,18 @@
         }
         spoilt(n)
     });
-    assert_eq!(dispatcher.hand_in("safe", "safe", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "safe", 7), 202);
     eventually("a try for each", || times(&endpoint, "safe") >= 5);
-    assert_eq!(dispatcher.hand_in("unsafe", "unsafe", 7), 202);
-    eventually("the notice", || platform.told("unsafe") == ["given_up"]);
+    assert_eq!(dispatcher.submit("unsafe", "unsafe", 7), 202);
+    eventually("the notice", || platform.outcomes("unsafe") == ["given_up"]);
     assert_eq!(times(&endpoint, "unsafe"), 1);
     // The wait in the spoilt answer was told by its head, which is whole; nothing looks like an outage.
-    let calls = endpoint.seen();
-    let waited = calls[3].at - calls[2].at;
+    let calls = endpoint.requests();
+    let waited = calls[3].received_at - calls[2].received_at;
     assert!(waited >= Duration::from_millis(1900), "the next call {waited:?} into the wait");
-    assert_eq!(dispatcher.hand_in("safe", "good", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "good", 7), 202);
     eventually("the good one", || times(&endpoint, "good") == 1);
-    assert!(!dispatcher.logged("Shut"), "the place lives");
+    assert!(!dispatcher.log_contains("Shut"), "the place lives");
 }
 
 #[test]
@@ -69,10 +73,10 @@
     });
     let ids = ["noise", "open", "short", "lengths", "endless", "early"];
     for id in ids {
-        assert_eq!(dispatcher.hand_in("unsafe", id, 7), 202);
+        assert_eq!(dispatcher.submit("unsafe", id, 7), 202);
         eventually("the call", || times(&endpoint, id) == 1);
     }
-    eventually("the end of the endless one", || endpoint.given_up() == 1);
+    eventually("the end of the endless one", || endpoint.abandoned_calls() == 1);
     // Longer than any answer is waited for.
     thread::sleep(Duration::from_millis(1_500));
     assert!(platform.notices().is_empty(), "all were delivered: {:?}", platform.notices());
@@ -91,13 +95,13 @@
         }),
         Platform::start(),
     );
-    let dispatcher = Dispatcher::started(&platform, &[held(7)]);
+    let dispatcher = Dispatcher::started(&platform, &[draining_endpoint(7)]);
     // Two of each sort, which share calls.
     for id in ["safe-a", "unsafe-b", "safe-c", "unsafe-d"] {
-        assert_eq!(dispatcher.hand_in(id.split('-').next().unwrap(), id, 7), 202);
+        assert_eq!(dispatcher.submit(id.split('-').next().unwrap(), id, 7), 202);
     }
-    platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    let given_up = |id: &str| platform.told(id) == ["given_up"];
+    platform.push_changes(2, &[list_entry("e", endpoint.address, 7, "many", "up")]);
+    let given_up = |id: &str| platform.outcomes(id) == ["given_up"];
     eventually("the notices", || given_up("unsafe-b") && given_up("unsafe-d"));
     eventually("the others once more", || times(&endpoint, "safe-a") == 2 && times(&endpoint, "safe-c") == 2);
     assert_eq!((times(&endpoint, "unsafe-b"), times(&endpoint, "unsafe-d")), (1, 1));
@@ -113,11 +117,11 @@
             (1, Some("second")) => raw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
             _ => raw(OK),
         });
-    assert_eq!(dispatcher.hand_in("unsafe", "first", 7), 202);
-    eventually("the first call", || endpoint.seen().len() == 1);
-    assert_eq!(dispatcher.hand_in("unsafe", "second", 7), 202);
-    eventually("the second one's true end", || platform.told("second") == ["given_up"]);
-    assert_ne!(endpoint.seen()[0].connection, endpoint.seen()[1].connection);
+    assert_eq!(dispatcher.submit("unsafe", "first", 7), 202);
+    eventually("the first call", || endpoint.requests().len() == 1);
+    assert_eq!(dispatcher.submit("unsafe", "second", 7), 202);
+    eventually("the second one's true end", || platform.outcomes("second") == ["given_up"]);
+    assert_ne!(endpoint.requests()[0].connection, endpoint.requests()[1].connection);
 }
 
 #[test]
@@ -130,14 +134,14 @@
         true => raw("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
     });
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[held(7)]);
+    let dispatcher = Dispatcher::started(&platform, &[draining_endpoint(7)]);
     for (id, body) in [("safe-a", "good"), ("safe-b", "bad"), ("safe-c", "good")] {
-        assert_eq!(dispatcher.connect().hand_in("safe", id, 7, 15_000, body.as_bytes()).status(), 202);
+        assert_eq!(dispatcher.connect().submit("safe", id, 7, 15_000, body.as_bytes()).status(), 202);
     }
-    platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    eventually("the bad one's end", || platform.told("safe-b") == ["given_up"]);
+    platform.push_changes(2, &[list_entry("e", endpoint.address, 7, "many", "up")]);
+    eventually("the bad one's end", || platform.outcomes("safe-b") == ["given_up"]);
     eventually("the others' calls", || ["safe-a", "safe-c"].iter().all(|id| times(&endpoint, id) == 2));
     assert_eq!(times(&endpoint, "safe-b"), 2, "with the others and by itself");
-    assert!(!dispatcher.logged("Shut"));
+    assert!(!dispatcher.log_contains("Shut"));
     assert_eq!(platform.notices().len(), 1);
 }
--- a/crates/fawnspoke/tests/sockets/closing.rs
+++ b/crates/fawnspoke/tests/sockets/closing.rs
@@ -53,11 +53,11 @@
 /// A dispatcher whose address is known, and which stays for a call that is out once it is told to stop.
 fn staying() -> (Gated, crate::gated::Peer, Platform, Dispatcher, SocketAddr) {
     let (gated, platform) = (Gated::open(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), held(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), draining_endpoint(8)]);
     let at = free_address();
     dispatcher.config["listen"] = at.to_string().into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "out", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "out", 7), 202);
     let mut peer = gated.accept();
     assert!(peer.request().is_some());
     (gated, peer, platform, dispatcher, at)
@@ -115,7 +115,7 @@
 #[test]
 fn a_crowd_closes_no_connection_in_the_middle_of_a_request() {
     let (gated, platform) = (Gated::open(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), held(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), draining_endpoint(8)]);
     let at = free_address();
     dispatcher.config["listen"] = at.to_string().into();
     dispatcher.config["limits"]["sockets"] = 64.into();
@@ -138,7 +138,7 @@
     for closes in [false, true] {
         let (gated, platform) = (Gated::open(), Platform::start());
         let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7)]);
-        assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+        assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
         let mut peer = gated.accept();
         assert!(peer.request().is_some());
         let told = Instant::now();
@@ -151,7 +151,7 @@
         }
         // Calls that come within 100 ms are let through.
         thread::sleep(Duration::from_millis(110).saturating_sub(told.elapsed()));
-        assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
+        assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
         let mut next = gated.accept();
         assert!(next.request().is_some());
         let early = Duration::from_millis(150);
@@ -163,10 +163,10 @@
 #[test]
 fn a_signal_in_the_first_moment_of_a_start_does_not_end_it() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let at = free_address();
     dispatcher.config["listen"] = at.to_string().into();
-    let pipe = dispatcher.state().with_file_name("config.pipe");
+    let pipe = dispatcher.state_dir().with_file_name("config.pipe");
     assert!(std::process::Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let mut command = dispatcher.command();
     let mut child = command.env("GW_CONFIG", &pipe).stdout(Stdio::null()).spawn().unwrap();
--- a/crates/fawnspoke/tests/sockets/crossings.rs
+++ b/crates/fawnspoke/tests/sockets/crossings.rs
@@ -13,8 +13,8 @@
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
     let mut peer = quick.accept();
     assert!(peer.request().is_some());
     eventually("a connect that hangs", || slow.knocks() == 1);
@@ -39,7 +39,7 @@
     dispatcher.start();
     let mut client = dispatcher.connect();
     for id in ["m1", "m2"] {
-        assert_eq!(client.hand_in("safe", id, 7, 2500, b"x").status(), 202);
+        assert_eq!(client.submit("safe", id, 7, 2500, b"x").status(), 202);
     }
     let mut peer = quick.accept();
     assert!(peer.request().is_some());
@@ -50,10 +50,10 @@
     let mut kept = slow.accept();
     let mut gone = quick.host("quick", 7);
     gone["health"] = "draining".into();
-    platform.push(2, &[gone]);
+    platform.push_changes(2, &[gone]);
     // Both run out within the wait; the unsafe one is all that is left when it is over.
-    eventually("their ends", || ["m1", "m2"].iter().all(|id| platform.told(id) == ["handed_back"]));
-    assert_eq!(client.hand_in("unsafe", "u", 7, 15_000, b"x").status(), 202);
+    eventually("their ends", || ["m1", "m2"].iter().all(|id| platform.outcomes(id) == ["handed_back"]));
+    assert_eq!(client.submit("unsafe", "u", 7, 15_000, b"x").status(), 202);
     let mut anew = slow.accept();
     assert!(anew.request().is_some_and(|request| request.contains("u\r\n")), "on a connection of its own");
     assert!(kept.request().is_none(), "the one that was idle is closed");
@@ -68,15 +68,15 @@
     dispatcher.config["settings"]["grades"][1]["repeat_window"] = 2.25.into();
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
     let mut peer = quick.accept();
     assert!(peer.request().is_some());
     let ran = Instant::now();
     // The next call can go nowhere else.
     let mut gone = quick.host("quick", 7);
     gone["health"] = "draining".into();
-    platform.push(2, &[gone, slow.host("slow", 7), held(8)]);
-    dispatcher.hand_in_once_listed("safe", "other", 8);
+    platform.push_changes(2, &[gone, slow.host("slow", 7), draining_endpoint(8)]);
+    dispatcher.submit_once_listed("safe", "other", 8);
     // It is tried again within the memory, which is over 2 s after the first call; a connect is repeated after 1 s.
     eventually("some time", || ran.elapsed() > Duration::from_millis(1400));
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
@@ -85,10 +85,10 @@
     slow.unlock();
     let served = slow.serve();
     let called = || served.requests().iter().any(|call| call.contains("m1"));
-    eventually("its end", || !platform.told("m1").is_empty() || called());
+    eventually("its end", || !platform.outcomes("m1").is_empty() || called());
     assert_eq!(served.connections(), 1, "the connection came up");
     assert!(!called(), "sent again {:?} after it may have run", ran.elapsed());
-    assert_eq!(platform.told("m1"), ["handed_back"]);
+    assert_eq!(platform.outcomes("m1"), ["handed_back"]);
 }
 
 /// The end of a client's sending stands behind its request before the request is read.
@@ -96,20 +96,20 @@
 fn a_client_that_ends_its_sending_hears_that_nothing_was_taken() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let mut client = dispatcher.connect();
-    assert_eq!(client.hand_in("safe", "before", 7, 15_000, b"x").status(), 202);
+    assert_eq!(client.submit("safe", "before", 7, 15_000, b"x").status(), 202);
     dispatcher.signal("STOP");
     client.send("safe", "half", 7, 15_000, b"x");
-    client.end_sending();
+    client.shutdown_write();
     dispatcher.signal("CONT");
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!(answer.status(), 503, "whether it is there still can't be known");
     assert!(answer.header("retry-after").is_some());
-    assert!(client.closes());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-    eventually("the others' calls", || endpoint.ids().contains(&"after".to_string()));
-    assert!(!endpoint.ids().contains(&"half".to_string()));
+    assert!(client.is_closed_by_peer());
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+    eventually("the others' calls", || endpoint.message_ids().contains(&"after".to_string()));
+    assert!(!endpoint.message_ids().contains(&"half".to_string()));
 }
 
 /// The head of an answer comes shortly before its message's time is up, and its body never.
@@ -122,7 +122,7 @@
     let mut client = dispatcher.connect();
     let handed = Instant::now();
     for (id, dest) in [("stalls", 7), ("silent", 8)] {
-        assert_eq!(client.hand_in("unsafe", id, dest, TIME.as_millis() as u32, b"x").status(), 202);
+        assert_eq!(client.submit("unsafe", id, dest, TIME.as_millis() as u32, b"x").status(), 202);
     }
     let (mut peer, mut other) = (stalls.accept(), silent.accept());
     assert!(peer.request().is_some() && other.request().is_some());
@@ -132,7 +132,7 @@
     let (mut times, begun) = ([None; 2], Instant::now());
     eventually("both notices", || {
         for (time, id) in times.iter_mut().zip(["stalls", "silent"]) {
-            *time = time.or_else(|| (platform.told(id) == ["given_up"]).then(|| begun.elapsed()));
+            *time = time.or_else(|| (platform.outcomes(id) == ["given_up"]).then(|| begun.elapsed()));
         }
         times.iter().all(Option::is_some)
     });
@@ -147,12 +147,12 @@
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("unsafe", "u", 7), 202);
+    assert_eq!(dispatcher.submit("unsafe", "u", 7), 202);
     eventually("a connect that hangs", || slow.knocks() == 1);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("its end", || !endpoint.seen().is_empty() || !platform.told("u").is_empty());
-    assert_eq!(endpoint.ids(), ["u"], "it never ran: {:?}", platform.notices());
+    eventually("its end", || !endpoint.requests().is_empty() || !platform.outcomes("u").is_empty());
+    assert_eq!(endpoint.message_ids(), ["u"], "it never ran: {:?}", platform.notices());
 }
--- a/crates/fawnspoke/tests/sockets/gated.rs
+++ b/crates/fawnspoke/tests/sockets/gated.rs
@@ -1,6 +1,6 @@
 //! An endpoint with gates: it accepts, reads and answers only when the test says so.
 
-use crate::support::host;
+use crate::support::list_entry;
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -104,7 +104,7 @@
 
     /// Its line in discovery's list.
     pub fn host(&self, name: &str, dest: u32) -> Value {
-        host(name, self.at, dest, "single", "up")
+        list_entry(name, self.at, dest, "single", "up")
     }
 }
 
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -43,9 +43,9 @@
     pub fn under(dispatcher: &mut Dispatcher) -> Machine {
         let library = std::env::current_exe().unwrap().with_file_name("libmachine_faults.so");
         assert!(library.exists(), "{} is built with the tests", library.display());
-        let path = dispatcher.state().with_file_name("machine");
+        let path = dispatcher.state_dir().with_file_name("machine");
         fs::write(&path, [0; FIELDS * 8]).unwrap();
-        dispatcher.before =
+        dispatcher.shell_prelude =
             format!("export MACHINE_FAULTS='{}' LD_PRELOAD='{}';", path.display(), library.display());
         Machine { path }
     }
@@ -83,7 +83,7 @@
 
 /// A dispatcher that knows of an endpoint to which nothing may go yet.
 fn holding(platform: &Platform) -> (Dispatcher, Machine) {
-    let mut dispatcher = Dispatcher::new(platform, &[held(7)]);
+    let mut dispatcher = Dispatcher::new(platform, &[draining_endpoint(7)]);
     let machine = Machine::under(&mut dispatcher);
     dispatcher.start();
     (dispatcher, machine)
@@ -95,14 +95,14 @@
     let ids: Vec<String> = (0..count).map(|number| format!("m{number}")).collect();
     for (number, id) in ids.iter().enumerate() {
         let class = ["safe", "keyed", "unsafe"][number % 3];
-        assert_eq!(client.hand_in(class, id, 7, time_ms, b"x").status(), 202);
+        assert_eq!(client.submit(class, id, 7, time_ms, b"x").status(), 202);
     }
     ids
 }
 
 /// Whether each message was called once and none has ended undelivered.
 fn all_called_once(endpoint: &Endpoint, ids: &[String]) -> bool {
-    let mut called = endpoint.ids();
+    let mut called = endpoint.message_ids();
     called.sort();
     let mut all = ids.to_vec();
     all.sort();
@@ -117,9 +117,9 @@
     dispatcher.kill();
     machine.step_wall_clock(seconds);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("an end of each", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+    eventually("an end of each", || endpoint.requests().len() + platform.notices().len() >= ids.len());
     assert_eq!(platform.notices(), [] as [serde_json::Value; 0], "{seconds} s");
     assert!(all_called_once(&endpoint, &ids));
 }
@@ -138,7 +138,7 @@
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
         let machine = Machine::under(&mut dispatcher);
         dispatcher.start();
-        assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
+        assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
         let mut peer = gated.accept();
         assert!(peer.request().is_some());
         let ran = Instant::now();
@@ -146,9 +146,9 @@
         machine.step_wall_clock(seconds);
         eventually("the end of the window", || ran.elapsed() > Duration::from_secs(3));
         dispatcher.start();
-        eventually("its end", || !platform.told("m1").is_empty() || !gated_is_quiet(&gated));
+        eventually("its end", || !platform.outcomes("m1").is_empty() || !gated_is_quiet(&gated));
         assert_eq!(
-            platform.told("m1"),
+            platform.outcomes("m1"),
             ["handed_back"],
             "{seconds} s: it may have run, and its key is forgotten"
         );
@@ -172,12 +172,12 @@
     });
     let begun = Instant::now();
     let ids = hand_in(&dispatcher, 60, 2500);
-    let long = dispatcher.connect().hand_in("safe", "long", 7, 19_000, b"x");
+    let long = dispatcher.connect().submit("safe", "long", 7, 19_000, b"x");
     assert_eq!(long.status(), 202);
-    eventually("their ends", || ids.iter().all(|id| !platform.told(id).is_empty()));
+    eventually("their ends", || ids.iter().all(|id| !platform.outcomes(id).is_empty()));
     let time = begun.elapsed();
     assert!(time > Duration::from_millis(2000) && time < Duration::from_millis(2900), "{time:?}");
-    assert!(platform.told("long").is_empty());
+    assert!(platform.outcomes("long").is_empty());
     stepping.join().unwrap();
 }
 
@@ -188,17 +188,17 @@
     let ids = hand_in(&dispatcher, 9, 15_000);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     let refusing = machine.refuse_writes(error, Duration::from_millis(1500));
     let begun = Instant::now();
     dispatcher.start();
     assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
     refusing.join().unwrap();
     assert!(machine.faults() > 0);
-    eventually("all calls", || endpoint.seen().len() >= ids.len());
+    eventually("all calls", || endpoint.requests().len() >= ids.len());
     assert!(all_called_once(&endpoint, &ids));
     assert!(platform.notices().is_empty());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
 }
 
 #[test]
@@ -233,28 +233,28 @@
     let ids = hand_in(&dispatcher, 10, 12_000);
     let endpoint = Endpoint::start(|_, _| ok());
     let refusing = machine.refuse_writes(error, Duration::from_millis(2000));
-    platform.push(2, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
     // What may be repeated goes on; new messages are turned away and may come again.
-    eventually("the calls that need no record", || endpoint.seen().len() >= 4);
-    let answer = dispatcher.connect().hand_in("safe", "new", 7, 15_000, b"x");
+    eventually("the calls that need no record", || endpoint.requests().len() >= 4);
+    let answer = dispatcher.connect().submit("safe", "new", 7, 15_000, b"x");
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
     refusing.join().unwrap();
     let ended = Instant::now();
-    eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+    eventually("all calls", || endpoint.requests().len() + platform.notices().len() >= ids.len());
     assert!(ended.elapsed() < Duration::from_millis(500), "{:?}", ended.elapsed());
-    assert!(all_called_once(&endpoint, &ids), "{:?} {:?}", endpoint.ids(), platform.notices());
+    assert!(all_called_once(&endpoint, &ids), "{:?} {:?}", endpoint.message_ids(), platform.notices());
     assert!(platform.notices().is_empty());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-    eventually("the last call", || endpoint.ids().contains(&"after".to_string()));
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+    eventually("the last call", || endpoint.message_ids().contains(&"after".to_string()));
     // All of it is over for the next life too.
-    eventually("its record", || dispatcher.hand_in("unsafe", "m2", 7) == 202);
+    eventually("its record", || dispatcher.submit("unsafe", "m2", 7) == 202);
     dispatcher.kill();
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "later", 7), 202);
-    eventually("the new call", || endpoint.ids().contains(&"later".to_string()));
-    assert_eq!(endpoint.seen().len(), ids.len() + 2);
+    assert_eq!(dispatcher.submit("safe", "later", 7), 202);
+    eventually("the new call", || endpoint.message_ids().contains(&"later".to_string()));
+    assert_eq!(endpoint.requests().len(), ids.len() + 2);
 }
 
 #[test]
@@ -269,19 +269,19 @@
     let (mut dispatcher, machine) = holding(&platform);
     let mut client = dispatcher.connect();
     for id in ["u1", "u2", "u3"] {
-        assert_eq!(client.hand_in("unsafe", id, 7, 15_000, b"x").status(), 202);
+        assert_eq!(client.submit("unsafe", id, 7, 15_000, b"x").status(), 202);
     }
     let endpoint = Endpoint::start(|_, _| ok());
     machine.set(Field::FolderError, libc::ENOSPC.into());
-    platform.push(2, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
     let faults = machine.faults();
     eventually("calls that could not be recorded", || machine.faults() >= faults + 3);
     dispatcher.kill();
-    assert!(endpoint.seen().is_empty() && platform.notices().is_empty());
+    assert!(endpoint.requests().is_empty() && platform.notices().is_empty());
     machine.set(Field::FolderError, 0);
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("their calls", || endpoint.seen().len() + platform.notices().len() >= 3);
+    eventually("their calls", || endpoint.requests().len() + platform.notices().len() >= 3);
     assert!(platform.notices().is_empty(), "they had surely not run: {:?}", platform.notices());
 }
 
@@ -297,12 +297,12 @@
     assert!(!dispatcher.wait(), "it dies in the write");
     machine.set(Field::TearNext, 0);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("all calls", || endpoint.seen().len() >= ids.len());
-    assert_eq!(dispatcher.hand_in("unsafe", "after", 7), 202);
-    eventually("the new call", || endpoint.ids().contains(&"after".to_string()));
-    assert!(!endpoint.ids().contains(&"torn".to_string()));
+    eventually("all calls", || endpoint.requests().len() >= ids.len());
+    assert_eq!(dispatcher.submit("unsafe", "after", 7), 202);
+    eventually("the new call", || endpoint.message_ids().contains(&"after".to_string()));
+    assert!(!endpoint.message_ids().contains(&"torn".to_string()));
 }
 
 /// Reads and writes that fall short, at clients, calls, the watch and notices.
@@ -310,27 +310,27 @@
 fn reads_and_writes_of_a_few_bytes_are_no_end() {
     for (read, write) in [(1, 0), (0, 1), (1, 1), (7, 5)] {
         let endpoint = Endpoint::start(|_, request| match request.header("request-id") {
-            Some(id) if id.starts_with("bad") => Reply::Break,
+            Some(id) if id.starts_with("bad") => Reply::Disconnect,
             _ => ok(),
         });
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[held(8)]);
+        let mut dispatcher = Dispatcher::new(&platform, &[draining_endpoint(8)]);
         let machine = Machine::under(&mut dispatcher);
         machine.set(Field::ReadMost, read);
         machine.set(Field::WriteMost, write);
         dispatcher.start();
-        eventually("the watch", || !platform.watched_from().is_empty());
-        platform.push(2, &[endpoint.host("e", 7, "up")]);
-        dispatcher.hand_in_once_listed("safe", "first", 7);
+        eventually("the watch", || !platform.watch_paths().is_empty());
+        platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
+        dispatcher.submit_once_listed("safe", "first", 7);
         let mut client = dispatcher.connect();
         for number in 0..20 {
             let body = vec![b'x'; number * 40];
-            let answer = client.hand_in("safe", &format!("m{number}"), 7, 15_000, &body);
+            let answer = client.submit("safe", &format!("m{number}"), 7, 15_000, &body);
             assert_eq!(answer.status(), 202, "{read} {write}: m{number}");
         }
-        assert_eq!(client.hand_in("unsafe", "bad", 7, 15_000, b"x").status(), 202);
-        eventually("all calls", || endpoint.seen().len() == 22);
-        eventually("the notice", || platform.told("bad") == ["given_up"]);
+        assert_eq!(client.submit("unsafe", "bad", 7, 15_000, b"x").status(), 202);
+        eventually("all calls", || endpoint.requests().len() == 22);
+        eventually("the notice", || platform.outcomes("bad") == ["given_up"]);
         assert!(machine.faults() > 0);
     }
 }
@@ -343,12 +343,12 @@
     for (round, accept) in accepts.into_iter().enumerate() {
         let endpoint = Endpoint::start(|_, _| Reply::AnswerAndClose(200));
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         let machine = Machine::under(&mut dispatcher);
         dispatcher.start();
         let mut resting: Vec<_> = (0..5).map(|_| dispatcher.connect()).collect();
         for (number, client) in resting.iter_mut().enumerate() {
-            assert_eq!(client.hand_in("safe", &format!("r{number}"), 7, 15_000, b"x").status(), 202);
+            assert_eq!(client.submit("safe", &format!("r{number}"), 7, 15_000, b"x").status(), 202);
         }
         machine.set(Field::AcceptError, accept.into());
         machine.set(Field::ConnectError, connects[round % connects.len()].into());
@@ -357,13 +357,13 @@
         machine.set(Field::AcceptEvery, 2);
         for number in 0..10 {
             let id = format!("m{number}");
-            assert_eq!(dispatcher.connect().hand_in("safe", &id, 7, 15_000, b"x").status(), 202, "{accept}");
+            assert_eq!(dispatcher.connect().submit("safe", &id, 7, 15_000, b"x").status(), 202, "{accept}");
         }
         for (number, client) in resting.iter_mut().enumerate() {
-            let answer = client.hand_in("safe", &format!("again{number}"), 7, 15_000, b"x");
+            let answer = client.submit("safe", &format!("again{number}"), 7, 15_000, b"x");
             assert_eq!(answer.status(), 202, "{accept}: an idle client keeps its connection");
         }
-        eventually("all calls", || endpoint.seen().len() == 20);
+        eventually("all calls", || endpoint.requests().len() == 20);
         assert!(platform.notices().is_empty());
     }
 }
@@ -376,7 +376,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     drop(listener);
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["listen"] = at.to_string().into();
     let full = File::options().write(true).open("/dev/full").unwrap();
     let mut child = dispatcher.command().stdout(full.try_clone().unwrap()).stderr(full).spawn().unwrap();
@@ -401,7 +401,7 @@
     let platform = Platform::start();
     let (mut dispatcher, machine) = holding(&platform);
     let handed = Instant::now();
-    assert_eq!(dispatcher.connect().hand_in("unsafe", "m1", 7, 4900, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("unsafe", "m1", 7, 4900, b"x").status(), 202);
     machine.set(Field::FolderError, libc::EIO.into());
     dispatcher.signal("TERM");
     // Its answer is due before this process ends.
@@ -409,11 +409,11 @@
     dispatcher.kill();
     machine.set(Field::FolderError, 0);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("its end", || !endpoint.seen().is_empty() || !platform.told("m1").is_empty());
+    eventually("its end", || !endpoint.requests().is_empty() || !platform.outcomes("m1").is_empty());
     thread::sleep(Duration::from_millis(300));
-    assert!(endpoint.seen().is_empty() || platform.told("m1").is_empty(), "handed back, and sent");
+    assert!(endpoint.requests().is_empty() || platform.outcomes("m1").is_empty(), "handed back, and sent");
 }
 
 /// An upgrade while the folder refuses writes: whoever owns afterwards, each message is called once, and no request is lost.
@@ -428,11 +428,16 @@
         let mut old = dispatcher.upgrade();
         refusing.join().unwrap();
         let endpoint = Endpoint::start(|_, _| ok());
-        platform.push(2, &[endpoint.host("e", 7, "up")]);
-        eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
-        assert!(all_called_once(&endpoint, &ids), "{time} ms: {:?} {:?}", endpoint.ids(), platform.notices());
-        assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-        eventually("the new call", || endpoint.ids().contains(&"after".to_string()));
+        platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
+        eventually("all calls", || endpoint.requests().len() + platform.notices().len() >= ids.len());
+        assert!(
+            all_called_once(&endpoint, &ids),
+            "{time} ms: {:?} {:?}",
+            endpoint.message_ids(),
+            platform.notices()
+        );
+        assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+        eventually("the new call", || endpoint.message_ids().contains(&"after".to_string()));
         let _ = old.kill();
         old.wait().unwrap();
     }
@@ -446,9 +451,9 @@
     for (number, time) in [0, 1, 5, 30, 100].into_iter().enumerate() {
         for class in ["safe", "keyed", "unsafe"] {
             let (id, handed) = (format!("{class}{number}"), Instant::now());
-            let status = dispatcher.connect().hand_in(class, &id, 7, time, b"x").status();
+            let status = dispatcher.connect().submit(class, &id, 7, time, b"x").status();
             if status == 202 {
-                eventually("its notice", || platform.told(&id) == ["handed_back"]);
+                eventually("its notice", || platform.outcomes(&id) == ["handed_back"]);
                 let late = handed.elapsed().saturating_sub(Duration::from_millis(time.into()));
                 assert!(late < Duration::from_millis(300), "{id}: {late:?}");
             } else {
@@ -463,21 +468,22 @@
 fn an_order_that_could_not_be_recorded_is_recorded_later() {
     let endpoint = Endpoint::start(|_, _| ok());
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
-    dispatcher.door = true;
+    let mut dispatcher =
+        Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up"), draining_endpoint(8)]);
+    dispatcher.control_enabled = true;
     let machine = Machine::under(&mut dispatcher);
     dispatcher.start();
     machine.set(Field::FolderError, libc::ENOSPC.into());
-    let answer = dispatcher.ask(&fawnspoke_control::protocol::Request::Suspend("e".into()));
+    let answer = dispatcher.send_control_request(&fawnspoke_control::protocol::Request::Suspend("e".into()));
     let text = format!("{answer:?}");
     assert!(text.contains("not on record"), "{text}");
     machine.set(Field::FolderError, 0);
     thread::sleep(Duration::from_millis(1500));
     dispatcher.kill();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
     thread::sleep(Duration::from_millis(1500));
-    assert!(endpoint.seen().is_empty(), "it is out by hand until it is called back");
+    assert!(endpoint.requests().is_empty(), "it is out by hand until it is called back");
 }
 
 /// No socket, no epoll and no place to listen at in the first second of a start.
@@ -486,8 +492,8 @@
     for error in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-        dispatcher.door = true;
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
+        dispatcher.control_enabled = true;
         let machine = Machine::under(&mut dispatcher);
         machine.set(Field::SocketError, error.into());
         let passing = machine.clone();
@@ -498,8 +504,8 @@
         dispatcher.start();
         passed.join().unwrap();
         assert!(machine.faults() > 0);
-        assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-        eventually("its call", || endpoint.seen().len() == 1);
+        assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+        eventually("its call", || endpoint.requests().len() == 1);
     }
 }
 
@@ -510,7 +516,7 @@
     for (error, every) in [(libc::ETIMEDOUT, 7), (libc::EHOSTUNREACH, 5), (libc::ENETUNREACH, 11)] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         let machine = Machine::under(&mut dispatcher);
         dispatcher.start();
         machine.set(Field::BreakError, error.into());
@@ -523,15 +529,17 @@
             let mut client = dispatcher.connect();
             client.send(class, &id, 7, 3000, b"x");
             // Its own connection may be one that breaks.
-            if client.try_answer().is_some_and(|answer| answer.status() == 202) {
+            if client.try_read_response().is_some_and(|answer| answer.status() == 202) {
                 taken.push((id, class));
             }
         }
         machine.set(Field::BreakEvery, 0);
         assert!(taken.len() >= 10, "{} taken", taken.len());
         for (id, class) in &taken {
-            eventually("its end", || endpoint.ids().contains(id) || !platform.told(id).is_empty());
-            let calls = endpoint.ids().iter().filter(|other| *other == id).count();
+            eventually("its end", || {
+                endpoint.message_ids().contains(id) || !platform.outcomes(id).is_empty()
+            });
+            let calls = endpoint.message_ids().iter().filter(|other| *other == id).count();
             assert!(calls <= 1 || *class != "unsafe", "{id}: {calls} calls");
         }
     }
--- a/crates/fawnspoke/tests/sockets/settings.rs
+++ b/crates/fawnspoke/tests/sockets/settings.rs
@@ -65,7 +65,7 @@
 fn each_odd_value_is_refused_by_its_key_or_served() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let good = dispatcher.config.clone();
     let (mut refused, mut served) = (0, 0);
     for key in KEYS {
@@ -73,7 +73,7 @@
             let case = format!("{key} = {value}");
             dispatcher.config = good.clone();
             *dispatcher.config.pointer_mut(key).expect(key) = value;
-            let file = dispatcher.configure(&dispatcher.config.to_string());
+            let file = dispatcher.write_config(&dispatcher.config.to_string());
             if let Err(line) = fawnspoke_node::check(&file) {
                 let name = key.rsplit('/').next().unwrap();
                 assert!(line.lines().count() == 1 && line.contains(name), "{case}: {line}");
@@ -84,7 +84,7 @@
             // Whatever the answer is, there is one, and the process lives on.
             for id in ["a", "b"] {
                 let status =
-                    dispatcher.connect().hand_in("safe", &format!("{id}-{served}"), 7, 400, b"x").status();
+                    dispatcher.connect().submit("safe", &format!("{id}-{served}"), 7, 400, b"x").status();
                 assert!([202, 400, 404, 503].contains(&status), "{case}: {status}");
             }
             dispatcher.signal("TERM");
@@ -126,7 +126,7 @@
     for case in 0..9 {
         let endpoint = Endpoint::start(|_, _| Reply::status(200));
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         let class = |i: usize| {
             let deadline = [0.9, 2.4, 30.0, 3600.0][(case + i) % 4];
             let (name, effect) = (names[(case + i) % names.len()], effects[(case + i) % 3]);
@@ -147,12 +147,14 @@
         let mut client = dispatcher.connect();
         for i in 0..3 {
             let name = names[(case + i) % names.len()];
-            let status = client.hand_in(name, &format!("m{i}"), 7, 900, b"x").status();
+            let status = client.submit(name, &format!("m{i}"), 7, 900, b"x").status();
             assert_eq!(status, 202, "case {case}: {name}");
             // One of 300 dispatchers may not have its turn at a place of one call a second within a short life.
             let id = format!("m{i}");
-            eventually("its end", || endpoint.ids().contains(&id) || !platform.told(&id).is_empty());
-            called += usize::from(endpoint.ids().contains(&id));
+            eventually("its end", || {
+                endpoint.message_ids().contains(&id) || !platform.outcomes(&id).is_empty()
+            });
+            called += usize::from(endpoint.message_ids().contains(&id));
         }
     }
     assert!(called >= 15, "{called} of 27 were called");
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -77,7 +77,7 @@
         let mut rng = rng.lock().unwrap();
         let (mut ran, mut delivered, mut wait) = (true, false, None);
         let reply = match rng.u32(..100) {
-            0..4 => Reply::Break,
+            0..4 => Reply::Disconnect,
             4..8 => Reply::Hang,
             8..14 => Reply::status(500),
             14..18 => {
@@ -98,7 +98,7 @@
             24 => Reply::Raw(b"HTTP/1.1 5".to_vec()),
             _ => {
                 delivered = true;
-                Reply::Late(Duration::from_millis(rng.u64(..60)), 200)
+                Reply::Delayed(Duration::from_millis(rng.u64(..60)), 200)
             }
         };
         book.calls.lock().unwrap().push(Called {
@@ -245,7 +245,7 @@
     let known: Vec<Value> = endpoints
         .iter()
         .zip(places)
-        .map(|(endpoint, (number, dest))| endpoint.host(&format!("e{number}"), dest, "up"))
+        .map(|(endpoint, (number, dest))| endpoint.list_entry(&format!("e{number}"), dest, "up"))
         .collect();
     let mut dispatcher = Dispatcher::new(&platform, &known);
     let at = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -272,7 +272,7 @@
             thread::sleep(Duration::from_millis(rng.u64(300..900)));
         }
         let mut list = |health: &str| {
-            platform.push(seq, &[endpoints[DRAINED as usize].host("e2", 7, health)]);
+            platform.push_changes(seq, &[endpoints[DRAINED as usize].list_entry("e2", 7, health)]);
             seq += 1;
             Instant::now()
         };
--- a/crates/fawnspoke/tests/sockets/stopping.rs
+++ b/crates/fawnspoke/tests/sockets/stopping.rs
@@ -7,8 +7,8 @@
 /// A dispatcher that stays for as long as its one call is out, once it is told to stop; nothing may go to destination 8.
 fn with_a_call_out() -> (Gated, Peer, Platform, Dispatcher) {
     let (gated, platform) = (Gated::open(), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7), held(8)]);
-    assert_eq!(dispatcher.hand_in("safe", "out", 7), 202);
+    let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7), draining_endpoint(8)]);
+    assert_eq!(dispatcher.submit("safe", "out", 7), 202);
     let mut peer = gated.accept();
     assert!(peer.request().is_some());
     (gated, peer, platform, dispatcher)
@@ -16,7 +16,7 @@
 
 fn told(dispatcher: &Dispatcher) {
     dispatcher.signal("TERM");
-    eventually("that it heard", || dispatcher.logged("told to stop"));
+    eventually("that it heard", || dispatcher.log_contains("told to stop"));
 }
 
 #[test]
@@ -24,12 +24,12 @@
     let (gated, mut peer, platform, mut dispatcher) = with_a_call_out();
     told(&dispatcher);
     // Nothing may go to destination 8.
-    let answer = dispatcher.connect().hand_in("safe", "short", 8, 4000, b"x");
+    let answer = dispatcher.connect().submit("safe", "short", 8, 4000, b"x");
     assert_eq!(answer.status(), 503, "it would be held for a life that comes too late");
     assert!(answer.header("retry-after").is_some_and(|s| s.parse::<f64>().is_ok_and(|s| s > 0.0)));
-    assert_eq!(dispatcher.connect().hand_in("safe", "long", 8, 19_000, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("safe", "long", 8, 19_000, b"x").status(), 202);
     // What can go at once is taken, however short its time.
-    assert_eq!(dispatcher.connect().hand_in("safe", "quick", 7, 2500, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("safe", "quick", 7, 2500, b"x").status(), 202);
     let mut other = gated.accept();
     assert!(other.request().is_some_and(|request| request.contains("quick")));
     for peer in [&mut peer, &mut other] {
@@ -38,21 +38,21 @@
     assert!(dispatcher.wait());
     // The next life tries what it finds.
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("late", 8, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("late", 8, "up")]);
     dispatcher.start();
-    eventually("its call", || endpoint.ids() == ["long"]);
+    eventually("its call", || endpoint.message_ids() == ["long"]);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
 fn what_would_run_out_before_the_next_life_has_its_answer_in_this_one() {
     let (_gated, _peer, platform, mut dispatcher) = with_a_call_out();
-    assert_eq!(dispatcher.connect().hand_in("unsafe", "short", 8, 4500, b"x").status(), 202);
-    assert_eq!(dispatcher.connect().hand_in("safe", "long", 8, 19_000, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("unsafe", "short", 8, 4500, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("safe", "long", 8, 19_000, b"x").status(), 202);
     told(&dispatcher);
     assert!(dispatcher.wait());
-    assert_eq!(platform.told("short"), ["handed_back"], "with its time over once another life begins");
-    assert!(platform.told("long").is_empty());
+    assert_eq!(platform.outcomes("short"), ["handed_back"], "with its time over once another life begins");
+    assert!(platform.outcomes("long").is_empty());
 }
 
 /// A client keeps its connection; the process stays for a call that is out.
@@ -60,9 +60,12 @@
 fn kept_connections_close_while_somebody_listens_still() {
     let (_gated, mut peer, _platform, mut dispatcher) = with_a_call_out();
     let mut kept = dispatcher.connect();
-    assert_eq!(kept.hand_in("safe", "held", 8, 15_000, b"x").status(), 202);
+    assert_eq!(kept.submit("safe", "held", 8, 15_000, b"x").status(), 202);
     told(&dispatcher);
-    assert!(kept.closes(), "an idle connection ends, or its client would send on it up to the kill");
+    assert!(
+        kept.is_closed_by_peer(),
+        "an idle connection ends, or its client would send on it up to the kill"
+    );
     // The call is given up 2 s after it began, and the process ends after that.
     assert!(peer.waits(), "it ends long before the process does");
     // A request that had crossed the close comes once more, on a new connection, which is accepted before its first byte
@@ -70,8 +73,8 @@
     let mut anew = dispatcher.connect();
     let mut later = dispatcher.connect();
     later.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(later.answer().status(), 503);
-    let again = anew.hand_in("safe", "again", 7, 15_000, b"x");
+    assert_eq!(later.read_response().status(), 503);
+    let again = anew.submit("safe", "again", 7, 15_000, b"x");
     assert_eq!((again.status(), again.header("connection")), (202, Some("close")));
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert!(dispatcher.wait());
@@ -83,7 +86,7 @@
     let (_gated, mut peer, _platform, mut dispatcher) = with_a_call_out();
     let mut client = dispatcher.connect();
     client.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(client.answer().status(), 200);
+    assert_eq!(client.read_response().status(), 200);
     let mut slow = dispatcher.connect();
     told(&dispatcher);
     slow.write(
@@ -91,11 +94,11 @@
           Request-Timeout-Ms: 2000\r\nContent-Length: 2\r\n\r\nx",
     );
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    assert!(client.closes());
+    assert!(client.is_closed_by_peer());
     // Longer than the process stays with nothing to do, and shorter than it may stay at all.
     std::thread::sleep(Duration::from_millis(900));
     slow.write(b"x");
-    assert_eq!(slow.answer().status(), 503, "not taken: its time would be over");
+    assert_eq!(slow.read_response().status(), 503, "not taken: its time would be over");
     assert!(dispatcher.wait());
 }
 
@@ -103,11 +106,11 @@
 #[test]
 fn what_a_kill_leaves_untried_is_tried_before_fresh_ones() {
     let (gated, platform) = (Gated::open(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[held(7)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[draining_endpoint(7)]);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 1.into();
     dispatcher.start();
     for number in 0..5 {
-        assert_eq!(dispatcher.hand_in("safe", &format!("found{number}"), 7), 202);
+        assert_eq!(dispatcher.submit("safe", &format!("found{number}"), 7), 202);
     }
     dispatcher.kill();
     dispatcher.config["known"]["hosts"] = serde_json::json!([gated.host("e", 7)]);
@@ -115,7 +118,7 @@
     let mut peer = gated.accept();
     let mut calls = vec![peer.request().expect("the first call")];
     for number in 0..5 {
-        assert_eq!(dispatcher.hand_in("safe", &format!("fresh{number}"), 7), 202);
+        assert_eq!(dispatcher.submit("safe", &format!("fresh{number}"), 7), 202);
     }
     while calls.len() < 10 {
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
--- a/crates/fawnspoke/tests/sockets/support.rs
+++ b/crates/fawnspoke/tests/sockets/support.rs
@@ -1,18 +1,20 @@
 //! The lab's stand-ins, with this program as the dispatcher.
 
-pub use fawnspoke_lab::stage::{Client, Endpoint, Http, Platform, Reply, eventually, held, host};
+pub use fawnspoke_lab::blocking::{
+    Client, Endpoint, Http, Platform, Reply, draining_endpoint, eventually, list_entry,
+};
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
 
 /// The program that is tested, as a process.
-pub struct Dispatcher(fawnspoke_lab::stage::Dispatcher);
+pub struct Dispatcher(fawnspoke_lab::blocking::Dispatcher);
 
 impl Dispatcher {
     pub fn new(platform: &Platform, known: &[Value]) -> Dispatcher {
         let program = Path::new(env!("CARGO_BIN_EXE_fawnspoke"));
         let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        Dispatcher(fawnspoke_lab::stage::Dispatcher::new(program, folder, platform, known))
+        Dispatcher(fawnspoke_lab::blocking::Dispatcher::new(program, folder, platform, known))
     }
 
     pub fn started(platform: &Platform, known: &[Value]) -> Dispatcher {
@@ -23,7 +25,7 @@
 }
 
 impl Deref for Dispatcher {
-    type Target = fawnspoke_lab::stage::Dispatcher;
+    type Target = fawnspoke_lab::blocking::Dispatcher;
 
     fn deref(&self) -> &Self::Target {
         &self.0
--- a/crates/fawnspoke/tests/sockets/watch.rs
+++ b/crates/fawnspoke/tests/sockets/watch.rs
@@ -31,26 +31,28 @@
 fn an_indented_list_is_read_however_it_is_cut() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let (_discovery, dispatcher, mut watch) = watched(&[]);
-    let text = serde_json::to_string_pretty(&list(2, &[endpoint.host("e", 7, "up")])).unwrap();
+    let text = serde_json::to_string_pretty(&list(2, &[endpoint.list_entry("e", 7, "up")])).unwrap();
     // In pieces of a few bytes, with line ends inside and none behind.
     for piece in text.as_bytes().chunks(7) {
         chunk(&mut watch, std::str::from_utf8(piece).unwrap());
     }
-    dispatcher.hand_in_once_listed("safe", "m1", 7);
-    eventually("its call", || endpoint.ids().contains(&"m1".to_string()));
+    dispatcher.submit_once_listed("safe", "m1", 7);
+    eventually("its call", || endpoint.message_ids().contains(&"m1".to_string()));
     // Two in one piece, and the beginning of a third.
-    let more = list(3, &[endpoint.host("e", 7, "draining")]).to_string()
-        + &serde_json::to_string_pretty(&list(4, &[held(8)])).unwrap()
+    let more = list(3, &[endpoint.list_entry("e", 7, "draining")]).to_string()
+        + &serde_json::to_string_pretty(&list(4, &[draining_endpoint(8)])).unwrap()
         + "\r\n {\"seq\":5,";
     chunk(&mut watch, &more);
-    dispatcher.hand_in_once_listed("safe", "m2", 8);
-    assert_eq!(dispatcher.hand_in("safe", "m3", 7), 202);
+    dispatcher.submit_once_listed("safe", "m2", 8);
+    assert_eq!(dispatcher.submit("safe", "m3", 7), 202);
     chunk(
         &mut watch,
-        &(r#""whole":false,"hosts":["#.to_string() + &endpoint.host("e", 8, "up").to_string() + "]}"),
+        &(r#""whole":false,"hosts":["#.to_string() + &endpoint.list_entry("e", 8, "up").to_string() + "]}"),
     );
-    eventually("the call of what waited for the third", || endpoint.ids().contains(&"m2".to_string()));
-    assert!(!endpoint.ids().contains(&"m3".to_string()), "it drained before m3 was taken");
+    eventually("the call of what waited for the third", || {
+        endpoint.message_ids().contains(&"m2".to_string())
+    });
+    assert!(!endpoint.message_ids().contains(&"m3".to_string()), "it drained before m3 was taken");
 }
 
 /// The next watch, while heartbeats go on at the one before: its silence does not end it.
@@ -69,7 +71,7 @@
 /// A list breaks off in the middle; heartbeats go on behind it.
 #[test]
 fn a_list_that_breaks_off_opens_the_watch_anew() {
-    let (discovery, _dispatcher, mut watch) = watched(&[held(7)]);
+    let (discovery, _dispatcher, mut watch) = watched(&[draining_endpoint(7)]);
     chunk(&mut watch, "{\"seq\":2,\"whole\":false,\"hosts\":[\n");
     let mut anew = anew(&discovery, &mut watch);
     assert!(
@@ -84,11 +86,11 @@
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let wrongs = ["{\"seq\":2,\"whole\":true,\"hosts\":7}\n", "{\"seq\":2]\n", "7\n"];
     for (number, wrong) in wrongs.into_iter().enumerate() {
-        let (discovery, dispatcher, mut watch) = watched(&[endpoint.host("e", 7, "up")]);
+        let (discovery, dispatcher, mut watch) = watched(&[endpoint.list_entry("e", 7, "up")]);
         chunk(&mut watch, wrong);
         let mut anew = anew(&discovery, &mut watch);
         assert!(anew.request().is_some_and(|request| request.contains("stream=1&index=1 ")), "{wrong}");
-        assert_eq!(dispatcher.hand_in("safe", &format!("m{number}"), 7), 202);
-        eventually("its call", || endpoint.ids().contains(&format!("m{number}")));
+        assert_eq!(dispatcher.submit("safe", &format!("m{number}"), 7), 202);
+        eventually("its call", || endpoint.message_ids().contains(&format!("m{number}")));
     }
 }
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -4,9 +4,9 @@
 //! loop with a bound on what is under way, so that nothing is refused: what comes out is the highest rate that is
 //! sustained. Latencies are taken in an open loop at half that rate.
 
-use crate::door::{Answers, asked};
+use crate::control_latency::{Answers, asked};
 use crate::platform::{Host, Platform};
-use crate::process::{Process, Program, resident_kb, serves};
+use crate::process::{Process, Program, is_serving, resident_kb};
 use crate::record::{Listed, Recorder, Sig};
 use hdrhistogram::Histogram;
 use rustix::process::Pid;
@@ -367,14 +367,14 @@
 /// What keeps either from starting or ends the load.
 pub fn run(program: &Path, folder: &Path, settings: &Settings) -> io::Result<Measured> {
     // The platform goes on while this thread waits for the load.
-    let runtime = crate::stage::handle();
+    let runtime = crate::blocking::runtime_handle();
     let subject = cores().into_iter().take(1).collect::<Vec<_>>();
     let recorder = Recorder::new(1_000_000);
     let start = |index: usize, path: &Path, arguments, listen: SocketAddr, config: &serde_json::Value| {
         let program = Program { path: path.to_path_buf(), arguments };
         let log = folder.join(format!("bench-{index}.log"));
         let process = Process::new(index, program, listen, folder, log, recorder.clone())?;
-        process.configure(config)?;
+        process.write_config(config)?;
         Ok::<_, io::Error>(process)
     };
     let free = || std::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?.local_addr();
@@ -383,7 +383,7 @@
     let arguments = vec!["lab".into(), "proxy".into(), listen.to_string(), to.to_string()];
     let proxy = start(0, program, arguments, listen, &json!({}))?;
     runtime.block_on(proxy.start(to))?;
-    let pid = proxy.id().ok_or(io::ErrorKind::NotFound)?;
+    let pid = proxy.pid().ok_or(io::ErrorKind::NotFound)?;
     bind(Some(pid), &subject);
     let (beside, _) = figures(pid, listen, listener, settings, None)?;
     stop(runtime, &proxy);
@@ -421,7 +421,7 @@
     let measured = settings.program.as_deref().unwrap_or(program);
     let dispatcher = start(1, measured, Vec::new(), listen, &config)?;
     runtime.block_on(dispatcher.start(discovery))?;
-    let pid = dispatcher.id().ok_or(io::ErrorKind::NotFound)?;
+    let pid = dispatcher.pid().ok_or(io::ErrorKind::NotFound)?;
     // All its threads: the door's shares the core.
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))?.flatten() {
         bind(thread.file_name().to_str().and_then(|id| id.parse().ok()), &subject);
@@ -431,7 +431,7 @@
     let (measured, listener) = figures(pid, listen, listener, settings, Some(&journal))?;
     // A program before there was a door is not asked.
     let mut door = None;
-    if crate::stage::handle().block_on(serves(control)) {
+    if crate::blocking::runtime_handle().block_on(is_serving(control)) {
         let (alone, loaded) = asked(control, 0, || load(listen, listener, settings, None));
         let (among, loaded) = asked(control, BAD_CALLERS, || load(listen, loaded?.1, settings, None));
         loaded?;
@@ -450,7 +450,7 @@
 
 fn stop(runtime: &tokio::runtime::Handle, process: &Process) {
     process.signal(Sig::Kill);
-    runtime.block_on(process.ended(Duration::from_secs(10)));
+    runtime.block_on(process.wait_for_exit(Duration::from_secs(10)));
 }
 
 /// The figures as text.
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/blocking.rs
@@ -31,7 +31,7 @@
 }
 
 /// The runtime on which the stand-ins live.
-pub(crate) fn handle() -> &'static Handle {
+pub(crate) fn runtime_handle() -> &'static Handle {
     static HANDLE: OnceLock<Handle> = OnceLock::new();
     HANDLE.get_or_init(|| {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -59,7 +59,7 @@
     /// A status, further header lines, a body.
     Answer(u16, String, String),
     /// A bare status after a while.
-    Late(Duration, u16),
+    Delayed(Duration, u16),
     /// An answer after which the connection is closed without a word of it.
     AnswerAndClose(u16),
     /// Bytes as they are; the connection stays open for more calls.
@@ -67,7 +67,7 @@
     /// The first bytes, then the second ones over and over until the other side has had enough.
     Endless(Vec<u8>, Vec<u8>),
     /// Breaks the connection.
-    Break,
+    Disconnect,
     /// Never answers; reads on until the other side closes.
     Hang,
 }
@@ -82,12 +82,12 @@
         use endpoint::Reply as Out;
         match self {
             Reply::Answer(status, headers, body) => Out::now(How::Answer(status, headers, body.into_bytes())),
-            Reply::Late(after, status) => Out::status(status).late(after),
+            Reply::Delayed(after, status) => Out::status(status).late(after),
             Reply::AnswerAndClose(status) => Out::now(How::AnswerAndClose(status)),
             // How it counts is of no concern: tests look at what follows.
             Reply::Raw(bytes) => Out::now(How::Raw(bytes, End::Broken)),
             Reply::Endless(first, more) => Out::now(How::Endless(first, more)),
-            Reply::Break => Out::now(How::Break),
+            Reply::Disconnect => Out::now(How::Break),
             Reply::Hang => Out::now(How::Hang),
         }
     }
@@ -95,18 +95,18 @@
 
 /// A request as an endpoint saw it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The request.
     pub request: Http,
     /// The connection it came on, counted from 0.
     pub connection: usize,
     /// When it was there in full.
-    pub at: Instant,
+    pub received_at: Instant,
 }
 
-impl Seen {
+impl ReceivedRequest {
     /// The message's id; `-` where it has none.
-    pub fn id(&self) -> &str {
+    pub fn message_id(&self) -> &str {
         self.request.header("request-id").unwrap_or("-")
     }
 }
@@ -115,17 +115,17 @@
 
 struct Scripted {
     decide: Box<Decide>,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl endpoint::Script for Scripted {
     fn begin(&self, call: &Call) -> endpoint::Reply {
         let number = {
             let mut seen = lock(&self.seen);
-            seen.push(Seen {
+            seen.push(ReceivedRequest {
                 request: call.request.clone(),
                 connection: call.connection,
-                at: call.request.whole,
+                received_at: call.request.whole,
             });
             seen.len() - 1
         };
@@ -137,8 +137,8 @@
 #[derive(Clone)]
 pub struct Endpoint {
     /// Where it listens.
-    pub at: SocketAddr,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    pub address: SocketAddr,
+    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
     endpoint: Arc<endpoint::Endpoint>,
 }
 
@@ -165,52 +165,52 @@
             endpoint::Endpoint::start("e", 0, &[at], Traits::default(), script, recorder, Arc::default())
                 .await
         };
-        let endpoint = handle().block_on(started).expect("an endpoint that listens");
-        Endpoint { at: endpoint.at(0).expect("its address"), seen, endpoint: Arc::new(endpoint) }
+        let endpoint = runtime_handle().block_on(started).expect("an endpoint that listens");
+        Endpoint { address: endpoint.at(0).expect("its address"), seen, endpoint: Arc::new(endpoint) }
     }
 
     /// What it has seen.
-    pub fn seen(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.seen).clone()
     }
 
     /// The ids of what it has seen.
-    pub fn ids(&self) -> Vec<String> {
-        self.seen().iter().map(|seen| seen.id().to_string()).collect()
+    pub fn message_ids(&self) -> Vec<String> {
+        self.requests().iter().map(|seen| seen.message_id().to_string()).collect()
     }
 
     /// Connections that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         let counters = self.endpoint.counters();
         counters.connections.load(Ordering::SeqCst) - counters.ended.load(Ordering::SeqCst)
     }
 
     /// Calls that the other side gave up.
-    pub fn given_up(&self) -> usize {
+    pub fn abandoned_calls(&self) -> usize {
         self.endpoint.counters().given_up.load(Ordering::SeqCst)
     }
 
     /// Its line in discovery's list.
-    pub fn host(&self, name: &str, dest: u32, health: &str) -> Value {
-        host(name, self.at, dest, "single", health)
+    pub fn list_entry(&self, name: &str, dest: u32, health: &str) -> Value {
+        list_entry(name, self.address, dest, "single", health)
     }
 }
 
 /// A line of discovery's list.
-pub fn host(name: &str, at: SocketAddr, dest: u32, class: &str, health: &str) -> Value {
+pub fn list_entry(name: &str, at: SocketAddr, dest: u32, class: &str, health: &str) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "a", "class": class, "block": dest,
         "health": health, "share": 50.0, "born_ms": 0})
 }
 
 /// An endpoint that gets nothing: what is for its destination is held.
-pub fn held(dest: u32) -> Value {
-    host("held", SocketAddr::from(([127, 0, 0, 9], 9)), dest, "single", "draining")
+pub fn draining_endpoint(dest: u32) -> Value {
+    list_entry("held", SocketAddr::from(([127, 0, 0, 9], 9)), dest, "single", "draining")
 }
 
 /// Discovery and the place where notices go. It says what it is told to say and nothing else.
 pub struct Platform {
     /// Where it is.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     platform: platform::Platform,
 }
 
@@ -223,8 +223,8 @@
         let (platform, _) = platform::Platform::new(Vec::new(), Recorder::new(ENTRIES_MOST));
         platform.set(|mood| mood.heartbeats = false);
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let at = handle().block_on(platform.agent(0, at)).expect("a platform that listens");
-        Platform { at, platform }
+        let at = runtime_handle().block_on(platform.agent(0, at)).expect("a platform that listens");
+        Platform { address: at, platform }
     }
 
     /// Changes its mood.
@@ -233,12 +233,12 @@
     }
 
     /// Connections are taken and nothing but notices is answered.
-    pub fn silent(&self, on: bool) {
+    pub fn set_silent(&self, on: bool) {
         self.set(|mood| mood.silent = on);
     }
 
     /// What a notice is answered from now on.
-    pub fn answer(&self, status: u16) {
+    pub fn set_notice_status(&self, status: u16) {
         self.set(|mood| mood.notice_status = status);
     }
 
@@ -254,22 +254,22 @@
     ///
     /// # Panics
     /// Where there is none in 30 s.
-    pub fn push(&self, seq: u64, hosts: &[Value]) {
+    pub fn push_changes(&self, seq: u64, hosts: &[Value]) {
         self.say(Some(seq), &json!({"seq": seq, "whole": false, "hosts": hosts}).to_string());
     }
 
     fn say(&self, seq: Option<u64>, line: &str) {
         let said = async { timeout(PATIENCE, self.platform.say(seq, line)).await };
-        handle().block_on(said).expect("a watch");
+        runtime_handle().block_on(said).expect("a watch");
     }
 
     /// The paths of the watches that were asked for.
-    pub fn watched_from(&self) -> Vec<String> {
+    pub fn watch_paths(&self) -> Vec<String> {
         self.platform.watched().into_iter().map(|(_, path)| path).collect()
     }
 
     /// The outcomes told for a message.
-    pub fn told(&self, id: &str) -> Vec<String> {
+    pub fn outcomes(&self, id: &str) -> Vec<String> {
         let notices = self.notices();
         let told = notices.iter().filter(|notice| notice["message"] == id);
         told.map(|notice| notice["outcome"].as_str().unwrap_or_default().to_string()).collect()
@@ -294,9 +294,9 @@
     at: Option<SocketAddr>,
     log: Arc<Mutex<Vec<String>>>,
     /// A shell line that runs before the program.
-    pub before: String,
+    pub shell_prelude: String,
     /// Whether it has a door for operators.
-    pub door: bool,
+    pub control_enabled: bool,
     control: Option<SocketAddr>,
     /// Where other members of its fleet reach it.
     members: Arc<Mutex<Option<SocketAddr>>>,
@@ -330,7 +330,7 @@
                 "tip_multiple": 2.0},
         });
         let config = json!({
-            "name": "n0", "listen": "127.0.0.1:0", "discovery": platform.at.to_string(), "seed": "2a",
+            "name": "n0", "listen": "127.0.0.1:0", "discovery": platform.address.to_string(), "seed": "2a",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 3},
             "known": {"seq": 1, "whole": true, "hosts": known}, "settings": settings,
         });
@@ -342,15 +342,15 @@
             child: None,
             at: None,
             log: Arc::default(),
-            before: String::new(),
-            door: false,
+            shell_prelude: String::new(),
+            control_enabled: false,
             control: None,
             members: Arc::default(),
         }
     }
 
     /// Where other members of its fleet reach it, once it has said so.
-    pub fn members_at(&self) -> Arc<Mutex<Option<SocketAddr>>> {
+    pub fn member_address(&self) -> Arc<Mutex<Option<SocketAddr>>> {
         self.members.clone()
     }
 
@@ -360,17 +360,17 @@
     }
 
     /// The id of its process, while it runs.
-    pub fn id(&self) -> Option<u32> {
+    pub fn process_id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
     /// Whether it runs, as far as this side has not ended it.
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
     /// The folder that outlasts its processes.
-    pub fn state(&self) -> PathBuf {
+    pub fn state_dir(&self) -> PathBuf {
         self.folder.join("state")
     }
 
@@ -378,8 +378,8 @@
     ///
     /// # Panics
     /// Where there is none.
-    pub fn journal(&self) -> PathBuf {
-        let files = fs::read_dir(self.state()).expect("a folder").flatten().map(|file| file.path());
+    pub fn last_segment(&self) -> PathBuf {
+        let files = fs::read_dir(self.state_dir()).expect("a folder").flatten().map(|file| file.path());
         let segments = files.filter(|file| file.extension().is_some_and(|end| end == "journal"));
         segments.max().expect("a segment")
     }
@@ -388,27 +388,27 @@
     ///
     /// # Panics
     /// Where it can't be written.
-    pub fn configure(&self, text: &str) -> PathBuf {
+    pub fn write_config(&self, text: &str) -> PathBuf {
         let config = self.folder.join("config.json");
         fs::write(&config, text).expect("a file for the configuration");
         config
     }
 
     /// Whether a line of the log holds the text.
-    pub fn logged(&self, text: &str) -> bool {
+    pub fn log_contains(&self, text: &str) -> bool {
         lock(&self.log).iter().any(|line| line.contains(text))
     }
 
     /// The command that runs it, with its configuration written.
     pub fn command(&self) -> Command {
-        let config = self.configure(&self.config.to_string());
+        let config = self.write_config(&self.config.to_string());
         let mut command = Command::new("sh");
         command
             .arg("-c")
-            .arg(format!("{} exec \"$0\"", self.before))
+            .arg(format!("{} exec \"$0\"", self.shell_prelude))
             .arg(&self.program)
             .env("GW_CONFIG", config)
-            .env("GW_STATE", self.state())
+            .env("GW_STATE", self.state_dir())
             .stdin(Stdio::null())
             .stdout(Stdio::piped());
         command
@@ -434,7 +434,7 @@
     }
 
     fn begin(&mut self, mut command: Command) -> Child {
-        if self.door {
+        if self.control_enabled {
             command.env("GW_CONTROL", "127.0.0.1:0");
         }
         let mut child = command.spawn().expect("a process");
@@ -466,13 +466,13 @@
     ///
     /// # Panics
     /// Where it has none, or no answer comes in 30 s.
-    pub fn ask(&self, call: &DoorCall) -> DoorReply {
+    pub fn send_control_request(&self, call: &DoorCall) -> DoorReply {
         let at = self.control.expect("a door");
         fawnspoke_control::client::send_request(at, call, PATIENCE).expect("an answer")
     }
 
     /// Where its door is.
-    pub fn control(&self) -> Option<SocketAddr> {
+    pub fn control_address(&self) -> Option<SocketAddr> {
         self.control
     }
 
@@ -516,18 +516,18 @@
     /// Where it doesn't come up.
     pub fn connect(&self) -> Client {
         let at = self.at.expect("a process that listens");
-        let wire = handle().block_on(async { Wire::connect(at, PATIENCE).await });
+        let wire = runtime_handle().block_on(async { Wire::connect(at, PATIENCE).await });
         Client(wire.expect("a connection"))
     }
 
     /// Hands in a small message as soon as a list that names its destination has come.
-    pub fn hand_in_once_listed(&self, class: &str, id: &str, dest: u32) {
-        eventually("the list", || self.hand_in(class, id, dest) == 202);
+    pub fn submit_once_listed(&self, class: &str, id: &str, dest: u32) {
+        eventually("the list", || self.submit(class, id, dest) == 202);
     }
 
     /// Hands in a small message on a connection of its own; returns the status.
-    pub fn hand_in(&self, class: &str, id: &str, dest: u32) -> u16 {
-        self.connect().hand_in(class, id, dest, 15_000, b"hello").status()
+    pub fn submit(&self, class: &str, id: &str, dest: u32) -> u16 {
+        self.connect().submit(class, id, dest, 15_000, b"hello").status()
     }
 }
 
@@ -558,15 +558,15 @@
     /// # Panics
     /// Where the connection has ended.
     pub fn write(&mut self, bytes: &[u8]) {
-        handle().block_on(self.0.write(bytes)).expect("an open connection");
+        runtime_handle().block_on(self.0.write(bytes)).expect("an open connection");
     }
 
     /// Ends its sending.
     ///
     /// # Panics
     /// Where the connection has ended.
-    pub fn end_sending(&mut self) {
-        handle().block_on(self.0.end_sending()).expect("an open connection");
+    pub fn shutdown_write(&mut self) {
+        runtime_handle().block_on(self.0.end_sending()).expect("an open connection");
     }
 
     /// Sends a message and doesn't wait.
@@ -584,19 +584,19 @@
     ///
     /// # Panics
     /// Where none comes in 30 s.
-    pub fn answer(&mut self) -> Http {
+    pub fn read_response(&mut self) -> Http {
         let answered = async { timeout(PATIENCE, self.0.answer()).await };
-        handle().block_on(answered).expect("an answer in time").expect("an answer")
+        runtime_handle().block_on(answered).expect("an answer in time").expect("an answer")
     }
 
     /// The next answer; none where the connection ends without one.
-    pub fn try_answer(&mut self) -> Option<Http> {
+    pub fn try_read_response(&mut self) -> Option<Http> {
         let answered = async { timeout(PATIENCE, self.0.answer()).await };
-        handle().block_on(answered).ok()?.ok()
+        runtime_handle().block_on(answered).ok()?.ok()
     }
 
     /// Whether the other side ends the connection; what it still says is passed over.
-    pub fn closes(&mut self) -> bool {
+    pub fn is_closed_by_peer(&mut self) -> bool {
         let closed = async {
             loop {
                 match self.0.piece().await {
@@ -606,12 +606,12 @@
                 }
             }
         };
-        handle().block_on(async { timeout(PATIENCE, closed).await }).unwrap_or(false)
+        runtime_handle().block_on(async { timeout(PATIENCE, closed).await }).unwrap_or(false)
     }
 
     /// Sends a message and waits for its answer.
-    pub fn hand_in(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) -> Http {
+    pub fn submit(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) -> Http {
         self.send(class, id, dest, timeout_ms, body);
-        self.answer()
+        self.read_response()
     }
 }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -2,7 +2,7 @@
 //! 400 ms, and come again by habit.
 
 use crate::http::Wire;
-use crate::ledger::Ledger;
+use crate::message_registry::Ledger;
 use crate::platform::Notice;
 use crate::record::{Effect, Micros, Outcome, Recorder, What, digest};
 use crate::scenario::Scenario;
@@ -106,7 +106,7 @@
         for arrival in arrivals {
             tokio::time::sleep_until(self.recorder.instant(began + arrival.at).into()).await;
             let mut rng = fastrand::Rng::with_seed(arrival.seed);
-            let body = Arc::new((0..arrival.length).map(|_| rng.u8(..)).collect());
+            let body = Arc::new((0..arrival.body_bytes).map(|_| rng.u8(..)).collect());
             let since = self.recorder.now();
             self.spawn(
                 Errand { arrival, rng, hand_ins: 0, refusals: 0, reached: false, since, body },
@@ -126,7 +126,8 @@
                 // With a key that may be forgotten by then nobody comes again.
                 let class = &self.scenario.classes[errand.arrival.class];
                 let then = self.recorder.now() + wait.as_micros() as Micros;
-                if class.effect != Effect::Keyed || then < errand.since + (class.window_s * 1e6) as Micros {
+                if class.effect != Effect::Keyed || then < errand.since + (class.key_window_s * 1e6) as Micros
+                {
                     self.spawn(errand, wait);
                 }
             }
@@ -146,7 +147,7 @@
     /// Whether a message that was turned away comes again: by habit, and once.
     fn comes_again(&self, errand: &mut Errand) -> bool {
         errand.refusals += 1;
-        errand.refusals == 1 && errand.rng.f64() < self.scenario.clients.retries
+        errand.refusals == 1 && errand.rng.f64() < self.scenario.clients.retry_probability
     }
 
     fn backoff(&self, errand: &mut Errand) -> Duration {
@@ -212,9 +213,9 @@
         let arrival = &errand.arrival;
         let class = &self.scenario.classes[arrival.class];
         let dest = arrival.partner as u32 + 1;
-        let window = (class.window_s * 1e6) as Micros;
+        let window = (class.key_window_s * 1e6) as Micros;
         self.ledger.enter(id, dest, deadline, class.effect, window);
-        let patience = Duration::from_millis(self.scenario.clients.patience_ms);
+        let patience = Duration::from_millis(self.scenario.clients.response_timeout_ms);
         let mut fresh = false;
         loop {
             let kept = if fresh { None } else { self.reuse(dispatcher) };
@@ -237,7 +238,7 @@
             if let Some(key) = &key {
                 head.push_str(&format!("Idempotency-Key: {key}\r\n"));
             }
-            if let Some(customer) = &self.scenario.partners[arrival.partner].customer {
+            if let Some(customer) = &self.scenario.partners[arrival.partner].tenant {
                 head.push_str(&format!("Tenant: {customer}\r\n"));
             }
             if errand.hand_ins > 1 {
@@ -286,7 +287,7 @@
             self.recorder.add(What::Answered { id: id.into(), status: answer.status() });
             if !answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
                 let mut kept = lock(&self.kept[dispatcher]);
-                if kept.len() < self.scenario.clients.connections {
+                if kept.len() < self.scenario.clients.max_connections {
                     kept.push(wire);
                 }
             }
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -1,14 +1,14 @@
 //! The lab's subcommands.
 
 use crate::auditor::audit as judge;
+use crate::fleet_measurements::{self, Fault};
 use crate::killer::Kills;
-use crate::measures::{self, Fault};
 use crate::process::Program;
 use crate::record;
-use crate::run::{self, Options};
+use crate::runner::{self, RunOptions};
 use crate::scenario::Scenario;
 use crate::script::Script;
-use crate::{bench, fleet, loss, naive, proxy, table};
+use crate::{bench, fleet_counters, loss, naive, proxy, summary};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -21,13 +21,13 @@
 
 /// How a scenario is to be played.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct PlayOptions {
     /// In place of the scenario's own seed.
     pub seed: Option<u64>,
     /// How many seeds, counted up.
     pub seeds: u64,
     /// The fault of the naive dispatcher that takes the place of the real one.
-    pub broken: Option<String>,
+    pub naive_fault: Option<String>,
     /// The program that is run in place of this one.
     pub program: Option<PathBuf>,
     /// Where the record is kept.
@@ -52,7 +52,7 @@
 }
 
 /// Plays the embedded scenario.
-pub fn demo(play: &Play) -> ExitCode {
+pub fn demo(play: &PlayOptions) -> ExitCode {
     match Scenario::parse("demo.toml", DEMO) {
         Ok(scenario) => played(&scenario, play),
         Err(error) => wrong(error),
@@ -60,7 +60,7 @@
 }
 
 /// Plays a scenario of the user's own.
-pub fn run(scenario: &Path, play: &Play) -> ExitCode {
+pub fn run(scenario: &Path, play: &PlayOptions) -> ExitCode {
     match Scenario::read(scenario) {
         Ok(scenario) => played(&scenario, play),
         Err(error) => wrong(error),
@@ -71,7 +71,7 @@
 pub fn script(scenario: &Path, seed: Option<u64>) -> ExitCode {
     match Scenario::read(scenario) {
         Ok(scenario) => {
-            let script = Script::draw(&scenario, seed.unwrap_or(scenario.seed));
+            let script = Script::generate(&scenario, seed.unwrap_or(scenario.seed));
             print!("{}", script.text(&scenario));
             println!("digest {:016x}", script.digest(&scenario));
             ExitCode::SUCCESS
@@ -85,7 +85,7 @@
     match record::load(path) {
         Ok(entries) => {
             let verdict = judge(&entries);
-            print!("{}{}", table::classes(&verdict), table::verdict(&verdict));
+            print!("{}{}", summary::classes(&verdict), summary::verdict(&verdict));
             code(verdict.clean())
         }
         Err(error) => wrong(error),
@@ -94,7 +94,7 @@
 
 /// Sums the counts in a fleet's logs over spans of `every` seconds.
 pub fn fleet(folder: &Path, every: f64) -> ExitCode {
-    match fleet::Fleet::read(folder, every) {
+    match fleet_counters::FleetCounters::read_logs(folder, every) {
         Ok(fleet) => {
             print!("{}", fleet.text(every));
             ExitCode::SUCCESS
@@ -106,7 +106,9 @@
 /// What a fleet lost by destination, by the second; beside another folder's, where one is given.
 pub fn losses(folder: &Path, before: Option<&Path>, json: bool) -> ExitCode {
     const SPAN: f64 = 1.0;
-    let read = |folder: &Path| Ok::<_, String>(loss::losses(&fleet::Fleet::read(folder, SPAN)?, SPAN));
+    let read = |folder: &Path| {
+        Ok::<_, String>(loss::losses(&fleet_counters::FleetCounters::read_logs(folder, SPAN)?, SPAN))
+    };
     let (after, before) = match (read(folder), before.map(read).transpose()) {
         (Ok(after), Ok(before)) => (after, before),
         (Err(error), _) | (_, Err(error)) => return wrong(error),
@@ -133,7 +135,7 @@
 
 /// Measures throughput and latency beside a plain proxy.
 pub fn bench(settings: &bench::Settings) -> ExitCode {
-    let folder = match run::fresh_folder(&std::env::temp_dir()) {
+    let folder = match runner::create_run_dir(&std::env::temp_dir()) {
         Ok(folder) => folder,
         Err(error) => return wrong(error),
     };
@@ -153,13 +155,13 @@
 }
 
 /// Measures how long duties take to be another one's, at terms in seconds.
-pub fn handing_on(terms: &[f64], times: usize) -> ExitCode {
+pub fn measure_duty_failover(terms: &[f64], times: usize) -> ExitCode {
     let measured = std::env::current_exe().and_then(|program| {
-        let folder = run::fresh_folder(&std::env::temp_dir())?;
+        let folder = runner::create_run_dir(&std::env::temp_dir())?;
         let mut clean = true;
         for term in terms {
             for fault in [Fault::Kill, Fault::Stall, Fault::Cut, Fault::Word] {
-                let measured = measures::handing_on(&program, &folder, *term, fault, times)?;
+                let measured = fleet_measurements::handing_on(&program, &folder, *term, fault, times)?;
                 println!("{measured}");
                 clean &= measured.faults.is_empty();
             }
@@ -171,11 +173,11 @@
 }
 
 /// Counts tries and list calls of dispatchers alone and as a fleet.
-pub fn tries(count: usize, out_s: f64, a_second: f64) -> ExitCode {
+pub fn measure_trials(count: usize, out_s: f64, a_second: f64) -> ExitCode {
     let measured = std::env::current_exe().and_then(|program| {
-        let folder = run::fresh_folder(&std::env::temp_dir())?;
+        let folder = runner::create_run_dir(&std::env::temp_dir())?;
         for fleet in [false, true] {
-            println!("{}", measures::tried(&program, &folder, count, fleet, out_s, a_second)?);
+            println!("{}", fleet_measurements::tried(&program, &folder, count, fleet, out_s, a_second)?);
         }
         std::fs::remove_dir_all(folder)
     });
@@ -183,12 +185,12 @@
 }
 
 /// Measures what members cost at rest, beside dispatchers alone.
-pub fn rest(counts: &[u64], seconds: f64) -> ExitCode {
+pub fn measure_idle_cost(counts: &[u64], seconds: f64) -> ExitCode {
     let measured = std::env::current_exe().and_then(|program| {
-        let folder = run::fresh_folder(&std::env::temp_dir())?;
+        let folder = runner::create_run_dir(&std::env::temp_dir())?;
         for count in counts {
             for fleet in [false, true] {
-                println!("{}", measures::rest(&program, &folder, *count as usize, fleet, seconds)?);
+                println!("{}", fleet_measurements::rest(&program, &folder, *count as usize, fleet, seconds)?);
             }
         }
         std::fs::remove_dir_all(folder)
@@ -212,10 +214,10 @@
     }
 }
 
-fn program(play: &Play) -> Result<Program, String> {
+fn program(play: &PlayOptions) -> Result<Program, String> {
     let own = || std::env::current_exe().map_err(|error| format!("this program's own path: {error}"));
     let path = play.program.clone().map_or_else(own, Ok)?;
-    let arguments = match play.broken.as_deref() {
+    let arguments = match play.naive_fault.as_deref() {
         // Bare, as the platform starts it.
         None => Vec::new(),
         Some(fault) => {
@@ -226,7 +228,7 @@
     Ok(Program { path, arguments })
 }
 
-fn played(scenario: &Scenario, play: &Play) -> ExitCode {
+fn played(scenario: &Scenario, play: &PlayOptions) -> ExitCode {
     let program = match program(play) {
         Ok(program) => program,
         Err(error) => return wrong(error),
@@ -249,22 +251,22 @@
     code(broken.is_empty())
 }
 
-fn one(scenario: &Scenario, seed: u64, play: &Play, program: &Program) -> std::io::Result<bool> {
-    let script = Script::draw(scenario, seed);
+fn one(scenario: &Scenario, seed: u64, play: &PlayOptions, program: &Program) -> std::io::Result<bool> {
+    let script = Script::generate(scenario, seed);
     println!(
         "{}: seed {seed}, {} messages in {} s to {} partners, {} dispatchers, {} faults, script {:016x}",
         scenario.name,
         script.arrivals.len(),
-        scenario.length_s,
+        scenario.duration_s,
         scenario.partners.len(),
         scenario.dispatchers.count,
-        script.turns.len(),
+        script.faults.len(),
         script.digest(scenario)
     );
     let parent = play.logs.clone().unwrap_or_else(std::env::temp_dir);
-    let folder = run::fresh_folder(&parent)?;
-    let options = Options { program: program.clone(), folder: folder.clone(), progress: play.seeds == 1 };
-    let outcome = runtime()?.block_on(run::play(scenario, &script, &options));
+    let folder = runner::create_run_dir(&parent)?;
+    let options = RunOptions { program: program.clone(), folder: folder.clone(), progress: play.seeds == 1 };
+    let outcome = runtime()?.block_on(runner::run_scenario(scenario, &script, &options));
     if play.logs.is_none() {
         // What is left of it is only in the way.
         let _ = std::fs::remove_dir_all(&folder);
@@ -276,7 +278,7 @@
         record::save(path, &outcome.entries)?;
     }
     let verdict = judge(&outcome.entries);
-    print!("{}", table::classes(&verdict));
+    print!("{}", summary::classes(&verdict));
     let memory: Vec<String> =
         outcome.resident_kb.iter().map(|kb| format!("{:.1}", *kb as f64 / 1024.0)).collect();
     println!("resident memory of the dispatchers at most: {} MB", memory.join(", "));
@@ -290,13 +292,13 @@
     if outcome.upgrades.count > 0 {
         print!("{}", outcome.upgrades);
     }
-    if outcome.never > 0 {
-        println!("{} messages found no dispatcher that would listen", outcome.never);
+    if outcome.unreached_messages > 0 {
+        println!("{} messages found no dispatcher that would listen", outcome.unreached_messages);
     }
-    if !outcome.fallen.is_empty() {
-        println!("fell over: {}", outcome.fallen.join(", "));
+    if !outcome.collapsed_partners.is_empty() {
+        println!("fell over: {}", outcome.collapsed_partners.join(", "));
     }
-    print!("{}", table::verdict(&verdict));
+    print!("{}", summary::verdict(&verdict));
     let told = outcome.fleet.unwrap_or_default();
     if told.epochs > 0 {
         println!("the fleet: {} acts under {} epochs, {} breaks", told.acts, told.epochs, told.faults.len());
--- a/crates/lab/src/fleet.rs
+++ b/crates/lab/src/fleet_counters.rs
@@ -22,24 +22,24 @@
 
 /// What a fleet's logs say.
 #[derive(Debug, Default, PartialEq)]
-pub struct Fleet {
+pub struct FleetCounters {
     /// Logs that were read.
     pub logs: usize,
     /// Lines of counts in them.
-    pub lines: usize,
+    pub counter_lines: usize,
     /// By span (its number) and destination, each figure by its name.
-    pub spans: BTreeMap<(u64, String), BTreeMap<String, u64>>,
+    pub intervals: BTreeMap<(u64, String), BTreeMap<String, u64>>,
     /// Messages held at the end of each span, and the age of the oldest in milliseconds, by the same.
-    pub held: BTreeMap<(u64, String), (u64, u64)>,
+    pub pending: BTreeMap<(u64, String), (u64, u64)>,
     /// Dispatchers whose counts say something, by span.
-    pub alive: BTreeMap<u64, BTreeSet<usize>>,
+    pub reporting: BTreeMap<u64, BTreeSet<usize>>,
     /// Calls for the list that failed, by span.
     pub list_failures: BTreeMap<u64, u64>,
 }
 
-impl Fleet {
+impl FleetCounters {
     /// Takes one line of a dispatcher's log. `every`: seconds of a span. Lines that are no counts are passed over.
-    pub fn take(&mut self, log: usize, line: &str, every: f64) {
+    pub fn add_line(&mut self, log: usize, line: &str, every: f64) {
         let mut words = line.split_whitespace();
         let Some(time) = words.next().and_then(|word| word.parse::<f64>().ok()).filter(|t| *t >= 0.0) else {
             return;
@@ -51,14 +51,14 @@
         if !words.by_ref().take(2).any(|word| word == "counts") {
             return;
         }
-        self.lines += 1;
-        self.alive.entry(span).or_default().insert(log);
+        self.counter_lines += 1;
+        self.reporting.entry(span).or_default().insert(log);
         for (dest, figures) in words.filter_map(|word| word.split_once(':')) {
-            let sums = self.spans.entry((span, dest.to_string())).or_default();
+            let sums = self.intervals.entry((span, dest.to_string())).or_default();
             let read = figures.split(',').filter_map(|figure| figure.split_once('='));
             for (name, figure) in read.filter_map(|(name, figure)| Some((name, figure.parse::<u64>().ok()?)))
             {
-                let held = self.held.entry((span, dest.to_string())).or_default();
+                let held = self.pending.entry((span, dest.to_string())).or_default();
                 match name {
                     // A gauge: every second of the span tells it.
                     "held" => held.0 += figure,
@@ -78,9 +78,9 @@
     ///
     /// # Errors
     /// One line that names the folder or file, where it can't be read or holds no counts.
-    pub fn read(folder: &Path, every: f64) -> Result<Fleet, String> {
+    pub fn read_logs(folder: &Path, every: f64) -> Result<FleetCounters, String> {
         let fault = |path: &Path, error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-        let mut fleet = Fleet::default();
+        let mut fleet = FleetCounters::default();
         let files = std::fs::read_dir(folder).map_err(|error| fault(folder, &error))?;
         let mut paths: Vec<_> = files.filter_map(|file| Some(file.ok()?.path())).collect();
         paths.retain(|path| path.extension().is_some_and(|extension| extension == "log"));
@@ -89,11 +89,11 @@
             let file = std::fs::File::open(&path).map_err(|error| fault(&path, &error))?;
             for line in BufReader::new(file).split(b'\n') {
                 let line = line.map_err(|error| fault(&path, &error))?;
-                fleet.take(fleet.logs, &String::from_utf8_lossy(&line), every);
+                fleet.add_line(fleet.logs, &String::from_utf8_lossy(&line), every);
             }
             fleet.logs += 1;
         }
-        if fleet.lines == 0 {
+        if fleet.counter_lines == 0 {
             return Err(fault(folder, &"no log with counts (files *.log of dispatchers)"));
         }
         Ok(fleet)
@@ -101,7 +101,7 @@
 
     /// The table: a row for each span and destination, and one for all.
     pub fn text(&self, every: f64) -> String {
-        let mut text = format!("{} logs, {} lines of counts\n", self.logs, self.lines);
+        let mut text = format!("{} logs, {} lines of counts\n", self.logs, self.counter_lines);
         text.push_str(&format!("{:>6} {:>5}", "from_s", "dest"));
         for column in COLUMNS {
             text.push_str(&format!(" {column:>11}"));
@@ -110,7 +110,7 @@
             " {:>9} {:>9} {:>5} {:>5} {:>5} {:>5}\n",
             "held", "oldest_s", "left%", "limit", "alive", "lists"
         ));
-        let numbers: BTreeSet<u64> = self.spans.keys().map(|(span, _)| *span).collect();
+        let numbers: BTreeSet<u64> = self.intervals.keys().map(|(span, _)| *span).collect();
         for span in numbers {
             let mut all: BTreeMap<&str, u64> = BTreeMap::new();
             let mut whole = (0, 0);
@@ -124,18 +124,18 @@
                 let limit = figures("limit");
                 text.push_str(&format!(" {mean:>9.0} {oldest:>9.1} {left:>5.0} {limit:>5}{tail}\n"));
             };
-            for ((at, dest), figures) in &self.spans {
+            for ((at, dest), figures) in &self.intervals {
                 if *at != span {
                     continue;
                 }
-                let held = self.held.get(&(span, dest.clone())).copied().unwrap_or_default();
+                let held = self.pending.get(&(span, dest.clone())).copied().unwrap_or_default();
                 whole = (whole.0 + held.0, whole.1.max(held.1));
                 for (name, figure) in figures {
                     *all.entry(name).or_default() += figure;
                 }
                 row(dest, &|name| figures.get(name).copied().unwrap_or(0), held, String::new());
             }
-            let alive = self.alive.get(&span).map_or(0, BTreeSet::len);
+            let alive = self.reporting.get(&span).map_or(0, BTreeSet::len);
             let lists = self.list_failures.get(&span).copied().unwrap_or(0);
             let tail = format!(" {alive:>5} {lists:>5}");
             row("all", &|name| all.get(name).copied().unwrap_or(0), whole, tail);
@@ -150,22 +150,22 @@
 
     #[test]
     fn figures_of_all_dispatchers_add_up_by_span_and_destination() {
-        let mut fleet = Fleet::default();
+        let mut fleet = FleetCounters::default();
         // The platform may put its own time before the dispatcher's.
-        fleet.take(0, "1.5 0.5 counts 4:taken=3,calls=1,held=2,oldest_ms=700 6:full=1", 5.0);
-        fleet.take(1, "4.9 counts 4:taken=2,held=1,oldest_ms=900,strange=x", 5.0);
-        fleet.take(1, "5.1 counts 4:taken=7", 5.0);
-        fleet.take(1, "5.2 discovery: watch ended: answered 503", 5.0);
+        fleet.add_line(0, "1.5 0.5 counts 4:taken=3,calls=1,held=2,oldest_ms=700 6:full=1", 5.0);
+        fleet.add_line(1, "4.9 counts 4:taken=2,held=1,oldest_ms=900,strange=x", 5.0);
+        fleet.add_line(1, "5.1 counts 4:taken=7", 5.0);
+        fleet.add_line(1, "5.2 discovery: watch ended: answered 503", 5.0);
         for noise in ["", "x", "nan counts 4:taken=1", "-1 counts 4:taken=1", "3.0 a counted thing 4:taken=1"]
         {
-            fleet.take(2, noise, 5.0);
+            fleet.add_line(2, noise, 5.0);
         }
-        assert_eq!(fleet.lines, 3);
-        assert_eq!(fleet.spans[&(0, "4".into())]["taken"], 5);
-        assert_eq!(fleet.spans[&(0, "6".into())]["full"], 1);
-        assert_eq!(fleet.spans[&(1, "4".into())]["taken"], 7);
-        assert_eq!(fleet.held[&(0, "4".into())], (3, 900));
-        assert_eq!((fleet.alive[&0].len(), fleet.list_failures[&1]), (2, 1));
+        assert_eq!(fleet.counter_lines, 3);
+        assert_eq!(fleet.intervals[&(0, "4".into())]["taken"], 5);
+        assert_eq!(fleet.intervals[&(0, "6".into())]["full"], 1);
+        assert_eq!(fleet.intervals[&(1, "4".into())]["taken"], 7);
+        assert_eq!(fleet.pending[&(0, "4".into())], (3, 900));
+        assert_eq!((fleet.reporting[&0].len(), fleet.list_failures[&1]), (2, 1));
         let text = fleet.text(5.0);
         assert!(text.lines().any(|line| line.split_whitespace().take(3).eq(["0", "all", "5"])), "{text}");
     }
--- a/crates/lab/src/mischief.rs
+++ b/crates/lab/src/fleet_faults.rs
@@ -2,11 +2,11 @@
 //! links, folders that come back older or empty. What came of it is read from the logs.
 
 use crate::history;
-use crate::layout::Layout;
 use crate::process::Process;
 use crate::record::Sig;
 use crate::relay::Relay;
-use crate::scenario::Fleet;
+use crate::scenario::FleetSettings;
+use crate::topology::Topology;
 use std::collections::BTreeMap;
 use std::fs;
 use std::io;
@@ -80,19 +80,19 @@
 /// # Errors
 /// Those of files and sockets.
 pub async fn set_up(
-    fleet: &Fleet, folders: &[PathBuf], at: impl Fn(usize) -> SocketAddr,
+    fleet: &FleetSettings, folders: &[PathBuf], at: impl Fn(usize) -> SocketAddr,
 ) -> io::Result<Relays> {
-    let layout = Layout { count: folders.len(), voters: fleet.voters };
+    let layout = Topology { members: folders.len(), voters: fleet.voters };
     let mut relays = Relays::new();
-    for (i, j) in layout.pairs() {
-        relays.insert((i, j), Relay::open(Arc::new(Mutex::new(Some(at(j))))).await?);
+    for (i, j) in layout.connections() {
+        relays.insert((i, j), Relay::start_async(Arc::new(Mutex::new(Some(at(j))))).await?);
     }
     for (i, folder) in folders.iter().enumerate() {
-        let at = |j: usize| (relays.get(&(i, j)).map_or(at(j), |relay| relay.at), at(j));
+        let at = |j: usize| (relays.get(&(i, j)).map_or(at(j), |relay| relay.address), at(j));
         if let Some(rate) = fleet.clock_rates.get(i) {
             fs::write(folder.join("clock"), rate.to_string())?;
         }
-        fs::write(folder.join("fleet.hcl"), layout.file(&fleet.settings, at))?;
+        fs::write(folder.join("fleet.hcl"), layout.config_file(&fleet.extra_config, at))?;
     }
     Ok(relays)
 }
@@ -113,9 +113,9 @@
 pub fn cut_off(relays: &Relays, one: usize, says: bool, hears: bool) {
     for ((caller, called), relay) in relays {
         if *caller == one {
-            relay.set(|way| (way.there_cut, way.back_cut) = (says, hears));
+            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (says, hears));
         } else if *called == one {
-            relay.set(|way| (way.there_cut, way.back_cut) = (hears, says));
+            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (hears, says));
         }
     }
 }
@@ -129,14 +129,14 @@
 /// All links are whole again.
 pub fn heal(relays: &Relays) {
     relays.values().for_each(|relay| {
-        relay.set(|way| (way.there_cut, way.back_cut, way.delay_s) = (false, false, 0.0));
+        relay.set(|way| (way.forward_blocked, way.backward_blocked, way.delay_s) = (false, false, 0.0));
     });
 }
 
 /// Copies the fleet's folder of a member, for [`Folder::Older`]. The process may run: a copy of that kind is one that
 /// somebody makes of a living machine.
 pub fn copy_aside(process: &Process) {
-    let (from, to) = (process.state().join("fleet"), process.state().join("fleet.aside"));
+    let (from, to) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
     let _ = fs::remove_dir_all(&to);
     let _ = fs::create_dir_all(&to);
     for file in fs::read_dir(from).into_iter().flatten().flatten() {
@@ -146,7 +146,7 @@
 
 /// What becomes of the folder of a process that is dead.
 pub fn turn_back(process: &Process, folder: Folder) {
-    let (fleet, aside) = (process.state().join("fleet"), process.state().join("fleet.aside"));
+    let (fleet, aside) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
     match folder {
         Folder::Kept => {}
         Folder::Emptied => drop(fs::remove_dir_all(fleet)),
--- a/crates/lab/src/measures.rs
+++ b/crates/lab/src/fleet_measurements.rs
@@ -1,8 +1,8 @@
 //! Measures of a fleet of processes: how long until a duty is another one's after a fault, and what the fleet tries and
 //! asks while a place or discovery is out, beside the same processes without the fleet's file.
 
-use crate::members::{Members, Shape};
-use crate::stage::{Dispatcher, Endpoint, Platform, Reply, eventually};
+use crate::blocking::{Dispatcher, Endpoint, Platform, Reply, eventually};
+use crate::test_fleet::{FleetShape, TestFleet};
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeSet;
@@ -64,10 +64,10 @@
     }
 }
 
-fn fleet(program: &Path, folder: &Path, shape: &Shape) -> io::Result<(Members, Endpoint, Platform)> {
+fn fleet(program: &Path, folder: &Path, shape: &FleetShape) -> io::Result<(TestFleet, Endpoint, Platform)> {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let known = [endpoint.host("e", 7, "up")];
-    let members = Members::new(program, folder, shape, &[&platform], &known)?;
+    let known = [endpoint.list_entry("e", 7, "up")];
+    let members = TestFleet::new(program, folder, shape, &[&platform], &known)?;
     Ok((members, endpoint, platform))
 }
 
@@ -82,7 +82,7 @@
     program: &Path, folder: &Path, term: f64, fault: Fault, times: usize,
 ) -> io::Result<HandingOn> {
     let settings = format!("term_s = {term}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
-    let shape = Shape { voters: 5, observers: 0, settings };
+    let shape = FleetShape { voters: 5, observers: 0, extra_config: settings };
     let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
     members.start();
     let mut measured = HandingOn {
@@ -95,7 +95,7 @@
     for _ in 0..times {
         let mut held = None;
         eventually("a keeper", || {
-            held = members.holder("keeper");
+            held = members.duty_holder("keeper");
             held.is_some()
         });
         let Some((holder, epoch)) = held else { continue };
@@ -104,13 +104,13 @@
         match fault {
             Fault::Kill => members.dispatchers[holder].kill(),
             Fault::Stall => members.dispatchers[holder].signal("STOP"),
-            Fault::Cut => members.cut_off(holder, (true, true)),
+            Fault::Cut => members.partition(holder, (true, true)),
             Fault::Word => members.dispatchers[holder].signal("TERM"),
         }
         let mut acted = None;
         let until = Instant::now() + Duration::from_secs_f64(30.0 + 4.0 * term);
         while acted.is_none() && Instant::now() < until {
-            acted = members.acted_after("keeper", epoch);
+            acted = members.first_action_after("keeper", epoch);
             sleep(Duration::from_millis(2));
         }
         let at = acted.ok_or_else(|| io::Error::other("nobody took the duty"))?.0;
@@ -119,13 +119,13 @@
         match fault {
             Fault::Kill => members.dispatchers[holder].start(),
             Fault::Stall => members.dispatchers[holder].signal("CONT"),
-            Fault::Cut => members.cut_off(holder, (false, false)),
+            Fault::Cut => members.partition(holder, (false, false)),
             Fault::Word => {
                 members.dispatchers[holder].wait();
                 members.dispatchers[holder].start();
             }
         }
-        let back = || members.show(holder).is_some_and(|fleet| fleet["leader"].is_string());
+        let back = || members.status(holder).is_some_and(|fleet| fleet["leader"].is_string());
         let until = Instant::now() + Duration::from_secs_f64(20.0 + 4.0 * term);
         while !back() {
             if Instant::now() > until {
@@ -136,13 +136,13 @@
                     .filter(|l| l.starts_with("fleet:") && !l.contains("acts"))
                     .take(20)
                     .collect();
-                let shown = members.show(holder).unwrap_or_default();
+                let shown = members.status(holder).unwrap_or_default();
                 return Err(io::Error::other(format!("n{holder} does not return; {shown}\n{said:#?}")));
             }
             sleep(Duration::from_millis(10));
         }
     }
-    measured.faults = members.faults();
+    measured.faults = members.violations();
     Ok(measured)
 }
 
@@ -227,22 +227,22 @@
 /// Where a fleet does not come up in 30 s.
 pub fn rest(program: &Path, folder: &Path, count: usize, as_fleet: bool, span: f64) -> io::Result<Rest> {
     let voters = 5.min(count);
-    let shape = Shape { voters, observers: count - voters, settings: "disk_mb = 1".into() };
+    let shape = FleetShape { voters, observers: count - voters, extra_config: "disk_mb = 1".into() };
     let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
     let began = Instant::now();
     match as_fleet {
         true => members.start(),
         false => {
-            members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.before.clear());
+            members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.shell_prelude.clear());
             members.dispatchers.iter_mut().for_each(Dispatcher::start);
         }
     }
     let whole_s = began.elapsed().as_secs_f64();
     sleep(Duration::from_secs(3));
     let leader = if as_fleet { members.leader(0).unwrap_or(0) } else { 0 };
-    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
+    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::process_id).collect();
     let (before, carried, began) =
-        (ids.iter().map(|id| cpu(*id)).collect::<Vec<_>>(), members.carried(), Instant::now());
+        (ids.iter().map(|id| cpu(*id)).collect::<Vec<_>>(), members.relayed_bytes(), Instant::now());
     sleep(Duration::from_secs_f64(span));
     let spent = began.elapsed().as_secs_f64();
     let used: Vec<f64> = ids.iter().zip(before).map(|(id, before)| (cpu(*id) - before) / spent).collect();
@@ -255,7 +255,7 @@
         voters: if as_fleet { voters } else { 0 },
         whole_s,
         cpu: [used.get(leader).copied().unwrap_or(0.0), mean(&used[..voters]), mean(&used[voters..])],
-        bytes: (members.carried() - carried) as f64 / spent / count as f64,
+        bytes: (members.relayed_bytes() - carried) as f64 / spent / count as f64,
         memory_mb: [memory(&ids[..voters]), memory(&ids[voters..])],
     })
 }
@@ -282,22 +282,22 @@
     let out = Arc::new(AtomicBool::new(false));
     let asked = out.clone();
     let endpoint = Endpoint::start(move |_, _| match asked.load(Ordering::SeqCst) {
-        true => Reply::Break,
+        true => Reply::Disconnect,
         false => Reply::status(200),
     });
     let platform = Platform::start();
     platform.set(|mood| mood.heartbeats = true);
-    let known = [endpoint.host("e", 7, "up")];
-    let shape = Shape {
+    let known = [endpoint.list_entry("e", 7, "up")];
+    let shape = FleetShape {
         voters: 5.min(count | 1),
         observers: count - 5.min(count | 1),
-        settings: "disk_mb = 1".into(),
+        extra_config: "disk_mb = 1".into(),
     };
-    let mut members = Members::new(program, folder, &shape, &[&platform], &known)?;
+    let mut members = TestFleet::new(program, folder, &shape, &[&platform], &known)?;
     for dispatcher in &mut members.dispatchers {
         dispatcher.config["settings"]["balancers"] = count.into();
         if !as_fleet {
-            dispatcher.before.clear();
+            dispatcher.shell_prelude.clear();
         }
     }
     match as_fleet {
@@ -306,13 +306,13 @@
     }
     let mut taken = BTreeSet::new();
     let mut number = 0;
-    let mut hand_in = |members: &Members, span: f64| {
+    let mut hand_in = |members: &TestFleet, span: f64| {
         let (began, every) = (Instant::now(), 1.0 / a_second);
         let mut at = 0.0;
         while at < span {
             for (i, dispatcher) in members.dispatchers.iter().enumerate() {
                 let id = format!("m{i}-{number}");
-                if dispatcher.hand_in("keyed", &id, 7) == 202 {
+                if dispatcher.submit("keyed", &id, 7) == 202 {
                     taken.insert(id);
                 }
             }
@@ -322,28 +322,28 @@
         }
     };
     hand_in(&members, 3.0);
-    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
+    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::process_id).collect();
     let (before_cpu, began) = (ids.iter().map(|id| cpu(*id)).sum::<f64>(), Instant::now());
     out.store(true, Ordering::SeqCst);
-    let before = endpoint.seen().len();
+    let before = endpoint.requests().len();
     hand_in(&members, out_s);
-    let tried = endpoint.ids().split_off(before);
+    let tried = endpoint.message_ids().split_off(before);
     let tries = tried.len();
     let of = |i: usize| tried.iter().filter(|id| id.starts_with(&format!("m{i}-"))).count();
     let busiest = (0..count).map(of).max().unwrap_or(0);
     out.store(false, Ordering::SeqCst);
-    let back = endpoint.seen().len();
+    let back = endpoint.requests().len();
     hand_in(&members, 3.0);
-    let asked_before = platform.watched_from().len();
+    let asked_before = platform.watch_paths().len();
     platform.set(|mood| mood.silent = true);
     sleep(Duration::from_secs_f64(out_s));
-    let lists = platform.watched_from().len() - asked_before;
+    let lists = platform.watch_paths().len() - asked_before;
     platform.set(|mood| mood.silent = false);
     let spent = ids.iter().map(|id| cpu(*id)).sum::<f64>() - before_cpu;
     let cpu = spent / began.elapsed().as_secs_f64();
     // What was broken off is no delivery.
     let delivered = || {
-        let ids = endpoint.ids();
+        let ids = endpoint.message_ids();
         let served = ids[..before].iter().chain(&ids[back..]).filter(|id| taken.contains(*id));
         served.collect::<BTreeSet<_>>().len()
     };
--- a/crates/lab/src/killer.rs
+++ b/crates/lab/src/killer.rs
@@ -3,7 +3,7 @@
 
 use crate::process::Process;
 use crate::record::Sig;
-use crate::scenario::Killer;
+use crate::scenario::KillerSettings;
 use fawnspoke_journal::Disk;
 use fawnspoke_journal::scan::scan;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -49,27 +49,27 @@
     }
 
     /// Kills a process after a while, where one is due still, and looks at what it left. False where none is.
-    pub async fn kill(&self, killer: &Killer, process: &Process, rng: &mut fastrand::Rng) -> bool {
+    pub async fn kill(&self, killer: &KillerSettings, process: &Process, rng: &mut fastrand::Rng) -> bool {
         if self.begun.fetch_add(1, Ordering::SeqCst) >= killer.kills {
             return false;
         }
-        let [least, most] = killer.every_ms;
+        let [least, most] = killer.interval_ms;
         sleep(Duration::from_micros(rng.u64(least * 1000..=most * 1000))).await;
-        let until = Instant::now() + Duration::from_millis(killer.aim_ms);
+        let until = Instant::now() + Duration::from_millis(killer.max_compaction_wait_ms);
         while Instant::now() < until {
             // Held still, so that what is seen is what the kill meets.
             process.signal(Sig::Stop);
-            if scan(&Disk::new(&process.state()), 0).is_ok_and(|scan| scan.interrupted_compaction()) {
+            if scan(&Disk::new(&process.state_dir()), 0).is_ok_and(|scan| scan.interrupted_compaction()) {
                 break;
             }
             process.signal(Sig::Cont);
             sleep(Duration::from_micros(rng.u64(500..5000))).await;
         }
         process.signal(Sig::Kill);
-        process.ended(GONE).await;
+        process.wait_for_exit(GONE).await;
         self.count.fetch_add(1, Ordering::SeqCst);
         // A folder that can't be read keeps the next life from starting, which the record tells.
-        if let Ok(scan) = scan(&Disk::new(&process.state()), 0) {
+        if let Ok(scan) = scan(&Disk::new(&process.state_dir()), 0) {
             self.compacting.fetch_add(usize::from(scan.interrupted_compaction()), Ordering::SeqCst);
             self.found.fetch_add(scan.index.len(), Ordering::SeqCst);
             self.damaged.fetch_add(usize::from(!scan.recovery.damage.is_empty()), Ordering::SeqCst);
--- a/crates/lab/src/loss.rs
+++ b/crates/lab/src/loss.rs
@@ -1,7 +1,7 @@
 //! What a fleet's counts say of the losses at each destination: room that lay unused while messages were held,
 //! refusals by what they meant, and how a return was found and filled.
 
-use crate::fleet::Fleet;
+use crate::fleet_counters::FleetCounters;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -43,8 +43,8 @@
 }
 
 /// The losses by destination, and of all under `all`. `every`: seconds of the fleet's spans.
-pub fn losses(fleet: &Fleet, every: f64) -> BTreeMap<String, Loss> {
-    let dests: BTreeSet<&String> = fleet.spans.keys().map(|(_, dest)| dest).collect();
+pub fn losses(fleet: &FleetCounters, every: f64) -> BTreeMap<String, Loss> {
+    let dests: BTreeSet<&String> = fleet.intervals.keys().map(|(_, dest)| dest).collect();
     let mut found = BTreeMap::new();
     let mut all = Loss::default();
     for dest in dests {
@@ -62,12 +62,12 @@
     found
 }
 
-fn of(fleet: &Fleet, dest: &str, every: f64) -> Loss {
+fn of(fleet: &FleetCounters, dest: &str, every: f64) -> Loss {
     let mut loss = Loss::default();
     // Told by answers alone: while none comes, the last one holds.
     let mut limit = 0.0;
     let mut silent: Option<(f64, usize)> = None;
-    for ((span, _), figures) in fleet.spans.iter().filter(|((_, own), _)| own == dest) {
+    for ((span, _), figures) in fleet.intervals.iter().filter(|((_, own), _)| own == dest) {
         let at = *span as f64 * every;
         let figure = |name: &str| figures.get(name).copied().unwrap_or(0);
         let (calls, served, full) = (figure("calls"), figure("served"), figure("full"));
@@ -79,7 +79,7 @@
         loss.ended += figure("back") + figure("given_up");
         limit = Some(figure("limit") as f64).filter(|told| *told > 0.0).unwrap_or(limit);
         let held =
-            fleet.held.get(&(*span, dest.to_string())).map_or(0.0, |held| held.0 as f64 / every.max(1.0));
+            fleet.pending.get(&(*span, dest.to_string())).map_or(0.0, |held| held.0 as f64 / every.max(1.0));
         let each = figure("messages").max(1) as f64 / calls.max(1) as f64;
         loss.limit += limit * every;
         loss.unused += (limit * every - calls as f64).min(held / each.max(1.0)).max(0.0);
@@ -156,8 +156,8 @@
 mod tests {
     use super::*;
 
-    fn fleet() -> Fleet {
-        let mut fleet = Fleet::default();
+    fn fleet() -> FleetCounters {
+        let mut fleet = FleetCounters::default();
         for line in [
             // Ten calls of a limit of 50 with 100 held: 40 unused.
             "0.5 counts 4:calls=10,messages=10,served=10,reports=1,limit=50,held=100",
@@ -169,7 +169,7 @@
             "4.5 counts 4:calls=46,messages=92,served=92,limit=50,held=30,given_up=1",
             "5.5 counts 7:calls=1,messages=1,full=1",
         ] {
-            fleet.take(0, line, 1.0);
+            fleet.add_line(0, line, 1.0);
         }
         fleet
     }
--- a/crates/lab/src/partner.rs
+++ b/crates/lab/src/partner.rs
@@ -2,9 +2,9 @@
 
 use crate::endpoint::{Call, How, Reply, Script};
 use crate::http;
-use crate::ledger::Ledger;
+use crate::message_registry::Ledger;
 use crate::record::{Effect, End, Fate, Item, Recorder, What};
-use crate::scenario::{self, Limit, Returning};
+use crate::scenario::{self, RateLimit, Recovery};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -58,7 +58,7 @@
 /// A partner; its endpoints share it.
 pub struct Partner {
     spec: scenario::Partner,
-    returning: Returning,
+    returning: Recovery,
     dest: u32,
     attempts: u32,
     ledger: Arc<Ledger>,
@@ -73,7 +73,7 @@
 impl Partner {
     /// A partner that is warm and well.
     pub fn new(
-        spec: scenario::Partner, returning: Returning, dest: u32, attempts: u32, seed: u64,
+        spec: scenario::Partner, returning: Recovery, dest: u32, attempts: u32, seed: u64,
         ledger: Arc<Ledger>, recorder: Recorder,
     ) -> Partner {
         let now = Instant::now();
@@ -124,67 +124,69 @@
     /// The share of its capacity that it has at a time.
     fn warmth(&self, state: &State, at: Instant) -> f64 {
         let Some(back) = state.back else { return 1.0 };
-        let warm = at.saturating_duration_since(back).as_secs_f64() / self.returning.cold_s;
-        self.returning.cold_share + (1.0 - self.returning.cold_share) * warm.min(1.0)
+        let warm = at.saturating_duration_since(back).as_secs_f64() / self.returning.warm_up_s;
+        self.returning.initial_capacity_share + (1.0 - self.returning.initial_capacity_share) * warm.min(1.0)
     }
 
     /// Counts what pushes a cold partner, and pushes it over.
     fn push(&self, state: &mut State, now: Instant) {
         let Some(back) = state.back else { return };
-        if now.saturating_duration_since(back).as_secs_f64() > self.returning.cold_s {
+        if now.saturating_duration_since(back).as_secs_f64() > self.returning.warm_up_s {
             return;
         }
-        let fall = Duration::from_secs_f64(self.returning.fall_s);
+        let fall = Duration::from_secs_f64(self.returning.overload_s);
         state.arrivals.push_back(now);
         while state.arrivals.front().is_some_and(|at| now.saturating_duration_since(*at) > fall) {
             state.arrivals.pop_front();
         }
         let from = now.checked_sub(fall).map_or(back, |from| from.max(back));
-        let mean = (self.warmth(state, from) + self.warmth(state, from + fall)) / 2.0 * self.spec.capacity;
-        let budget = self.returning.multiple * mean * self.returning.fall_s + SLACK;
+        let mean =
+            (self.warmth(state, from) + self.warmth(state, from + fall)) / 2.0 * self.spec.capacity_per_s;
+        let budget = self.returning.overload_multiple * mean * self.returning.overload_s + SLACK;
         state.fallen |= state.arrivals.len() as f64 > budget;
     }
 
     /// How long until there is room under the limit; none where there is now.
     fn above_limit(&self, state: &mut State, now: Instant) -> Option<Duration> {
         let rate = self.spec.limit_per_s;
-        match self.spec.limit {
-            Limit::None => None,
-            Limit::Rate => {
+        match self.spec.rate_limit {
+            RateLimit::None => None,
+            RateLimit::Rate => {
                 let (tokens, at) = state.tokens;
                 let tokens = tokens + now.saturating_duration_since(at).as_secs_f64() * rate;
                 let tokens = tokens.min((rate * BURST).max(1.0));
                 state.tokens = (if tokens >= 1.0 { tokens - 1.0 } else { tokens }, now);
                 (tokens < 1.0).then(|| Duration::from_secs_f64((1.0 - tokens) / rate))
             }
-            Limit::Window => {
+            RateLimit::Window => {
                 let since = now.saturating_duration_since(self.began).as_secs_f64();
-                let span = (since / self.spec.window_s) as u64;
+                let span = (since / self.spec.limit_window_s) as u64;
                 if state.window.0 != span {
                     state.window = (span, 0.0);
                 }
                 // What is turned away uses up the limit too.
                 state.window.1 += 1.0;
-                let left = (span + 1) as f64 * self.spec.window_s - since;
-                (state.window.1 > rate * self.spec.window_s).then(|| Duration::from_secs_f64(left.max(0.001)))
+                let left = (span + 1) as f64 * self.spec.limit_window_s - since;
+                (state.window.1 > rate * self.spec.limit_window_s)
+                    .then(|| Duration::from_secs_f64(left.max(0.001)))
             }
         }
     }
 
     /// The share of the limit that is left, and the limit.
     fn report(&self, state: &State) -> String {
-        let rate = if self.spec.limit == Limit::None { 0.0 } else { self.spec.limit_per_s };
-        let left = match self.spec.limit {
-            Limit::None => 1.0,
-            Limit::Rate => state.tokens.0 / (rate * BURST).max(1.0),
-            Limit::Window => 1.0 - state.window.1 / (rate * self.spec.window_s),
+        let rate = if self.spec.rate_limit == RateLimit::None { 0.0 } else { self.spec.limit_per_s };
+        let left = match self.spec.rate_limit {
+            RateLimit::None => 1.0,
+            RateLimit::Rate => state.tokens.0 / (rate * BURST).max(1.0),
+            RateLimit::Window => 1.0 - state.window.1 / (rate * self.spec.limit_window_s),
         };
         format!("Server-Load: {{\"x0\":{:.3},\"x1\":{rate}}}\r\n", left.clamp(0.0, 1.0))
     }
 
     fn refuse(&self, state: &State, wait: Option<Duration>) -> Reply {
         let report = self.report(state);
-        match wait.filter(|_| self.spec.tells_wait) {
+        match wait.filter(|_| self.spec.sends_retry_after) {
             Some(wait) => {
                 // Whole milliseconds, rounded up: what is told is never less than what is kept on record.
                 let ms = wait.as_secs_f64() * 1000.0;
@@ -198,10 +200,10 @@
     /// What is known of a message against it: the status, and its word in a call of several.
     fn against(&self, item: &Item) -> Option<(u16, Fate)> {
         match self.ledger.try_once(&item.id, self.dest, self.recorder.now(), self.attempts) {
-            crate::ledger::Verdict::Fine => None,
-            crate::ledger::Verdict::Unknown => Some((400, Fate::Refused)),
-            crate::ledger::Verdict::Over => Some((410, Fate::Over)),
-            crate::ledger::Verdict::Spent => Some((504, Fate::Spent)),
+            crate::message_registry::Verdict::Fine => None,
+            crate::message_registry::Verdict::Unknown => Some((400, Fate::Refused)),
+            crate::message_registry::Verdict::Over => Some((410, Fate::Over)),
+            crate::message_registry::Verdict::Spent => Some((504, Fate::Spent)),
         }
     }
 
@@ -222,11 +224,11 @@
             return self.refuse(state, Some(wait));
         }
         let slow = if let Trouble::Slow(times) = state.trouble { times } else { 1.0 };
-        let capacity = self.spec.capacity / self.spec.endpoints as f64 * self.warmth(state, now) / slow;
+        let capacity = self.spec.capacity_per_s / self.spec.endpoints as f64 * self.warmth(state, now) / slow;
         let Some(free_at) = state.free_at.get(endpoint).copied() else { return Reply::status(503) };
         let start = free_at.max(now);
         let queued = start.saturating_duration_since(now);
-        if queued.as_secs_f64() * 1000.0 > self.spec.queue_ms * slow {
+        if queued.as_secs_f64() * 1000.0 > self.spec.max_queue_ms * slow {
             return self.refuse(state, None);
         }
         let room = Duration::from_secs_f64((1.0 / capacity).min(60.0));
@@ -260,10 +262,10 @@
         let spec = &self.spec;
         let drawn = rng.f64();
         let share = |usual: f64, now: bool, much: f64| if now { usual.max(much) } else { usual };
-        let errors = share(spec.errors, trouble == Trouble::Errors, MOST);
-        let resets = errors + spec.resets;
-        let cuts = resets + share(spec.cuts, trouble == Trouble::Cuts, SOME);
-        let spoilt = cuts + share(spec.spoilt, trouble == Trouble::Spoilt, SOME);
+        let errors = share(spec.error_probability, trouble == Trouble::Errors, MOST);
+        let resets = errors + spec.reset_probability;
+        let cuts = resets + share(spec.truncation_probability, trouble == Trouble::Cuts, SOME);
+        let spoilt = cuts + share(spec.malformed_probability, trouble == Trouble::Spoilt, SOME);
         if drawn < errors {
             let ran = rng.bool();
             let runs = runs.iter().map(|run| *run && ran).collect();
@@ -286,7 +288,7 @@
             };
             return reply(How::Raw(bytes.to_vec(), end), runs, Vec::new());
         }
-        let extra = (drawn < spoilt + spec.extras).then(|| rng.u8(..4));
+        let extra = (drawn < spoilt + spec.extra_data_probability).then(|| rng.u8(..4));
         let one = call.items.len() == 1;
         let mut body = String::new();
         for (item, fate) in call.items.iter().zip(&fates) {
@@ -338,7 +340,7 @@
 
 impl Script for Door {
     fn resets_request(&self) -> bool {
-        let share = self.0.spec.request_resets;
+        let share = self.0.spec.request_reset_probability;
         share > 0.0 && self.0.state().rng.f64() < share
     }
 
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -47,32 +47,32 @@
 }
 
 /// A process that was started beside the one that runs, to take over.
-pub struct Second {
+pub struct SpawnedProcess {
     /// Its id.
-    pub id: u32,
+    pub pid: u32,
     /// Where operators call it.
     pub control: SocketAddr,
     asked: Arc<AtomicBool>,
     ended: watch::Receiver<bool>,
 }
 
-impl Second {
+impl SpawnedProcess {
     /// Whether it has ended.
-    pub fn ended(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         *self.ended.borrow()
     }
 
     /// Kills it, as nobody may be surprised at.
     pub fn kill(&self) {
         self.asked.store(true, Ordering::SeqCst);
-        if let Some(pid) = Pid::from_raw(self.id as i32) {
+        if let Some(pid) = Pid::from_raw(self.pid as i32) {
             let _ = kill_process(pid, Signal::KILL);
         }
     }
 }
 
 /// Whether the process behind a door says that it serves.
-pub async fn serves(control: SocketAddr) -> bool {
+pub async fn is_serving(control: SocketAddr) -> bool {
     let asked = tokio::task::spawn_blocking(move || {
         send_request(control, &Request::Status, Duration::from_millis(500))
     });
@@ -95,12 +95,12 @@
     }
 
     /// The folder that outlasts its processes.
-    pub fn state(&self) -> PathBuf {
+    pub fn state_dir(&self) -> PathBuf {
         self.folder.join("state")
     }
 
     /// The folder of all that is its own.
-    pub fn folder(&self) -> PathBuf {
+    pub fn dir(&self) -> PathBuf {
         self.folder.clone()
     }
 
@@ -110,17 +110,17 @@
     }
 
     /// Whether clients are answered that it is ready.
-    pub async fn answers(&self) -> bool {
+    pub async fn is_ready(&self) -> bool {
         self.ready().await
     }
 
     /// Where clients connect.
-    pub fn listen(&self) -> SocketAddr {
+    pub fn listen_address(&self) -> SocketAddr {
         self.listen
     }
 
     /// The id of the process that runs.
-    pub fn id(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         *self.running.borrow()
     }
 
@@ -128,7 +128,7 @@
     ///
     /// # Errors
     /// Those of the file.
-    pub fn configure(&self, config: &Value) -> io::Result<()> {
+    pub fn write_config(&self, config: &Value) -> io::Result<()> {
         let next = self.folder.join("config.next");
         fs::write(&next, config.to_string())?;
         fs::rename(next, self.folder.join("config.json"))
@@ -140,11 +140,11 @@
     /// Those of starting; `TimedOut` where it isn't ready in 20 s; `Other` where it ends before.
     pub async fn start(&self, discovery: SocketAddr) -> io::Result<()> {
         self.recorder.add(What::Started { dispatcher: self.index });
-        let (second, index) = (self.second(discovery, None)?, self.index);
-        self.follow(&second);
+        let (second, index) = (self.spawn(discovery, None)?, self.index);
+        self.switch_to(&second);
         let until = Instant::now() + READY_MOST;
         while !self.ready().await {
-            if self.id().is_none() {
+            if self.pid().is_none() {
                 let text =
                     format!("dispatcher {index} ended before it was ready; its log: {}", self.log.display());
                 return Err(io::Error::other(text));
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// Those of starting.
-    pub fn second(&self, discovery: SocketAddr, control: Option<SocketAddr>) -> io::Result<Second> {
+    pub fn spawn(&self, discovery: SocketAddr, control: Option<SocketAddr>) -> io::Result<SpawnedProcess> {
         let log = OpenOptions::new().append(true).open(&self.log)?;
         let mut command = Command::new(&self.program.path);
         command
@@ -204,23 +204,23 @@
             running.send_if_modified(|now| now.take_if(|now| *now == id).is_some());
         });
         let control = control.unwrap_or(self.listen);
-        Ok(Second { id, control, asked, ended })
+        Ok(SpawnedProcess { pid: id, control, asked, ended })
     }
 
     /// The process that is to be the one that runs from now on; the one before is told of by its end.
-    pub fn follow(&self, second: &Second) {
+    pub fn switch_to(&self, second: &SpawnedProcess) {
         *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = second.asked.clone();
         *self.control.lock().unwrap_or_else(PoisonError::into_inner) = Some(second.control);
-        self.running.send_replace(Some(second.id));
+        self.running.send_replace(Some(second.pid));
     }
 
     /// Where operators call the process that runs.
-    pub fn control(&self) -> Option<SocketAddr> {
+    pub fn control_address(&self) -> Option<SocketAddr> {
         *self.control.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The end of the process that runs is no surprise from now on.
-    pub fn may_end(&self) {
+    pub fn expect_exit(&self) {
         self.asked.lock().unwrap_or_else(PoisonError::into_inner).store(true, Ordering::SeqCst);
     }
 
@@ -237,9 +237,9 @@
 
     /// Sends it a signal; nothing where it does not run.
     pub fn signal(&self, signal: Sig) {
-        let Some(pid) = self.id().and_then(|id| Pid::from_raw(id as i32)) else { return };
+        let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) else { return };
         if matches!(signal, Sig::Kill | Sig::Term) {
-            self.may_end();
+            self.expect_exit();
         }
         // On record first: what follows from it comes later in the record, too.
         self.recorder.add(What::Signalled { dispatcher: self.index, signal });
@@ -255,14 +255,14 @@
     }
 
     /// Waits for it to end; whether it did so within the limit.
-    pub async fn ended(&self, limit: Duration) -> bool {
+    pub async fn wait_for_exit(&self, limit: Duration) -> bool {
         let mut running = self.running.subscribe();
         tokio::time::timeout(limit, running.wait_for(Option::is_none)).await.is_ok()
     }
 
     /// Resident memory in KB, as the kernel counts it now.
     pub fn resident_kb(&self) -> Option<u64> {
-        resident_kb(self.id()?)
+        resident_kb(self.pid()?)
     }
 }
 
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,6 +1,6 @@
 //! A relay between two processes: what it carries each way may be held up, slowed or broken off, on demand.
 
-use crate::stage::handle;
+use crate::blocking::runtime_handle;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,11 +17,11 @@
 
 /// What a relay does to what it carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkState {
     /// What the caller says is held up.
-    pub there_cut: bool,
+    pub forward_blocked: bool,
     /// What the called one says is held up.
-    pub back_cut: bool,
+    pub backward_blocked: bool,
     /// Each piece comes so much later, in seconds.
     pub delay_s: f64,
     /// Counts the times at which all connections break off; in the middle of a frame, if one is under way.
@@ -32,8 +32,8 @@
 #[derive(Clone)]
 pub struct Relay {
     /// Where it listens.
-    pub at: SocketAddr,
-    way: Arc<watch::Sender<Way>>,
+    pub address: SocketAddr,
+    way: Arc<watch::Sender<LinkState>>,
     carried: Arc<AtomicU64>,
 }
 
@@ -43,15 +43,15 @@
     /// # Errors
     /// Where it can't listen.
     pub fn start(target: Target) -> io::Result<Relay> {
-        handle().block_on(Relay::open(target))
+        runtime_handle().block_on(Relay::start_async(target))
     }
 
     /// The same, on the runtime that runs.
     ///
     /// # Errors
     /// Where it can't listen.
-    pub async fn open(target: Target) -> io::Result<Relay> {
-        let way = Arc::new(watch::Sender::new(Way::default()));
+    pub async fn start_async(target: Target) -> io::Result<Relay> {
+        let way = Arc::new(watch::Sender::new(LinkState::default()));
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let at = listener.local_addr()?;
         let (ways, carried) = (way.clone(), Arc::new(AtomicU64::new(0)));
@@ -61,23 +61,25 @@
                 tokio::spawn(carry(caller, target.clone(), ways.subscribe(), counted.clone()));
             }
         });
-        Ok(Relay { at, way, carried })
+        Ok(Relay { address: at, way, carried })
     }
 
     /// Bytes that it has carried, both ways.
-    pub fn carried(&self) -> u64 {
+    pub fn relayed_bytes(&self) -> u64 {
         self.carried.load(Ordering::Relaxed)
     }
 
     /// From now on.
-    pub fn set(&self, change: impl FnOnce(&mut Way)) {
+    pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
         self.way.send_modify(change);
     }
 }
 
-async fn carry(caller: TcpStream, target: Target, mut way: watch::Receiver<Way>, carried: Arc<AtomicU64>) {
+async fn carry(
+    caller: TcpStream, target: Target, mut way: watch::Receiver<LinkState>, carried: Arc<AtomicU64>,
+) {
     // A connection comes up only where both ways are open.
-    if way.wait_for(|way| !way.there_cut && !way.back_cut).await.is_err() {
+    if way.wait_for(|way| !way.forward_blocked && !way.backward_blocked).await.is_err() {
         return;
     }
     let resets = way.borrow().resets;
@@ -88,15 +90,15 @@
     let ((caller_in, caller_out), (called_in, called_out)) = (caller.into_split(), called.into_split());
     let mut reset = way.clone();
     tokio::select! {
-        () = pump(caller_in, called_out, way.clone(), &carried, |way| way.there_cut) => {}
-        () = pump(called_in, caller_out, way, &carried, |way| way.back_cut) => {}
+        () = pump(caller_in, called_out, way.clone(), &carried, |way| way.forward_blocked) => {}
+        () = pump(called_in, caller_out, way, &carried, |way| way.backward_blocked) => {}
         _ = reset.wait_for(|way| way.resets != resets) => {}
     }
 }
 
 async fn pump(
-    mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut way: watch::Receiver<Way>, carried: &AtomicU64,
-    cut: fn(&Way) -> bool,
+    mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut way: watch::Receiver<LinkState>,
+    carried: &AtomicU64, cut: fn(&LinkState) -> bool,
 ) {
     let mut piece = vec![0; 16 << 10];
     while let Ok(read) = from.read(&mut piece).await {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/runner.rs
@@ -2,15 +2,15 @@
 
 use crate::clients::Crowd;
 use crate::endpoint::{Door as Sockets, Endpoint, Traits};
+use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
-use crate::ledger::Ledger;
-use crate::mischief::{self, Folder, Relays, Told, Trouble};
+use crate::message_registry::Ledger;
 use crate::partner::{Door, Partner, Trouble as Ill};
 use crate::platform::{Host, Platform};
 use crate::process::{Process, Program};
 use crate::record::{self, Effect, End, Entry, Listed, Micros, Recorder, Rules, Sig, What};
-use crate::scenario::{Decay, Kind, Limit, Scenario};
-use crate::script::{Script, Turn, whom};
+use crate::scenario::{FaultKind, RateLimit, Scenario, ValueDecay};
+use crate::script::{FaultEvent, Script, target_name};
 use crate::upgrader::{Upgrades, upgrade};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -36,7 +36,7 @@
 const MEMBERS_PORT: u16 = 7100;
 
 /// How a run is to be played.
-pub struct Options {
+pub struct RunOptions {
     /// What is run as a dispatcher.
     pub program: Program,
     /// Where folders and logs of the dispatchers are kept.
@@ -46,15 +46,15 @@
 }
 
 /// What came of a run.
-pub struct Outcome {
+pub struct RunOutcome {
     /// The record.
     pub entries: Vec<Entry>,
     /// Highest resident memory of each dispatcher, in KB.
     pub resident_kb: Vec<u64>,
     /// Messages that found no dispatcher that would listen.
-    pub never: usize,
+    pub unreached_messages: usize,
     /// Partners that were pushed over while they were cold.
-    pub fallen: Vec<String>,
+    pub collapsed_partners: Vec<String>,
     /// Kills by the scenario's killer.
     pub kills: Kills,
     /// Upgrades by the scenario's upgrader.
@@ -122,21 +122,21 @@
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
-        window: micros(class.window_s),
-        aim: micros(class.aim_s),
+        window: micros(class.key_window_s),
+        aim: micros(class.target_latency_s),
         ordered: false,
     };
     let place = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
         dest: i as u32 + 1,
-        capacity: partner.capacity,
+        capacity: partner.capacity_per_s,
     };
     Rules {
         classes: scenario.classes.iter().map(class).collect(),
         places: scenario.partners.iter().enumerate().map(place).collect(),
-        cold: micros(scenario.returning.cold_s),
-        cold_share: scenario.returning.cold_share,
-        multiple: scenario.returning.multiple,
-        fall: micros(scenario.returning.fall_s),
+        cold: micros(scenario.recovery.warm_up_s),
+        cold_share: scenario.recovery.initial_capacity_share,
+        multiple: scenario.recovery.overload_multiple,
+        fall: micros(scenario.recovery.overload_s),
         slack: scenario.slack_ms * 1000,
         ..Rules::default()
     }
@@ -153,30 +153,30 @@
                 Effect::Keyed => "idempotency_key",
                 Effect::Unsafe => "non_idempotent",
             };
-            json!({"name": class.name, "deadline": class.deadline_s, "effect": effect, "gain": class.worth,
-                "goal_time": class.aim_s, "group": "all", "late_share": class.late_share,
-                "repeat_window": class.window_s, "stream": false})
+            json!({"name": class.name, "deadline": class.deadline_s, "effect": effect, "gain": class.value,
+                "goal_time": class.target_latency_s, "group": "all", "late_share": class.deadline_value_share,
+                "repeat_window": class.key_window_s, "stream": false})
         })
         .collect();
-    let mut batches: Vec<usize> = scenario.partners.iter().map(|partner| partner.batch).collect();
+    let mut batches: Vec<usize> = scenario.partners.iter().map(|partner| partner.max_batch).collect();
     batches.sort_unstable();
     batches.dedup();
     let d = &scenario.dispatchers;
-    let returning = &scenario.returning;
+    let returning = &scenario.recovery;
     let settings = json!({
         "balancers": d.count, "discovery": "automatic", "tick": d.tick_ms / 1000.0, "weights": "nominal",
         "zone": 0, "zones": ["lab"], "kinds": batches.iter().map(|batch| kind_name(*batch)).collect::<Vec<_>>(),
         "family_info": {"call_slots": d.slots, "kind_apart": vec![false; batches.len()], "kind_batch": batches,
-            "loses_worth": match scenario.decay { Decay::ByHalf => "by_half", Decay::Even => "even" }},
+            "loses_worth": match scenario.value_decay { ValueDecay::ByHalf => "by_half", ValueDecay::Even => "even" }},
         "grades": grades,
-        "orgs": scenario.customers.iter().map(|customer| json!({"name": customer.name,
+        "orgs": scenario.tenants.iter().map(|customer| json!({"name": customer.name,
             "quota_per_s": customer.quota_per_s})).collect::<Vec<_>>(),
         "over_share_worth": 0.05,
         "limits": {"connect_timeout": 1.5, "keepalive": shortest_idle(scenario), "max_retry_after": 3.0,
-            "open_cap": d.room, "probes": scenario.probes, "send_cap": d.attempts},
+            "open_cap": d.max_pending, "probes": scenario.probes, "send_cap": d.max_attempts},
         "report": {"fields": ["x0", "x1"], "source": "inline"},
-        "safety": {"cold": returning.cold_s, "cold_share": returning.cold_share, "fall": returning.fall_s,
-            "must_ask_in": 10.0, "tip_multiple": returning.multiple},
+        "safety": {"cold": returning.warm_up_s, "cold_share": returning.initial_capacity_share, "fall": returning.overload_s,
+            "must_ask_in": 10.0, "tip_multiple": returning.overload_multiple},
     });
     json!({
         "name": format!("n{index}"), "listen": listen.to_string(), "seed": "0",
@@ -186,14 +186,16 @@
 }
 
 fn shortest_idle(scenario: &Scenario) -> f64 {
-    scenario.partners.iter().map(|partner| partner.idle_s).fold(f64::INFINITY, f64::min)
+    scenario.partners.iter().map(|partner| partner.idle_timeout_s).fold(f64::INFINITY, f64::min)
 }
 
 /// Plays a scenario by its script.
 ///
 /// # Errors
 /// What kept it from being set up; what goes wrong later is in the record.
-pub async fn play(scenario: &Scenario, script: &Script, options: &Options) -> io::Result<Outcome> {
+pub async fn run_scenario(
+    scenario: &Scenario, script: &Script, options: &RunOptions,
+) -> io::Result<RunOutcome> {
     let recorder = Recorder::new(ENTRIES_MOST);
     recorder.add(What::Rules(rules(scenario)));
     let stage = set_up(scenario, script, options, recorder.clone()).await?;
@@ -202,7 +204,7 @@
         stage.configure(index)?;
     }
     if scenario.fleet.voters > 0 {
-        mischief::found(&options.program.path, &stage.processes[0].folder()).await?;
+        fleet_faults::found(&options.program.path, &stage.processes[0].dir()).await?;
     }
     for (index, process) in stage.processes.iter().enumerate() {
         process.start(stage.agent(index)?).await?;
@@ -211,18 +213,18 @@
     let arriving = tokio::spawn(stage.crowd.clone().arrive(script.arrivals.clone(), began));
     let watching = tokio::spawn(watch(stage.clone(), options.progress, began));
     let mut turning = Vec::new();
-    for turn in script.turns.clone() {
+    for turn in script.faults.clone() {
         let stage = stage.clone();
         turning.push(tokio::spawn(async move {
             tokio::time::sleep_until(stage.recorder.instant(began + turn.at).into()).await;
             if let Err(error) = stage.turn(&turn).await {
                 // It shows in the record: the process did not come back, or the endpoint stayed away.
-                eprintln!("{:?} of {}: {error}", turn.kind, whom(&stage.scenario, &turn));
+                eprintln!("{:?} of {}: {error}", turn.kind, target_name(&stage.scenario, &turn));
             }
         }));
     }
     let counter = Arc::new(Counter::default());
-    let stop = stage.recorder.instant(began + micros(scenario.length_s * 0.9));
+    let stop = stage.recorder.instant(began + micros(scenario.duration_s * 0.9));
     for index in 0..stage.processes.len() {
         let (stage, counter) = (stage.clone(), counter.clone());
         let mut rng = fastrand::Rng::with_seed(script.seed ^ (index as u64 + 1) << 32);
@@ -238,9 +240,9 @@
             }
         }));
     }
-    if scenario.fleet.troubles > 0 {
+    if scenario.fleet.fault_count > 0 {
         let (stage, rng) = (stage.clone(), fastrand::Rng::with_seed(script.seed ^ 0xf1ee7));
-        let stop = stage.recorder.instant(began + micros(scenario.length_s * 0.8));
+        let stop = stage.recorder.instant(began + micros(scenario.duration_s * 0.8));
         turning.push(tokio::spawn(async move { stage.trouble(rng, stop).await }));
     }
     let upgrades = Arc::new(Mutex::new(Upgrades::default()));
@@ -249,7 +251,7 @@
         let mut rng = fastrand::Rng::with_seed(script.seed ^ (index as u64 + 101) << 32);
         turning.push(tokio::spawn(async move {
             let upgrader = &stage.scenario.upgrader;
-            let every = upgrader.every_ms[0] * 1000..=upgrader.every_ms[1] * 1000;
+            let every = upgrader.interval_ms[0] * 1000..=upgrader.interval_ms[1] * 1000;
             while std::time::Instant::now() < stop && Upgrades::begin(&upgrades, upgrader) {
                 sleep(Duration::from_micros(rng.u64(every.clone()))).await;
                 if let Err(error) = stage.upgrade(index, &upgrades, &mut rng).await {
@@ -287,7 +289,7 @@
         process.signal(Sig::Kill);
     }
     for process in &stage.processes {
-        process.ended(Duration::from_secs(10)).await;
+        process.wait_for_exit(Duration::from_secs(10)).await;
     }
     let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
     let fallen = fallen.map(|(_, spec)| spec.name.clone()).collect();
@@ -297,12 +299,20 @@
         upgrades.read_log(&options.folder.join(format!("n{index}.log")));
     }
     let members = (scenario.fleet.voters > 0).then_some(stage.processes.len());
-    let fleet = members.map(|count| mischief::read_logs(&options.folder, count));
-    Ok(Outcome { entries, resident_kb, never: stage.crowd.never(), fallen, kills, upgrades, fleet })
+    let fleet = members.map(|count| fleet_faults::read_logs(&options.folder, count));
+    Ok(RunOutcome {
+        entries,
+        resident_kb,
+        unreached_messages: stage.crowd.never(),
+        collapsed_partners: fallen,
+        kills,
+        upgrades,
+        fleet,
+    })
 }
 
 async fn set_up(
-    scenario: &Scenario, script: &Script, options: &Options, recorder: Recorder,
+    scenario: &Scenario, script: &Script, options: &RunOptions, recorder: Recorder,
 ) -> io::Result<Stage> {
     let network = Network::draw().await?;
     let count = scenario.dispatchers.count;
@@ -312,9 +322,9 @@
         let dest = i as u32 + 1;
         let partner = Arc::new(Partner::new(
             spec.clone(),
-            scenario.returning.clone(),
+            scenario.recovery.clone(),
             dest,
-            scenario.dispatchers.attempts,
+            scenario.dispatchers.max_attempts,
             script.seed,
             ledger.clone(),
             recorder.clone(),
@@ -324,8 +334,10 @@
             // An address for each partner; its endpoints differ by port.
             let at = vec![network.at(20 + (i % 200) as u8, 0); count];
             let name = format!("{}-{n}", spec.name);
-            let traits =
-                Traits { idle: Some(Duration::from_secs_f64(spec.idle_s)), connections: spec.connections };
+            let traits = Traits {
+                idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
+                connections: spec.max_connections,
+            };
             let door = Door(partner.clone(), n);
             let endpoint =
                 Endpoint::start(&name, dest, &at, traits, door, recorder.clone(), numbers.clone()).await?;
@@ -348,10 +360,12 @@
         configs.push(configuration(scenario, index, listen));
         listens.push(listen);
     }
-    let folders: Vec<_> = processes.iter().map(Process::folder).collect();
+    let folders: Vec<_> = processes.iter().map(Process::dir).collect();
     let relays = match scenario.fleet.voters {
         0 => Relays::new(),
-        _ => mischief::set_up(&scenario.fleet, &folders, |i| network.at(1 + i as u8, MEMBERS_PORT)).await?,
+        _ => {
+            fleet_faults::set_up(&scenario.fleet, &folders, |i| network.at(1 + i as u8, MEMBERS_PORT)).await?
+        }
     };
     let crowd = Crowd::new(scenario.clone(), recorder.clone(), ledger, listens);
     tokio::spawn(crowd.clone().hear(notices));
@@ -375,12 +389,16 @@
 
 fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> Host {
     let spec = &scenario.partners[partner];
-    let share = if spec.limit == Limit::None { spec.capacity } else { spec.limit_per_s.min(spec.capacity) };
+    let share = if spec.rate_limit == RateLimit::None {
+        spec.capacity_per_s
+    } else {
+        spec.limit_per_s.min(spec.capacity_per_s)
+    };
     Host {
         name: endpoint.name().into(),
         dial: (0..count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
         site: "lab".into(),
-        class: kind_name(spec.batch),
+        class: kind_name(spec.max_batch),
         block: partner as u32 + 1,
         state: Listed::Up,
         share,
@@ -399,7 +417,7 @@
         config["known"] = self.platform.known(index);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
         config["seed"] = format!("{seed:016x}").into();
-        self.processes[index].configure(&config)
+        self.processes[index].write_config(&config)
     }
 
     fn endpoints(&self, partner: usize) -> Vec<Arc<Endpoint>> {
@@ -415,8 +433,8 @@
 
     async fn restart(&self, index: usize) -> io::Result<()> {
         let process = &self.processes[index];
-        process.ended(Duration::from_secs(10)).await;
-        sleep(Duration::from_millis(self.scenario.dispatchers.restart_ms)).await;
+        process.wait_for_exit(Duration::from_secs(10)).await;
+        sleep(Duration::from_millis(self.scenario.dispatchers.restart_delay_ms)).await;
         self.configure(index)?;
         process.start(self.agent(index)?).await?;
         self.crowd.believe(index, true);
@@ -434,75 +452,75 @@
         Ok(())
     }
 
-    async fn outage(&self, turn: &Turn, trouble: Ill, door: Sockets) -> io::Result<()> {
-        let partner = &self.partners[turn.whom];
+    async fn outage(&self, turn: &FaultEvent, trouble: Ill, door: Sockets) -> io::Result<()> {
+        let partner = &self.partners[turn.target];
         let refusing = door == Sockets::Refusing;
         self.recorder.add(What::Out { dest: partner.dest(), refusing });
         partner.set(trouble);
-        self.doors(turn.whom, door).await?;
-        sleep(Duration::from_micros(turn.span)).await;
+        self.doors(turn.target, door).await?;
+        sleep(Duration::from_micros(turn.duration)).await;
         partner.come_back();
-        self.doors(turn.whom, Sockets::Open).await
+        self.doors(turn.target, Sockets::Open).await
     }
 
-    async fn turn(&self, turn: &Turn) -> io::Result<()> {
-        let span = Duration::from_micros(turn.span);
+    async fn turn(&self, turn: &FaultEvent) -> io::Result<()> {
+        let span = Duration::from_micros(turn.duration);
         match turn.kind {
-            Kind::Kill => {
-                let process = &self.processes[turn.whom];
+            FaultKind::Kill => {
+                let process = &self.processes[turn.target];
                 process.signal(Sig::Kill);
-                let [least, most] = self.scenario.clients.notice_ms;
+                let [least, most] = self.scenario.clients.failure_detection_ms;
                 let notice = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(least..=most);
-                tokio::join!(self.restart(turn.whom), async {
+                tokio::join!(self.restart(turn.target), async {
                     sleep(Duration::from_millis(notice)).await;
                     // Back before anybody noticed.
-                    if process.id().is_none() {
-                        self.crowd.believe(turn.whom, false);
+                    if process.pid().is_none() {
+                        self.crowd.believe(turn.target, false);
                     }
                 })
                 .0
             }
-            Kind::Term => {
-                let process = &self.processes[turn.whom];
+            FaultKind::Term => {
+                let process = &self.processes[turn.target];
                 process.signal(Sig::Term);
                 sleep(FRONT_AFTER_TERM).await;
-                self.crowd.believe(turn.whom, false);
-                if !process.ended(KILL_AFTER - FRONT_AFTER_TERM).await {
+                self.crowd.believe(turn.target, false);
+                if !process.wait_for_exit(KILL_AFTER - FRONT_AFTER_TERM).await {
                     process.signal(Sig::Kill);
                 }
-                self.restart(turn.whom).await
+                self.restart(turn.target).await
             }
-            Kind::Stop => {
-                self.processes[turn.whom].signal(Sig::Stop);
+            FaultKind::Stop => {
+                self.processes[turn.target].signal(Sig::Stop);
                 sleep(span).await;
-                self.processes[turn.whom].signal(Sig::Cont);
+                self.processes[turn.target].signal(Sig::Cont);
                 Ok(())
             }
-            Kind::Reload => {
-                let host = 1 + turn.whom as u8;
-                self.platform.agent(turn.whom, self.network.at(host, 0)).await?;
-                self.configure(turn.whom)?;
-                self.processes[turn.whom].signal(Sig::Hup);
+            FaultKind::Reload => {
+                let host = 1 + turn.target as u8;
+                self.platform.agent(turn.target, self.network.at(host, 0)).await?;
+                self.configure(turn.target)?;
+                self.processes[turn.target].signal(Sig::Hup);
                 Ok(())
             }
-            Kind::Down => self.outage(turn, Ill::None, Sockets::Refusing).await,
-            Kind::Silent => self.outage(turn, Ill::None, Sockets::Silent).await,
-            Kind::Hang => self.outage(turn, Ill::Hang, Sockets::Open).await,
-            Kind::Shut => self.outage(turn, Ill::Shut, Sockets::Open).await,
-            Kind::Errors => self.outage(turn, Ill::Errors, Sockets::Open).await,
-            Kind::Slow | Kind::Cuts | Kind::Spoilt => {
-                let partner = &self.partners[turn.whom];
+            FaultKind::Down => self.outage(turn, Ill::None, Sockets::Refusing).await,
+            FaultKind::Silent => self.outage(turn, Ill::None, Sockets::Silent).await,
+            FaultKind::Hang => self.outage(turn, Ill::Hang, Sockets::Open).await,
+            FaultKind::Shut => self.outage(turn, Ill::Shut, Sockets::Open).await,
+            FaultKind::Errors => self.outage(turn, Ill::Errors, Sockets::Open).await,
+            FaultKind::Slow | FaultKind::Cuts | FaultKind::Spoilt => {
+                let partner = &self.partners[turn.target];
                 partner.set(match turn.kind {
-                    Kind::Slow => Ill::Slow(turn.factor),
-                    Kind::Cuts => Ill::Cuts,
+                    FaultKind::Slow => Ill::Slow(turn.factor),
+                    FaultKind::Cuts => Ill::Cuts,
                     _ => Ill::Spoilt,
                 });
                 sleep(span).await;
                 partner.set(Ill::None);
                 Ok(())
             }
-            Kind::Drain => {
-                let Some(endpoint) = self.endpoints(turn.whom).get(turn.endpoint).cloned() else {
+            FaultKind::Drain => {
+                let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
                 let Some(mut host) = self.platform.host(endpoint.name()) else { return Ok(()) };
@@ -515,27 +533,27 @@
                 sleep(Duration::from_millis(1500)).await;
                 self.newcomer(turn, endpoint).await
             }
-            Kind::Replace => {
-                let Some(endpoint) = self.endpoints(turn.whom).get(turn.endpoint).cloned() else {
+            FaultKind::Replace => {
+                let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
                 let Some(host) = self.platform.host(endpoint.name()) else { return Ok(()) };
                 self.platform.list(Host { state: Listed::Removed, ..host });
                 self.newcomer(turn, endpoint).await
             }
-            Kind::PlatformSilent => {
+            FaultKind::PlatformSilent => {
                 self.platform.set(|mood| mood.silent = true);
                 sleep(span).await;
                 self.platform.set(|mood| mood.silent = false);
                 Ok(())
             }
-            Kind::PlatformTorn => {
+            FaultKind::PlatformTorn => {
                 self.platform.set(|mood| mood.torn = true);
                 sleep(span).await;
                 self.platform.set(|mood| mood.torn = false);
                 Ok(())
             }
-            Kind::PlatformLate => {
+            FaultKind::PlatformLate => {
                 self.platform.set(|mood| mood.late = Duration::from_secs_f64(turn.factor));
                 sleep(span).await;
                 self.platform.set(|mood| mood.late = Duration::ZERO);
@@ -549,15 +567,16 @@
         let fleet = &self.scenario.fleet;
         let count = self.processes.len();
         let (mut ends, mut folders) = (Vec::new(), 0);
-        sleep(Duration::from_secs_f64(fleet.from_s)).await;
-        for _ in 0..fleet.troubles {
-            sleep(Duration::from_micros(rng.u64(fleet.every_ms[0] * 1000..=fleet.every_ms[1] * 1000))).await;
+        sleep(Duration::from_secs_f64(fleet.first_fault_s)).await;
+        for _ in 0..fleet.fault_count {
+            sleep(Duration::from_micros(rng.u64(fleet.interval_ms[0] * 1000..=fleet.interval_ms[1] * 1000)))
+                .await;
             if std::time::Instant::now() >= stop {
                 break;
             }
             let (stage, one, other) = (self.clone(), rng.usize(0..count), rng.usize(0..count));
             let mut trouble = Trouble::draw(&mut rng);
-            while fleet.only.as_ref().is_some_and(|only| !trouble.is(only)) {
+            while fleet.only_kind.as_ref().is_some_and(|only| !trouble.is(only)) {
                 trouble = Trouble::draw(&mut rng);
             }
             // A folder that is gone costs its fleet a voter until another is in its place.
@@ -568,14 +587,14 @@
                 }
             }
             if rng.bool() {
-                mischief::copy_aside(&self.processes[rng.usize(0..count)]);
+                fleet_faults::copy_aside(&self.processes[rng.usize(0..count)]);
             }
             ends.push(tokio::spawn(async move { stage.one_trouble(trouble, one, other).await }));
         }
         for end in ends {
             let _ = end.await;
         }
-        mischief::heal(&self.relays);
+        fleet_faults::heal(&self.relays);
     }
 
     async fn one_trouble(&self, trouble: Trouble, one: usize, other: usize) {
@@ -583,38 +602,38 @@
         let after = |span: f64| sleep(Duration::from_secs_f64(span));
         match trouble {
             Trouble::Kill(folder) => {
-                if process.id().is_none() {
+                if process.pid().is_none() {
                     return;
                 }
                 process.signal(Sig::Kill);
-                process.ended(Duration::from_secs(10)).await;
-                mischief::turn_back(process, folder);
+                process.wait_for_exit(Duration::from_secs(10)).await;
+                fleet_faults::turn_back(process, folder);
                 if let Err(error) = self.restart(one).await {
                     eprintln!("dispatcher {one} after a kill: {error}");
                 }
             }
-            Trouble::Stop(span) => mischief::stop(process, span).await,
+            Trouble::Stop(span) => fleet_faults::stop(process, span).await,
             Trouble::CutOff(says, hears, span) => {
-                mischief::cut_off(&self.relays, one, says, hears);
+                fleet_faults::cut_off(&self.relays, one, says, hears);
                 after(span).await;
-                mischief::cut_off(&self.relays, one, false, false);
+                fleet_faults::cut_off(&self.relays, one, false, false);
             }
             Trouble::Pair(there, back, span) => {
                 if let Some(relay) = self.relays.get(&(one, other)) {
-                    relay.set(|way| (way.there_cut, way.back_cut) = (there, back));
+                    relay.set(|way| (way.forward_blocked, way.backward_blocked) = (there, back));
                     after(span).await;
-                    relay.set(|way| (way.there_cut, way.back_cut) = (false, false));
+                    relay.set(|way| (way.forward_blocked, way.backward_blocked) = (false, false));
                 }
             }
             Trouble::SlowThenCut(delay, span) => {
-                mischief::slow(&self.relays, one, delay);
+                fleet_faults::slow(&self.relays, one, delay);
                 after(1.0).await;
                 // Answers to what it has asked are on their way yet.
-                mischief::cut_off(&self.relays, one, true, false);
+                fleet_faults::cut_off(&self.relays, one, true, false);
                 after(1.0).await;
-                mischief::slow(&self.relays, one, 0.0);
+                fleet_faults::slow(&self.relays, one, 0.0);
                 after(span).await;
-                mischief::cut_off(&self.relays, one, false, false);
+                fleet_faults::cut_off(&self.relays, one, false, false);
             }
             Trouble::Slow(span, delay) => {
                 self.relays.values().for_each(|relay| {
@@ -627,22 +646,24 @@
     }
 
     /// A new endpoint under a new name, at the address of one that is gone.
-    async fn newcomer(&self, turn: &Turn, old: Arc<Endpoint>) -> io::Result<()> {
+    async fn newcomer(&self, turn: &FaultEvent, old: Arc<Endpoint>) -> io::Result<()> {
         old.set_door(Sockets::Refusing).await?;
-        let spec = &self.scenario.partners[turn.whom];
+        let spec = &self.scenario.partners[turn.target];
         let count = self.scenario.dispatchers.count;
         let at: Vec<_> = (0..count).filter_map(|dispatcher| old.at(dispatcher)).collect();
         let number = self.renamed.fetch_add(1, Ordering::SeqCst);
         let name = format!("{}-{}-new{number}", spec.name, turn.endpoint);
-        let partner = &self.partners[turn.whom];
-        let traits =
-            Traits { idle: Some(Duration::from_secs_f64(spec.idle_s)), connections: spec.connections };
+        let partner = &self.partners[turn.target];
+        let traits = Traits {
+            idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
+            connections: spec.max_connections,
+        };
         let door = Door(partner.clone(), turn.endpoint);
         let (recorder, numbers) = (self.recorder.clone(), self.numbers.clone());
         let endpoint = Endpoint::start(&name, partner.dest(), &at, traits, door, recorder, numbers).await?;
-        self.platform.list(host(&self.scenario, turn.whom, &endpoint, count));
+        self.platform.list(host(&self.scenario, turn.target, &endpoint, count));
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(place) = endpoints[turn.whom].get_mut(turn.endpoint) {
+        if let Some(place) = endpoints[turn.target].get_mut(turn.endpoint) {
             *place = Arc::new(endpoint);
         }
         Ok(())
@@ -730,7 +751,7 @@
         if progress && turns % 4 == 0 {
             stage.recorder.with(|entries| state.follow(entries));
             let seconds = (stage.recorder.now() - began) as f64 / 1e6;
-            let up = stage.processes.iter().filter(|process| process.id().is_some()).count();
+            let up = stage.processes.iter().filter(|process| process.pid().is_some()).count();
             eprintln!(
                 "{seconds:5.1} s  {up} of {} dispatchers up  taken {}  delivered {}  notices {}  refused {}  held {}",
                 stage.processes.len(),
@@ -748,7 +769,7 @@
 ///
 /// # Errors
 /// Those of the file system.
-pub fn fresh_folder(parent: &Path) -> io::Result<PathBuf> {
+pub fn create_run_dir(parent: &Path) -> io::Result<PathBuf> {
     let mut rng = fastrand::Rng::new();
     let folder = parent.join(format!("fawnspoke-lab-{}-{:08x}", std::process::id(), rng.u32(..)));
     std::fs::create_dir_all(&folder)?;
