--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -20,7 +20,8 @@
     #[serde(default = "one")]
     pub seed: u64,
     /// Messages come for so long, in seconds.
-    pub length_s: f64,
+    #[serde(rename = "length_s")]
+    pub duration_s: f64,
     /// The dispatchers.
     pub dispatchers: Dispatchers,
     /// Those who hand messages in.
@@ -33,10 +34,11 @@
     pub partners: Vec<Partner>,
     /// Customers with a share; messages of a partner without one have none.
     #[serde(default, rename = "customer")]
-    pub customers: Vec<Customer>,
+    pub tenants: Vec<Tenant>,
     /// How worth falls once the aim has passed.
     #[serde(default)]
-    pub decay: Decay,
+    #[serde(rename = "decay")]
+    pub value_decay: ValueDecay,
     /// Whether dispatchers may probe.
     #[serde(default = "yes")]
     pub probes: bool,
@@ -45,19 +47,21 @@
     pub faults: Vec<Fault>,
     /// What goes wrong by chance.
     #[serde(default)]
-    pub random: Random,
+    #[serde(rename = "random")]
+    pub random_faults: RandomFaults,
     /// Kills over and over.
     #[serde(default)]
-    pub killer: Killer,
+    pub killer: KillerSettings,
     /// Upgrades over and over.
     #[serde(default)]
-    pub upgrader: Upgrader,
+    pub upgrader: UpgraderSettings,
     /// The dispatchers as a fleet, with trouble between them.
     #[serde(default)]
-    pub fleet: Fleet,
+    pub fleet: FleetSettings,
     /// The figures of returning destinations.
     #[serde(default)]
-    pub returning: Returning,
+    #[serde(rename = "returning")]
+    pub recovery: Recovery,
     /// By how much each time limit of the rules is longer, in milliseconds: what the machine itself may be late.
     #[serde(default = "slack_ms")]
     pub slack_ms: u64,
@@ -74,7 +78,7 @@
 /// How worth falls once the aim has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Decay {
+pub enum ValueDecay {
     /// By half with each further aim.
     #[default]
     ByHalf,
@@ -85,7 +89,7 @@
 /// A customer.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Customer {
+pub struct Tenant {
     /// Its name.
     pub name: String,
     /// Messages a second within its share, at all dispatchers together.
@@ -111,10 +115,12 @@
     pub slots: usize,
     /// Messages that each may hold.
     #[serde(default = "room")]
-    pub room: usize,
+    #[serde(rename = "room")]
+    pub max_pending: usize,
     /// Attempts for one message.
     #[serde(default = "attempts")]
-    pub attempts: u32,
+    #[serde(rename = "attempts")]
+    pub max_attempts: u32,
     /// Length of a round, in milliseconds.
     #[serde(default = "tick_ms")]
     pub tick_ms: f64,
@@ -129,7 +135,8 @@
     pub disk_mb: f64,
     /// A dispatcher that was killed starts again after so long, in milliseconds.
     #[serde(default = "restart_ms")]
-    pub restart_ms: u64,
+    #[serde(rename = "restart_ms")]
+    pub restart_delay_ms: u64,
 }
 
 fn slots() -> usize {
@@ -162,22 +169,27 @@
 #[serde(deny_unknown_fields)]
 pub struct Clients {
     /// Messages a second, all clients together; they come by chance and wait for nothing.
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub messages_per_s: f64,
     /// A client waits so long for the answer, in milliseconds.
     #[serde(default = "patience_ms")]
-    pub patience_ms: u64,
+    #[serde(rename = "patience_ms")]
+    pub response_timeout_ms: u64,
     /// The chance that a message that was turned away is handed in again.
     #[serde(default = "retries")]
-    pub retries: f64,
+    #[serde(rename = "retries")]
+    pub retry_probability: f64,
     /// It does so after a time between these, in milliseconds, or when it was told to come.
     #[serde(default = "backoff_ms")]
     pub backoff_ms: [u64; 2],
     /// The front sends on to a dead dispatcher for a time between these, in milliseconds.
     #[serde(default = "notice_ms")]
-    pub notice_ms: [u64; 2],
+    #[serde(rename = "notice_ms")]
+    pub failure_detection_ms: [u64; 2],
     /// Most connections to one dispatcher.
     #[serde(default = "connections")]
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
 }
 
 fn patience_ms() -> u64 {
@@ -205,23 +217,29 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Its part of the messages, against the others'.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// Wanted within so many seconds.
-    pub aim_s: f64,
+    #[serde(rename = "aim_s")]
+    pub target_latency_s: f64,
     /// Given up after so many seconds.
     pub deadline_s: f64,
     /// For keyed classes: a key is remembered for so many seconds.
     #[serde(default)]
-    pub window_s: f64,
+    #[serde(rename = "window_s")]
+    pub key_window_s: f64,
     /// Worth of one.
     #[serde(default = "worth")]
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub value: f64,
     /// Share of the worth that is left at the deadline.
     #[serde(default = "late_share")]
-    pub late_share: f64,
+    #[serde(rename = "late_share")]
+    pub deadline_value_share: f64,
     /// Bytes of a body, least and most.
     #[serde(default = "body")]
-    pub body: [usize; 2],
+    #[serde(rename = "body")]
+    pub body_bytes: [usize; 2],
 }
 
 fn worth() -> f64 {
@@ -237,7 +255,7 @@
 /// How a partner limits its calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Limit {
+pub enum RateLimit {
     /// By its capacity alone.
     #[default]
     None,
@@ -257,57 +275,73 @@
     #[serde(default = "endpoints")]
     pub endpoints: usize,
     /// Its part of the messages, against the others'.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// The customer whose messages it gets.
     #[serde(default)]
-    pub customer: Option<String>,
+    #[serde(rename = "customer")]
+    pub tenant: Option<String>,
     /// Calls a second that it serves once warm, all endpoints together.
-    pub capacity: f64,
+    #[serde(rename = "capacity")]
+    pub capacity_per_s: f64,
     /// Time that a call takes, least and most, in milliseconds.
     pub service_ms: [f64; 2],
     /// Calls wait for their turn for so long at most, in milliseconds; then they are turned away.
     #[serde(default = "queue_ms")]
-    pub queue_ms: f64,
+    #[serde(rename = "queue_ms")]
+    pub max_queue_ms: f64,
     /// How it limits calls.
     #[serde(default)]
-    pub limit: Limit,
+    #[serde(rename = "limit")]
+    pub rate_limit: RateLimit,
     /// The limit, in calls a second.
     #[serde(default)]
     pub limit_per_s: f64,
     /// The span in which a window limit counts, in seconds.
     #[serde(default = "window_s")]
-    pub window_s: f64,
+    #[serde(rename = "window_s")]
+    pub limit_window_s: f64,
     /// What is above the limit is told how long to wait.
     #[serde(default)]
-    pub tells_wait: bool,
+    #[serde(rename = "tells_wait")]
+    pub sends_retry_after: bool,
     /// Messages in a call at most.
     #[serde(default = "batch")]
-    pub batch: usize,
+    #[serde(rename = "batch")]
+    pub max_batch: usize,
     /// Connections that an endpoint holds.
     #[serde(default = "partner_connections")]
-    pub connections: usize,
+    #[serde(rename = "connections")]
+    pub max_connections: usize,
     /// It closes connections that have been idle for so many seconds.
     #[serde(default = "idle_s")]
-    pub idle_s: f64,
+    #[serde(rename = "idle_s")]
+    pub idle_timeout_s: f64,
     /// Share of the calls that end in an error, half of them after they have run.
     #[serde(default)]
-    pub errors: f64,
+    #[serde(rename = "errors")]
+    pub error_probability: f64,
     /// Share of the calls whose connection is reset once they have run.
     #[serde(default)]
-    pub resets: f64,
+    #[serde(rename = "resets")]
+    pub reset_probability: f64,
     /// Share of the answers that are cut at a byte drawn by chance.
     #[serde(default)]
-    pub cuts: f64,
+    #[serde(rename = "cuts")]
+    pub truncation_probability: f64,
     /// Share of the answers that can't be read.
     #[serde(default)]
-    pub spoilt: f64,
+    #[serde(rename = "spoilt")]
+    pub malformed_probability: f64,
     /// Share of the answers that are good and bring more than belongs to them: a 1xx ahead, a second copy or noise
     /// behind, a report that can't be read.
     #[serde(default)]
-    pub extras: f64,
+    #[serde(rename = "extras")]
+    pub extra_data_probability: f64,
     /// Share of the requests on whose first bytes the connection is reset: they never run.
     #[serde(default)]
-    pub request_resets: f64,
+    #[serde(rename = "request_resets")]
+    pub request_reset_probability: f64,
 }
 
 fn endpoints() -> usize {
@@ -332,7 +366,7 @@
 /// What may go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// SIGKILL to a dispatcher, which starts again.
     Kill,
     /// SIGTERM, SIGKILL 3.7 s later if it still runs, and a start.
@@ -369,20 +403,20 @@
     PlatformLate,
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether it befalls a dispatcher.
-    pub fn dispatcher(self) -> bool {
-        matches!(self, Kind::Kill | Kind::Term | Kind::Stop | Kind::Reload)
+    pub fn targets_dispatcher(self) -> bool {
+        matches!(self, FaultKind::Kill | FaultKind::Term | FaultKind::Stop | FaultKind::Reload)
     }
 
     /// Whether it befalls the platform.
-    pub fn platform(self) -> bool {
-        matches!(self, Kind::PlatformSilent | Kind::PlatformTorn | Kind::PlatformLate)
+    pub fn targets_platform(self) -> bool {
+        matches!(self, FaultKind::PlatformSilent | FaultKind::PlatformTorn | FaultKind::PlatformLate)
     }
 
     /// Whether it ends by itself and takes no time of its own.
-    fn instant(self) -> bool {
-        matches!(self, Kind::Kill | Kind::Term | Kind::Reload | Kind::Replace)
+    fn is_instant(self) -> bool {
+        matches!(self, FaultKind::Kill | FaultKind::Term | FaultKind::Reload | FaultKind::Replace)
     }
 }
 
@@ -393,10 +427,11 @@
     /// When, in seconds.
     pub at_s: f64,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// For how long, in seconds.
     #[serde(default)]
-    pub for_s: f64,
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
     /// Which dispatcher, from 0.
     pub dispatcher: Option<usize>,
     /// Which partner, by name.
@@ -411,95 +446,116 @@
 /// What goes wrong by chance: how often each, at times and with those that the seed draws.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Random {
+pub struct RandomFaults {
     /// Kills of dispatchers.
     pub kills: usize,
     /// Planned restarts.
-    pub terms: usize,
+    #[serde(rename = "terms")]
+    pub planned_restarts: usize,
     /// Dispatchers that stand still for a while.
-    pub stops: usize,
+    #[serde(rename = "stops")]
+    pub pauses: usize,
     /// New configurations.
     pub reloads: usize,
     /// Outages of partners, of any kind.
     pub outages: usize,
     /// Partners that slow down.
-    pub slows: usize,
+    #[serde(rename = "slows")]
+    pub slowdowns: usize,
     /// Partners whose answers are cut or spoilt for a while.
-    pub spoils: usize,
+    #[serde(rename = "spoils")]
+    pub corruptions: usize,
     /// Endpoints that drain or are replaced.
-    pub churns: usize,
+    #[serde(rename = "churns")]
+    pub endpoint_changes: usize,
     /// Spells in which the platform is silent, torn or late.
-    pub platform: usize,
+    #[serde(rename = "platform")]
+    pub platform_faults: usize,
 }
 
 /// Kills of dispatchers, one after the other, each a while after it has become ready again.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Killer {
+pub struct KillerSettings {
     /// How many, all dispatchers together; those that find no time before the last tenth of the run are left out.
     pub kills: usize,
     /// A ready dispatcher is killed after a time between these, in milliseconds.
-    pub every_ms: [u64; 2],
+    #[serde(rename = "every_ms")]
+    pub interval_ms: [u64; 2],
     /// For so long, in milliseconds, it waits for a moment at which the journal is half-way through winning room back.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub max_compaction_wait_ms: u64,
 }
 
-impl Default for Killer {
-    fn default() -> Killer {
-        Killer { kills: 0, every_ms: [50, 500], aim_ms: 0 }
+impl Default for KillerSettings {
+    fn default() -> KillerSettings {
+        KillerSettings { kills: 0, interval_ms: [50, 500], max_compaction_wait_ms: 0 }
     }
 }
 
 /// Upgrades of dispatchers, one after the other: a second process is started beside the first, and takes over.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Upgrader {
+pub struct UpgraderSettings {
     /// How many, all dispatchers together; those that find no time before the last tenth of the run are left out.
     pub upgrades: usize,
     /// From one to the next of a dispatcher it takes a time between these, in milliseconds.
-    pub every_ms: [u64; 2],
+    #[serde(rename = "every_ms")]
+    pub interval_ms: [u64; 2],
     /// Share of the upgrades in which the old process, the new one or both are killed.
-    pub kills: f64,
+    #[serde(rename = "kills")]
+    pub kill_probability: f64,
     /// Such a kill comes within so long of the second process's start, in milliseconds.
-    pub within_ms: u64,
+    #[serde(rename = "within_ms")]
+    pub max_kill_delay_ms: u64,
 }
 
-impl Default for Upgrader {
-    fn default() -> Upgrader {
-        Upgrader { upgrades: 0, every_ms: [200, 600], kills: 0.0, within_ms: 40 }
+impl Default for UpgraderSettings {
+    fn default() -> UpgraderSettings {
+        UpgraderSettings {
+            upgrades: 0,
+            interval_ms: [200, 600],
+            kill_probability: 0.0,
+            max_kill_delay_ms: 40,
+        }
     }
 }
 
 /// The dispatchers as members of a fleet, and trouble between them over and over.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// How many vote, from the first on; without any there is no fleet. The others follow.
     pub voters: usize,
     /// Further lines of the fleet's file.
-    pub settings: String,
+    #[serde(rename = "settings")]
+    pub extra_config: String,
     /// How often something goes wrong, all together, until the last fifth of the run.
-    pub troubles: usize,
+    #[serde(rename = "troubles")]
+    pub fault_count: usize,
     /// When the first comes, in seconds: by then all have joined.
-    pub from_s: f64,
+    #[serde(rename = "from_s")]
+    pub first_fault_s: f64,
     /// From one trouble to the next it takes a time between these, in milliseconds.
-    pub every_ms: [u64; 2],
+    #[serde(rename = "every_ms")]
+    pub interval_ms: [u64; 2],
     /// The rate of each member's clock; 1 for those that are not named. It takes a build with the feature `planted`.
     pub clock_rates: Vec<f64>,
     /// One trouble alone, in place of all kinds: `kill`, `stop`, `cut` or `slow`.
-    pub only: Option<String>,
+    #[serde(rename = "only")]
+    pub only_kind: Option<String>,
 }
 
-impl Default for Fleet {
-    fn default() -> Fleet {
-        Fleet {
+impl Default for FleetSettings {
+    fn default() -> FleetSettings {
+        FleetSettings {
             voters: 0,
-            settings: String::new(),
-            troubles: 0,
-            from_s: 3.0,
-            every_ms: [200, 900],
+            extra_config: String::new(),
+            fault_count: 0,
+            first_fault_s: 3.0,
+            interval_ms: [200, 900],
             clock_rates: Vec::new(),
-            only: None,
+            only_kind: None,
         }
     }
 }
@@ -507,20 +563,24 @@
 /// The figures of returning destinations.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Returning {
+pub struct Recovery {
     /// Seconds until it is warm.
-    pub cold_s: f64,
+    #[serde(rename = "cold_s")]
+    pub warm_up_s: f64,
     /// Share of its capacity that it starts with.
-    pub cold_share: f64,
+    #[serde(rename = "cold_share")]
+    pub initial_capacity_share: f64,
     /// Sent more than this multiple of its present capacity ...
-    pub multiple: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     /// ... for so many seconds, it falls over.
-    pub fall_s: f64,
+    #[serde(rename = "fall_s")]
+    pub overload_s: f64,
 }
 
-impl Default for Returning {
-    fn default() -> Returning {
-        Returning { cold_s: 9.6, cold_share: 0.19, multiple: 2.0, fall_s: 3.0 }
+impl Default for Recovery {
+    fn default() -> Recovery {
+        Recovery { warm_up_s: 9.6, initial_capacity_share: 0.19, overload_multiple: 2.0, overload_s: 3.0 }
     }
 }
 
@@ -561,7 +621,7 @@
         };
         const ABOVE: &str = "must be a number above 0";
         const SHARE: &str = "must lie between 0 and 1";
-        let length = self.length_s;
+        let length = self.duration_s;
         expect(
             above(length) && length <= LENGTH_MOST,
             "",
@@ -574,8 +634,8 @@
         for (key, n, most) in [
             ("count", d.count, 64),
             ("slots", d.slots, 10_000),
-            ("room", d.room, 1_000_000),
-            ("attempts", d.attempts as usize, 1000),
+            ("room", d.max_pending, 1_000_000),
+            ("attempts", d.max_attempts as usize, 1000),
             ("sockets", d.sockets, 100_000),
         ] {
             expect(
@@ -592,20 +652,26 @@
         let f = &self.fleet;
         let voters = [0, 1, 3, 5, 7].contains(&f.voters) && f.voters <= d.count;
         expect(voters, "fleet", 0, "voters", "must be 0, 1, 3, 5 or 7, and no more than dispatchers")?;
-        expect(f.troubles <= 10_000, "fleet", 0, "troubles", "must be 10000 at most")?;
+        expect(f.fault_count <= 10_000, "fleet", 0, "troubles", "must be 10000 at most")?;
         expect(
-            f.every_ms[0] <= f.every_ms[1],
+            f.interval_ms[0] <= f.interval_ms[1],
             "fleet",
             0,
             "every_ms",
             "must be the shortest and the longest",
         )?;
-        let only = f.only.as_deref().is_none_or(|only| ["kill", "stop", "cut", "slow"].contains(&only));
+        let only = f.only_kind.as_deref().is_none_or(|only| ["kill", "stop", "cut", "slow"].contains(&only));
         expect(only, "fleet", 0, "only", "must be kill, stop, cut or slow")?;
-        expect(f.from_s.is_finite() && f.from_s >= 0.0, "fleet", 0, "from_s", "must be a number, 0 or more")?;
+        expect(
+            f.first_fault_s.is_finite() && f.first_fault_s >= 0.0,
+            "fleet",
+            0,
+            "from_s",
+            "must be a number, 0 or more",
+        )?;
         let c = &self.clients;
-        expect(above(c.rate), "clients", 0, "rate", ABOVE)?;
-        let messages = c.rate * length;
+        expect(above(c.messages_per_s), "clients", 0, "rate", ABOVE)?;
+        let messages = c.messages_per_s * length;
         expect(
             messages <= MESSAGES_MOST,
             "clients",
@@ -613,29 +679,30 @@
             "rate",
             "more than 500,000 messages in the run's length",
         )?;
-        expect(share(c.retries), "clients", 0, "retries", SHARE)?;
-        expect(c.patience_ms > 0, "clients", 0, "patience_ms", ABOVE)?;
-        expect(c.connections > 0, "clients", 0, "connections", ABOVE)?;
-        for (key, span) in [("backoff_ms", c.backoff_ms), ("notice_ms", c.notice_ms)] {
+        expect(share(c.retry_probability), "clients", 0, "retries", SHARE)?;
+        expect(c.response_timeout_ms > 0, "clients", 0, "patience_ms", ABOVE)?;
+        expect(c.max_connections > 0, "clients", 0, "connections", ABOVE)?;
+        for (key, span) in [("backoff_ms", c.backoff_ms), ("notice_ms", c.failure_detection_ms)] {
             expect(span[0] <= span[1], "clients", 0, key, "the least must not be above the most")?;
         }
         expect(!self.classes.is_empty(), "", 0, "class", "at least one [[class]] expected")?;
         for (i, class) in self.classes.iter().enumerate() {
-            for (key, x) in [("share", class.share), ("aim_s", class.aim_s), ("deadline_s", class.deadline_s)]
+            for (key, x) in
+                [("share", class.weight), ("aim_s", class.target_latency_s), ("deadline_s", class.deadline_s)]
             {
                 expect(above(x), "class", i, key, ABOVE)?;
             }
             let keyed = class.effect == Effect::Keyed;
             expect(
-                !keyed || above(class.window_s),
+                !keyed || above(class.key_window_s),
                 "class",
                 i,
                 "window_s",
                 "a keyed class needs one above 0",
             )?;
-            expect(share(class.late_share), "class", i, "late_share", SHARE)?;
-            expect(class.worth.is_finite() && class.worth >= 0.0, "class", i, "worth", "must be 0 or more")?;
-            let body = class.body[0] <= class.body[1] && class.body[1] <= 64 * 1024;
+            expect(share(class.deadline_value_share), "class", i, "late_share", SHARE)?;
+            expect(class.value.is_finite() && class.value >= 0.0, "class", i, "worth", "must be 0 or more")?;
+            let body = class.body_bytes[0] <= class.body_bytes[1] && class.body_bytes[1] <= 64 * 1024;
             expect(body, "class", i, "body", "least and most expected, 65536 at most")?;
             let twin = self.classes[..i].iter().any(|other| other.name == class.name);
             expect(!twin, "class", i, "name", "another class has this name")?;
@@ -648,18 +715,21 @@
             let p = partner;
             let twin = self.partners[..i].iter().any(|other| other.name == p.name);
             expect(!twin, "partner", i, "name", "another partner has this name")?;
-            for (key, x) in
-                [("share", p.share), ("capacity", p.capacity), ("idle_s", p.idle_s), ("window_s", p.window_s)]
-            {
+            for (key, x) in [
+                ("share", p.weight),
+                ("capacity", p.capacity_per_s),
+                ("idle_s", p.idle_timeout_s),
+                ("window_s", p.limit_window_s),
+            ] {
                 expect(above(x), "partner", i, key, ABOVE)?;
             }
-            let known = p.customer.iter().all(|name| self.customers.iter().any(|c| c.name == *name));
+            let known = p.tenant.iter().all(|name| self.tenants.iter().any(|c| c.name == *name));
             expect(known, "partner", i, "customer", "there is no [[customer]] of this name")?;
             expect((1..=64).contains(&p.endpoints), "partner", i, "endpoints", "must lie between 1 and 64")?;
-            expect((1..=100).contains(&p.batch), "partner", i, "batch", "must lie between 1 and 100")?;
-            expect(p.connections > 0, "partner", i, "connections", ABOVE)?;
+            expect((1..=100).contains(&p.max_batch), "partner", i, "batch", "must lie between 1 and 100")?;
+            expect(p.max_connections > 0, "partner", i, "connections", ABOVE)?;
             expect(
-                p.queue_ms.is_finite() && p.queue_ms >= 0.0,
+                p.max_queue_ms.is_finite() && p.max_queue_ms >= 0.0,
                 "partner",
                 i,
                 "queue_ms",
@@ -674,19 +744,23 @@
                 "service_ms",
                 "least and most expected, above 0 and 60000 at most",
             )?;
-            let limited = p.limit == Limit::None || above(p.limit_per_s);
+            let limited = p.rate_limit == RateLimit::None || above(p.limit_per_s);
             expect(limited, "partner", i, "limit_per_s", "a limit needs one above 0")?;
             for (key, x) in [
-                ("errors", p.errors),
-                ("resets", p.resets),
-                ("cuts", p.cuts),
-                ("spoilt", p.spoilt),
-                ("extras", p.extras),
-                ("request_resets", p.request_resets),
+                ("errors", p.error_probability),
+                ("resets", p.reset_probability),
+                ("cuts", p.truncation_probability),
+                ("spoilt", p.malformed_probability),
+                ("extras", p.extra_data_probability),
+                ("request_resets", p.request_reset_probability),
             ] {
                 expect(share(x), "partner", i, key, SHARE)?;
             }
-            let sum = p.errors + p.resets + p.cuts + p.spoilt + p.extras;
+            let sum = p.error_probability
+                + p.reset_probability
+                + p.truncation_probability
+                + p.malformed_probability
+                + p.extra_data_probability;
             expect(
                 sum <= 1.0,
                 "partner",
@@ -695,51 +769,57 @@
                 "errors, resets, cuts, spoilt and extras are more than all calls",
             )?;
         }
-        for (i, customer) in self.customers.iter().enumerate() {
+        for (i, customer) in self.tenants.iter().enumerate() {
             expect(above(customer.quota_per_s), "customer", i, "quota_per_s", ABOVE)?;
         }
         for (i, fault) in self.faults.iter().enumerate() {
             self.check_fault(i, fault)?;
         }
-        let r = &self.returning;
-        expect(above(r.cold_s), "returning", 0, "cold_s", ABOVE)?;
-        expect(above(r.fall_s), "returning", 0, "fall_s", ABOVE)?;
-        expect(above(r.multiple), "returning", 0, "multiple", ABOVE)?;
-        expect(share(r.cold_share) && r.cold_share > 0.0, "returning", 0, "cold_share", SHARE)
+        let r = &self.recovery;
+        expect(above(r.warm_up_s), "returning", 0, "cold_s", ABOVE)?;
+        expect(above(r.overload_s), "returning", 0, "fall_s", ABOVE)?;
+        expect(above(r.overload_multiple), "returning", 0, "multiple", ABOVE)?;
+        expect(
+            share(r.initial_capacity_share) && r.initial_capacity_share > 0.0,
+            "returning",
+            0,
+            "cold_share",
+            SHARE,
+        )
     }
 
     fn check_fault(
         &self, i: usize, fault: &Fault,
     ) -> Result<(), (&'static str, usize, &'static str, String)> {
         let wrong = |key, problem: String| Err(("fault", i, key, problem));
-        let length = self.length_s;
+        let length = self.duration_s;
         if !(0.0..=length).contains(&fault.at_s) {
             return wrong("at_s", format!("must lie between 0 and the run's {length} s"));
         }
-        if !fault.for_s.is_finite() || fault.for_s < 0.0 {
+        if !fault.duration_s.is_finite() || fault.duration_s < 0.0 {
             return wrong("for_s", "must be 0 or more".into());
         }
-        if fault.at_s + fault.for_s > length {
+        if fault.at_s + fault.duration_s > length {
             return wrong("for_s", format!("it would outlast the run's {length} s"));
         }
-        if !fault.kind.instant() && fault.for_s == 0.0 {
+        if !fault.kind.is_instant() && fault.duration_s == 0.0 {
             return wrong("for_s", "this kind lasts for a time: a number above 0 expected".into());
         }
         match fault.dispatcher {
             Some(n) if n >= self.dispatchers.count => {
                 return wrong("dispatcher", format!("there are {}, counted from 0", self.dispatchers.count));
             }
-            None if fault.kind.dispatcher() => {
+            None if fault.kind.targets_dispatcher() => {
                 return wrong("dispatcher", "missing: which one, from 0".into());
             }
-            Some(_) if !fault.kind.dispatcher() => {
+            Some(_) if !fault.kind.targets_dispatcher() => {
                 return wrong("dispatcher", "this kind does not befall a dispatcher".into());
             }
             _ => {}
         }
         let partner = fault.partner.as_ref();
         let known = partner.and_then(|name| self.partners.iter().find(|p| p.name == *name));
-        let wanted = !fault.kind.dispatcher() && !fault.kind.platform();
+        let wanted = !fault.kind.targets_dispatcher() && !fault.kind.targets_platform();
         match (partner, known) {
             (Some(name), None) => return wrong("partner", format!("there is no partner '{name}'")),
             (None, _) if wanted => return wrong("partner", "missing: its name".into()),
@@ -752,21 +832,23 @@
             }
             _ => {}
         }
-        let needs = matches!(fault.kind, Kind::Slow | Kind::PlatformLate);
+        let needs = matches!(fault.kind, FaultKind::Slow | FaultKind::PlatformLate);
         if needs && !fault.factor.is_some_and(|x| x.is_finite() && x > 0.0 && x <= 1000.0) {
             return wrong("factor", "must be a number above 0, 1000 at most".into());
         }
         // Two outages of one partner at once would leave open when it is back.
         if let Some(other) = self.faults[..i].iter().find(|other| {
-            !fault.kind.instant()
-                && !other.kind.instant()
+            !fault.kind.is_instant()
+                && !other.kind.is_instant()
                 && other.partner.is_some()
                 && other.partner == fault.partner
-                && other.at_s < fault.at_s + fault.for_s
-                && fault.at_s < other.at_s + other.for_s
+                && other.at_s < fault.at_s + fault.duration_s
+                && fault.at_s < other.at_s + other.duration_s
         }) {
-            let text =
-                format!("another fault befalls this partner from {} s for {} s", other.at_s, other.for_s);
+            let text = format!(
+                "another fault befalls this partner from {} s for {} s",
+                other.at_s, other.duration_s
+            );
             return wrong("at_s", text);
         }
         Ok(())
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -2,7 +2,7 @@
 //! The same seed gives the same script, to the letter.
 
 use crate::record::{Micros, digest};
-use crate::scenario::{Kind, Random, Scenario};
+use crate::scenario::{FaultKind, RandomFaults, Scenario};
 use std::fmt::Write;
 
 /// One message that comes to be handed in.
@@ -17,22 +17,22 @@
     /// Its partner, an index of the scenario's.
     pub partner: usize,
     /// Length of its body.
-    pub length: usize,
+    pub body_bytes: usize,
     /// What its client draws from: whom it asks, whether it comes again.
     pub seed: u64,
 }
 
 /// One thing that goes wrong, or ends to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Turn {
+pub struct FaultEvent {
     /// When.
     pub at: Micros,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// For how long.
-    pub span: Micros,
+    pub duration: Micros,
     /// The dispatcher, or the partner.
-    pub whom: usize,
+    pub target: usize,
     /// The endpoint.
     pub endpoint: usize,
     /// How much.
@@ -47,7 +47,7 @@
     /// Messages, by time.
     pub arrivals: Vec<Arrival>,
     /// Faults, by time.
-    pub turns: Vec<Turn>,
+    pub faults: Vec<FaultEvent>,
 }
 
 fn micros(seconds: f64) -> Micros {
@@ -68,58 +68,65 @@
 
 impl Script {
     /// Draws the script of a scenario.
-    pub fn draw(scenario: &Scenario, seed: u64) -> Script {
+    pub fn generate(scenario: &Scenario, seed: u64) -> Script {
         // Faults and arrivals draw from streams of their own: more of one moves none of the other.
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut coming, mut failing) = (rng.fork(), rng.fork());
-        let classes: Vec<f64> = scenario.classes.iter().map(|class| class.share).collect();
-        let partners: Vec<f64> = scenario.partners.iter().map(|partner| partner.share).collect();
+        let classes: Vec<f64> = scenario.classes.iter().map(|class| class.weight).collect();
+        let partners: Vec<f64> = scenario.partners.iter().map(|partner| partner.weight).collect();
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
-            at += -(1.0 - coming.f64()).ln() / scenario.clients.rate;
-            if at >= scenario.length_s {
+            at += -(1.0 - coming.f64()).ln() / scenario.clients.messages_per_s;
+            if at >= scenario.duration_s {
                 break;
             }
             let class = pick(&mut coming, &classes);
             let partner = pick(&mut coming, &partners);
-            let body = scenario.classes[class].body;
+            let body = scenario.classes[class].body_bytes;
             let length = coming.usize(body[0]..=body[1]);
             let id = format!("{:012x}{:04x}", arrivals.len(), coming.u16(..));
-            arrivals.push(Arrival { at: micros(at), id, class, partner, length, seed: coming.u64(..) });
+            arrivals.push(Arrival {
+                at: micros(at),
+                id,
+                class,
+                partner,
+                body_bytes: length,
+                seed: coming.u64(..),
+            });
         }
-        let mut turns: Vec<Turn> = scenario
+        let mut turns: Vec<FaultEvent> = scenario
             .faults
             .iter()
             .map(|fault| {
                 let partner = scenario.partners.iter().position(|p| Some(&p.name) == fault.partner.as_ref());
-                Turn {
+                FaultEvent {
                     at: micros(fault.at_s),
                     kind: fault.kind,
-                    span: micros(fault.for_s),
-                    whom: fault.dispatcher.or(partner).unwrap_or(0),
+                    duration: micros(fault.duration_s),
+                    target: fault.dispatcher.or(partner).unwrap_or(0),
                     endpoint: fault.endpoint,
                     factor: fault.factor.unwrap_or(1.0),
                 }
             })
             .collect();
-        chance(scenario, &scenario.random, &mut failing, &mut turns);
+        add_random_faults(scenario, &scenario.random_faults, &mut failing, &mut turns);
         turns.sort_by_key(|turn| turn.at);
-        Script { seed, arrivals, turns }
+        Script { seed, arrivals, faults: turns }
     }
 
     /// The script as text, a line an event; equal texts are equal scripts.
     pub fn text(&self, scenario: &Scenario) -> String {
         let mut text = format!("seed {}\n", self.seed);
         let seconds = |at: Micros| at as f64 / 1e6;
-        let mut turns = self.turns.iter().peekable();
+        let mut turns = self.faults.iter().peekable();
         for arrival in &self.arrivals {
             while let Some(turn) = turns.next_if(|turn| turn.at <= arrival.at) {
                 describe(&mut text, scenario, turn);
             }
             let (class, partner) =
                 (&scenario.classes[arrival.class].name, &scenario.partners[arrival.partner].name);
-            let Arrival { id, length, seed, .. } = arrival;
+            let Arrival { id, body_bytes: length, seed, .. } = arrival;
             // Writing to a string cannot fail.
             let _ = writeln!(
                 text,
@@ -138,74 +145,86 @@
 }
 
 /// Whom a turn befalls, in words.
-pub fn whom(scenario: &Scenario, turn: &Turn) -> String {
-    if turn.kind.dispatcher() {
-        format!("dispatcher {}", turn.whom)
-    } else if turn.kind.platform() {
+pub fn target_name(scenario: &Scenario, turn: &FaultEvent) -> String {
+    if turn.kind.targets_dispatcher() {
+        format!("dispatcher {}", turn.target)
+    } else if turn.kind.targets_platform() {
         "the platform".into()
     } else {
-        let name = &scenario.partners[turn.whom].name;
+        let name = &scenario.partners[turn.target].name;
         match turn.kind {
-            Kind::Drain | Kind::Replace => format!("endpoint {} of {name}", turn.endpoint),
+            FaultKind::Drain | FaultKind::Replace => format!("endpoint {} of {name}", turn.endpoint),
             _ => name.clone(),
         }
     }
 }
 
-fn describe(text: &mut String, scenario: &Scenario, turn: &Turn) {
-    let (at, span) = (turn.at as f64 / 1e6, turn.span as f64 / 1e6);
+fn describe(text: &mut String, scenario: &Scenario, turn: &FaultEvent) {
+    let (at, span) = (turn.at as f64 / 1e6, turn.duration as f64 / 1e6);
     // Writing to a string cannot fail.
     let _ = writeln!(
         text,
         "{at:.6} ! {:?} of {} for {span:.3} s, {:.2}",
         turn.kind,
-        whom(scenario, turn),
+        target_name(scenario, turn),
         turn.factor
     );
 }
 
 /// Faults by chance: none in the first tenth of the run, all over before its last tenth.
-fn chance(scenario: &Scenario, random: &Random, rng: &mut fastrand::Rng, turns: &mut Vec<Turn>) {
-    let length = scenario.length_s;
-    let outages = [Kind::Down, Kind::Silent, Kind::Hang, Kind::Shut, Kind::Errors];
-    let wishes: [(usize, &[Kind]); 9] = [
-        (random.kills, &[Kind::Kill]),
-        (random.terms, &[Kind::Term]),
-        (random.stops, &[Kind::Stop]),
-        (random.reloads, &[Kind::Reload]),
+fn add_random_faults(
+    scenario: &Scenario, random: &RandomFaults, rng: &mut fastrand::Rng, turns: &mut Vec<FaultEvent>,
+) {
+    let length = scenario.duration_s;
+    let outages = [FaultKind::Down, FaultKind::Silent, FaultKind::Hang, FaultKind::Shut, FaultKind::Errors];
+    let wishes: [(usize, &[FaultKind]); 9] = [
+        (random.kills, &[FaultKind::Kill]),
+        (random.planned_restarts, &[FaultKind::Term]),
+        (random.pauses, &[FaultKind::Stop]),
+        (random.reloads, &[FaultKind::Reload]),
         (random.outages, &outages),
-        (random.slows, &[Kind::Slow]),
-        (random.spoils, &[Kind::Cuts, Kind::Spoilt]),
-        (random.churns, &[Kind::Drain, Kind::Replace]),
-        (random.platform, &[Kind::PlatformSilent, Kind::PlatformTorn, Kind::PlatformLate]),
+        (random.slowdowns, &[FaultKind::Slow]),
+        (random.corruptions, &[FaultKind::Cuts, FaultKind::Spoilt]),
+        (random.endpoint_changes, &[FaultKind::Drain, FaultKind::Replace]),
+        (
+            random.platform_faults,
+            &[FaultKind::PlatformSilent, FaultKind::PlatformTorn, FaultKind::PlatformLate],
+        ),
     ];
     for (count, kinds) in wishes {
         for _ in 0..count.min(1000) {
             let kind = kinds[rng.usize(..kinds.len())];
             let span = match kind {
-                Kind::Kill | Kind::Term | Kind::Reload | Kind::Replace => 0.0,
-                Kind::Stop => 0.2 + rng.f64(),
-                Kind::Drain => 1.5 + rng.f64() * 2.0,
+                FaultKind::Kill | FaultKind::Term | FaultKind::Reload | FaultKind::Replace => 0.0,
+                FaultKind::Stop => 0.2 + rng.f64(),
+                FaultKind::Drain => 1.5 + rng.f64() * 2.0,
                 _ => length * (0.1 + 0.15 * rng.f64()),
             };
             let factor = match kind {
-                Kind::Slow => 3.0 + rng.f64() * 9.0,
-                Kind::PlatformLate => 0.5 + rng.f64() * 3.0,
+                FaultKind::Slow => 3.0 + rng.f64() * 9.0,
+                FaultKind::PlatformLate => 0.5 + rng.f64() * 3.0,
                 _ => 1.0,
             };
             // A place that is free: some tries, then the wish is left out.
             for _ in 0..50 {
                 let at = length * 0.1 + rng.f64() * (length * 0.8 - span).max(0.0);
-                let whom = if kind.dispatcher() {
+                let whom = if kind.targets_dispatcher() {
                     rng.usize(..scenario.dispatchers.count)
-                } else if kind.platform() {
+                } else if kind.targets_platform() {
                     0
                 } else {
                     rng.usize(..scenario.partners.len())
                 };
                 let endpoints = scenario.partners.get(whom).map_or(1, |partner| partner.endpoints);
                 let endpoint = rng.usize(..endpoints);
-                let turn = Turn { at: micros(at), kind, span: micros(span), whom, endpoint, factor };
+                let turn = FaultEvent {
+                    at: micros(at),
+                    kind,
+                    duration: micros(span),
+                    target: whom,
+                    endpoint,
+                    factor,
+                };
                 if !turns.iter().any(|other| collide(other, &turn)) {
                     turns.push(turn);
                     break;
@@ -216,11 +235,11 @@
 }
 
 /// Whether two faults befall the same one at the same time, or one dispatcher again before it can be back.
-fn collide(one: &Turn, other: &Turn) -> bool {
-    let domain = |turn: &Turn| (turn.kind.dispatcher(), turn.kind.platform());
-    let room = if one.kind.dispatcher() { 5_500_000 } else { 200_000 };
+fn collide(one: &FaultEvent, other: &FaultEvent) -> bool {
+    let domain = |turn: &FaultEvent| (turn.kind.targets_dispatcher(), turn.kind.targets_platform());
+    let room = if one.kind.targets_dispatcher() { 5_500_000 } else { 200_000 };
     domain(one) == domain(other)
-        && one.whom == other.whom
-        && one.at < other.at + other.span + room
-        && other.at < one.at + one.span + room
+        && one.target == other.target
+        && one.at < other.at + other.duration + room
+        && other.at < one.at + one.duration + room
 }
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/test_fleet.rs
@@ -1,10 +1,10 @@
 //! Several processes of the program as one fleet, a relay between each two that speak, for tests and measures that are
 //! not asynchronous themselves.
 
+use crate::blocking::{Dispatcher, Platform, eventually};
 use crate::history::{self, Line};
-use crate::layout::Layout;
-use crate::relay::{Relay, Way};
-use crate::stage::{Dispatcher, Platform, eventually};
+use crate::relay::{LinkState, Relay};
+use crate::topology::Topology;
 use fawnspoke_control::protocol::{Request, Response};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -20,17 +20,17 @@
 
 /// How a fleet is made.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct FleetShape {
     /// Members that vote, from the first on.
     pub voters: usize,
     /// Members that follow.
     pub observers: usize,
     /// Further lines of the fleet's file.
-    pub settings: String,
+    pub extra_config: String,
 }
 
 /// A fleet of processes.
-pub struct Members {
+pub struct TestFleet {
     /// The processes, by number; `n0` and so on by name.
     pub dispatchers: Vec<Dispatcher>,
     program: PathBuf,
@@ -40,41 +40,42 @@
     voters: usize,
 }
 
-impl Members {
+impl TestFleet {
     /// Makes the folders, files and relays of a fleet; nothing runs yet. `known`: the list that each starts with.
     ///
     /// # Errors
     /// Those of the folder and of relays.
     pub fn new(
-        program: &Path, parent: &Path, shape: &Shape, platforms: &[&Platform], known: &[Value],
-    ) -> io::Result<Members> {
+        program: &Path, parent: &Path, shape: &FleetShape, platforms: &[&Platform], known: &[Value],
+    ) -> io::Result<TestFleet> {
         let count = shape.voters + shape.observers;
         let mut dispatchers: Vec<Dispatcher> = (0..count)
             .map(|i| Dispatcher::new(program, parent, platforms[i % platforms.len()], known))
             .collect();
-        let folder = dispatchers[0].state().with_file_name("fleet-files");
+        let folder = dispatchers[0].state_dir().with_file_name("fleet-files");
         fs::create_dir_all(&folder)?;
-        let layout = Layout { count, voters: shape.voters };
+        let layout = Topology { members: count, voters: shape.voters };
         let mut relays = BTreeMap::new();
-        for (i, j) in layout.pairs() {
-            relays.insert((i, j), Relay::start(dispatchers[j].members_at())?);
+        for (i, j) in layout.connections() {
+            relays.insert((i, j), Relay::start(dispatchers[j].member_address())?);
         }
         for (i, dispatcher) in dispatchers.iter_mut().enumerate() {
             let here = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
             // Who is never called from here needs an address all the same.
-            let at = |j: usize| (relays.get(&(i, j)).map_or(here(1 + j), |relay| relay.at), here(0));
-            let text = layout.file(&shape.settings, at);
+            let at = |j: usize| (relays.get(&(i, j)).map_or(here(1 + j), |relay| relay.address), here(0));
+            let text = layout.config_file(&shape.extra_config, at);
             let file = folder.join(format!("n{i}.hcl"));
             fs::write(&file, text)?;
             dispatcher.config["name"] = format!("n{i}").into();
-            dispatcher.door = true;
-            dispatcher.before = format!("FAWNSPOKE_FLEET='{}'; export FAWNSPOKE_FLEET;", file.display());
+            dispatcher.control_enabled = true;
+            dispatcher.shell_prelude =
+                format!("FAWNSPOKE_FLEET='{}'; export FAWNSPOKE_FLEET;", file.display());
         }
-        Ok(Members { dispatchers, program: program.to_path_buf(), folder, relays, voters: shape.voters })
+        Ok(TestFleet { dispatchers, program: program.to_path_buf(), folder, relays, voters: shape.voters })
     }
 
     /// Where a member's file of the fleet is.
-    pub fn file(&self, i: usize) -> PathBuf {
+    pub fn config_file(&self, i: usize) -> PathBuf {
         self.folder.join(format!("n{i}.hcl"))
     }
 
@@ -82,12 +83,12 @@
     ///
     /// # Errors
     /// What the program says.
-    pub fn found(&self) -> Result<(), String> {
+    pub fn bootstrap(&self) -> Result<(), String> {
         let found = Command::new(&self.program)
             .args(["fleet", "found"])
-            .arg(self.file(0))
+            .arg(self.config_file(0))
             .arg("n0")
-            .arg(self.dispatchers[0].state())
+            .arg(self.dispatchers[0].state_dir())
             .stdout(Stdio::null())
             .output()
             .map_err(|error| error.to_string())?;
@@ -99,25 +100,25 @@
     /// # Panics
     /// Where that does not come.
     pub fn start(&mut self) {
-        self.found().expect("a founded fleet");
+        self.bootstrap().expect("a founded fleet");
         self.dispatchers.iter_mut().for_each(Dispatcher::start);
         let all = self.dispatchers.len();
         eventually("all members, and a keeper", || {
             (0..all).all(|i| {
-                self.show(i).is_some_and(|fleet| fleet["members"].as_array().map_or(0, Vec::len) == all)
+                self.status(i).is_some_and(|fleet| fleet["members"].as_array().map_or(0, Vec::len) == all)
             }) && self.voters(0) == self.voters
-                && self.holder("keeper").is_some()
+                && self.duty_holder("keeper").is_some()
         });
     }
 
     fn voters(&self, i: usize) -> usize {
-        let fleet = self.show(i).unwrap_or_default();
+        let fleet = self.status(i).unwrap_or_default();
         fleet["members"].as_array().into_iter().flatten().filter(|member| member["voter"] == true).count()
     }
 
     /// How a member sees the fleet; nothing where it does not say.
-    pub fn show(&self, i: usize) -> Option<Value> {
-        let at = self.dispatchers[i].control().filter(|_| self.dispatchers[i].runs())?;
+    pub fn status(&self, i: usize) -> Option<Value> {
+        let at = self.dispatchers[i].control_address().filter(|_| self.dispatchers[i].is_running())?;
         match fawnspoke_control::client::send_request(at, &Request::Fleet, PATIENCE) {
             Ok(Response::Success(text)) => serde_json::from_str(&text).ok(),
             _ => None,
@@ -125,9 +126,9 @@
     }
 
     /// Who holds a duty, by its own word that its term runs: the member's number, and the epoch.
-    pub fn holder(&self, duty: &str) -> Option<(usize, u64)> {
-        (0..self.dispatchers.len()).filter(|i| self.dispatchers[*i].runs()).find_map(|i| {
-            let fleet = self.show(i)?;
+    pub fn duty_holder(&self, duty: &str) -> Option<(usize, u64)> {
+        (0..self.dispatchers.len()).filter(|i| self.dispatchers[*i].is_running()).find_map(|i| {
+            let fleet = self.status(i)?;
             let held = fleet["part"]["duties"]
                 .as_array()?
                 .iter()
@@ -138,15 +139,15 @@
 
     /// Who leads, as a member sees it: the number.
     pub fn leader(&self, by: usize) -> Option<usize> {
-        let fleet = self.show(by)?;
+        let fleet = self.status(by)?;
         fleet["leader"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 
     /// Changes the relay between two members, whoever of them calls. `from_first`: as the one that is named first sees it,
     /// what it says is `there`.
-    pub fn between(&self, one: usize, other: usize, cut: (bool, bool)) {
+    pub fn set_link_blocked(&self, one: usize, other: usize, cut: (bool, bool)) {
         let set = |relay: &Relay, (there, back): (bool, bool)| {
-            relay.set(|way| (way.there_cut, way.back_cut) = (there, back));
+            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (there, back));
         };
         if let Some(relay) = self.relays.get(&(one, other)) {
             set(relay, cut);
@@ -157,20 +158,20 @@
     }
 
     /// Cuts a member off from all others: what it says, what it hears, or both.
-    pub fn cut_off(&self, one: usize, (says, hears): (bool, bool)) {
+    pub fn partition(&self, one: usize, (says, hears): (bool, bool)) {
         (0..self.dispatchers.len())
             .filter(|i| *i != one)
-            .for_each(|other| self.between(one, other, (says, hears)));
+            .for_each(|other| self.set_link_blocked(one, other, (says, hears)));
     }
 
     /// Changes all relays.
-    pub fn relays(&self, change: impl Fn(&mut Way)) {
+    pub fn update_relays(&self, change: impl Fn(&mut LinkState)) {
         self.relays.values().for_each(|relay| relay.set(&change));
     }
 
     /// Bytes that passed between members so far.
-    pub fn carried(&self) -> u64 {
-        self.relays.values().map(Relay::carried).sum()
+    pub fn relayed_bytes(&self) -> u64 {
+        self.relays.values().map(Relay::relayed_bytes).sum()
     }
 
     /// The histories of all members, by name.
@@ -182,12 +183,12 @@
     }
 
     /// What is wrong with them.
-    pub fn faults(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         history::faults(&self.histories())
     }
 
     /// The first act as a duty under a later epoch than this: when, and which epoch.
-    pub fn acted_after(&self, duty: &str, epoch: u64) -> Option<(f64, u64)> {
+    pub fn first_action_after(&self, duty: &str, epoch: u64) -> Option<(f64, u64)> {
         let histories = self.histories();
         let acts = histories.values().flatten().filter_map(|line| match line {
             Line::Acted { at, duty: of, epoch: under } if of == duty && *under > epoch => Some((*at, *under)),
--- a/crates/lab/src/layout.rs
+++ b/crates/lab/src/topology.rs
@@ -5,34 +5,34 @@
 
 /// The members of a fleet, by number; `n0` and so on by name. The first ones vote.
 #[derive(Clone, Copy, Debug)]
-pub struct Layout {
+pub struct Topology {
     /// How many there are.
-    pub count: usize,
+    pub members: usize,
     /// How many vote.
     pub voters: usize,
 }
 
-impl Layout {
-    fn votes(self, i: usize) -> bool {
+impl Topology {
+    fn is_voter(self, i: usize) -> bool {
         i < self.voters
     }
 
     /// Who calls whom, as the program has it: who does not vote calls who does, and voters call those after them by name.
-    pub fn pairs(self) -> Vec<(usize, usize)> {
-        let calls = |i: usize, j: usize| match (self.votes(i), self.votes(j)) {
+    pub fn connections(self) -> Vec<(usize, usize)> {
+        let calls = |i: usize, j: usize| match (self.is_voter(i), self.is_voter(j)) {
             (false, voter) => voter,
             (true, true) => format!("n{i}") < format!("n{j}"),
             (true, false) => false,
         };
-        let all = (0..self.count).flat_map(|i| (0..self.count).map(move |j| (i, j)));
+        let all = (0..self.members).flat_map(|i| (0..self.members).map(move |j| (i, j)));
         all.filter(|(i, j)| i != j && calls(*i, *j)).collect()
     }
 
     /// The file of one member. `at`: where it calls another one, and where that one listens.
-    pub fn file(self, settings: &str, at: impl Fn(usize) -> (SocketAddr, SocketAddr)) -> String {
+    pub fn config_file(self, settings: &str, at: impl Fn(usize) -> (SocketAddr, SocketAddr)) -> String {
         let mut text = format!("cluster = \"lab\"\nhistory = true\n{settings}\n");
-        for j in 0..self.count {
-            let ((at, listen), votes) = (at(j), self.votes(j));
+        for j in 0..self.members {
+            let ((at, listen), votes) = (at(j), self.is_voter(j));
             let _ = writeln!(
                 text,
                 "member \"n{j}\" {{\n  at = \"{at}\"\n  listen = \"{listen}\"\n  voter = {votes}\n}}"
--- a/crates/lab/src/upgrader.rs
+++ b/crates/lab/src/upgrader.rs
@@ -1,9 +1,9 @@
 //! Upgrades dispatchers over and over: a second process beside the first, the word to stop once the second says yes, and
 //! in some of them a kill of the old one, the new one or both at a moment that a seed draws.
 
-use crate::process::{Process, Second, serves};
+use crate::process::{Process, SpawnedProcess, is_serving};
 use crate::record::{Recorder, Sig, What};
-use crate::scenario::Upgrader;
+use crate::scenario::UpgraderSettings;
 use hdrhistogram::Histogram;
 use std::fmt;
 use std::io;
@@ -63,7 +63,7 @@
 
 impl Upgrades {
     /// Whether one more is due.
-    pub fn begin(this: &Mutex<Upgrades>, spec: &Upgrader) -> bool {
+    pub fn begin(this: &Mutex<Upgrades>, spec: &UpgraderSettings) -> bool {
         let mut this = this.lock().unwrap_or_else(PoisonError::into_inner);
         this.begun += 1;
         this.begun <= spec.upgrades
@@ -118,23 +118,24 @@
 /// # Errors
 /// Those of starting the second process.
 pub async fn upgrade(
-    spec: &Upgrader, process: &Process, recorder: &Recorder, (discovery, control): (SocketAddr, SocketAddr),
-    to: &Mutex<Upgrades>, rng: &mut fastrand::Rng,
+    spec: &UpgraderSettings, process: &Process, recorder: &Recorder,
+    (discovery, control): (SocketAddr, SocketAddr), to: &Mutex<Upgrades>, rng: &mut fastrand::Rng,
 ) -> io::Result<bool> {
-    let Some(first) = process.id() else { return Ok(false) };
-    let door = process.control();
-    let victim = (rng.f64() < spec.kills).then(|| [Victim::Old, Victim::New, Victim::Both][rng.usize(0..3)]);
-    let kill_at = Duration::from_micros(rng.u64(0..=spec.within_ms * 1000));
+    let Some(first) = process.pid() else { return Ok(false) };
+    let door = process.control_address();
+    let victim = (rng.f64() < spec.kill_probability)
+        .then(|| [Victim::Old, Victim::New, Victim::Both][rng.usize(0..3)]);
+    let kill_at = Duration::from_micros(rng.u64(0..=spec.max_kill_delay_ms * 1000));
     let began = Instant::now();
-    let second = process.second(discovery, Some(control))?;
+    let second = process.spawn(discovery, Some(control))?;
     if let Some(victim) = victim {
         sleep(kill_at).await;
         return Ok(killed(victim, process, recorder, (first, door), &second, to).await);
     }
     let mut said = false;
-    while began.elapsed() < YES_MOST && !second.ended() {
-        measure(to, first, second.id);
-        if serves(second.control).await {
+    while began.elapsed() < YES_MOST && !second.has_exited() {
+        measure(to, first, second.pid);
+        if is_serving(second.control).await {
             said = true;
             break;
         }
@@ -151,11 +152,11 @@
     }
     if !said {
         second.kill();
-        return Ok(process.id().is_some());
+        return Ok(process.pid().is_some());
     }
-    measure(to, first, second.id);
-    process.may_end();
-    process.follow(&second);
+    measure(to, first, second.pid);
+    process.expect_exit();
+    process.switch_to(&second);
     signal(first, rustix::process::Signal::TERM);
     let told = Instant::now();
     while alive(first) && told.elapsed() < END_MOST {
@@ -171,12 +172,12 @@
 /// An upgrade with a kill: whoever is left has to serve. False where nobody is left.
 async fn killed(
     victim: Victim, process: &Process, recorder: &Recorder, (first, door): (u32, Option<SocketAddr>),
-    second: &Second, to: &Mutex<Upgrades>,
+    second: &SpawnedProcess, to: &Mutex<Upgrades>,
 ) -> bool {
     let dispatcher = process.index();
     // On record first, as any kill: whoever is left may be late with its notices, and clients of the dead one try again.
     recorder.add(What::Signalled { dispatcher, signal: Sig::Kill });
-    process.may_end();
+    process.expect_exit();
     if victim != Victim::New {
         signal(first, rustix::process::Signal::KILL);
     }
@@ -190,7 +191,7 @@
     }
     if victim == Victim::Both {
         let gone = Instant::now();
-        while (alive(first) || !second.ended()) && gone.elapsed() < GONE {
+        while (alive(first) || !second.has_exited()) && gone.elapsed() < GONE {
             sleep(LOOK).await;
         }
         return false;
@@ -200,13 +201,13 @@
     while let Some(left) = left
         && since.elapsed() < LEFT_MOST
     {
-        let serving = match Some(left) == Some(process.listen()) {
-            true => process.answers().await,
-            false => serves(left).await,
+        let serving = match Some(left) == Some(process.listen_address()) {
+            true => process.is_ready().await,
+            false => is_serving(left).await,
         };
         if serving {
             if victim == Victim::Old {
-                process.follow(second);
+                process.switch_to(second);
             } else {
                 to.lock().unwrap_or_else(PoisonError::into_inner).served_on += 1;
             }
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: what is wrong with one is told by file and line before anything starts; a seed gives one script.
 
 use fawnspoke_lab::command::DEMO;
-use fawnspoke_lab::scenario::{Kind, Scenario};
+use fawnspoke_lab::scenario::{FaultKind, Scenario};
 use fawnspoke_lab::script::Script;
 
 const ROUGH: &str = include_str!("../scenarios/rough.toml");
@@ -99,10 +99,10 @@
 fn a_seed_gives_one_script() {
     for (name, text) in [("demo", DEMO), ("rough", ROUGH), ("faults", FAULTS)] {
         let scenario = Scenario::parse(name, text).unwrap();
-        let (one, two) = (Script::draw(&scenario, 7), Script::draw(&scenario, 7));
+        let (one, two) = (Script::generate(&scenario, 7), Script::generate(&scenario, 7));
         assert_eq!(one, two);
         assert_eq!(one.text(&scenario), two.text(&scenario));
-        let other = Script::draw(&scenario, 8);
+        let other = Script::generate(&scenario, 8);
         assert_ne!(one.text(&scenario), other.text(&scenario));
         assert_ne!(one.digest(&scenario), other.digest(&scenario));
     }
@@ -112,28 +112,28 @@
 fn more_faults_move_no_arrival() {
     let scenario = Scenario::parse("rough", ROUGH).unwrap();
     let mut calm = scenario.clone();
-    calm.random = Default::default();
-    let (rough, calm) = (Script::draw(&scenario, 3), Script::draw(&calm, 3));
+    calm.random_faults = Default::default();
+    let (rough, calm) = (Script::generate(&scenario, 3), Script::generate(&calm, 3));
     assert_eq!(rough.arrivals, calm.arrivals);
-    assert!(calm.turns.is_empty() && rough.turns.len() >= 10);
+    assert!(calm.faults.is_empty() && rough.faults.len() >= 10);
 }
 
 #[test]
 fn what_is_drawn_is_as_often_as_asked_and_never_twice_at_once() {
     let scenario = Scenario::parse("rough", ROUGH).unwrap();
     for seed in 0..200 {
-        let script = Script::draw(&scenario, seed);
+        let script = Script::generate(&scenario, seed);
         let messages = script.arrivals.len() as f64;
-        let expected = scenario.clients.rate * scenario.length_s;
+        let expected = scenario.clients.messages_per_s * scenario.duration_s;
         assert!((messages - expected).abs() < 6.0 * expected.sqrt(), "seed {seed}: {messages} messages");
-        assert!(script.turns.is_sorted_by_key(|turn| turn.at) && script.arrivals.is_sorted_by_key(|a| a.at));
-        let kills: Vec<_> = script.turns.iter().filter(|turn| turn.kind == Kind::Kill).collect();
-        assert!((1..=scenario.random.kills).contains(&kills.len()), "seed {seed}");
-        for (i, one) in script.turns.iter().enumerate() {
-            assert!(one.at + one.span <= (scenario.length_s * 1e6) as u64, "seed {seed}: {one:?}");
-            let outage = |kind: Kind| !kind.dispatcher() && !kind.platform();
-            for other in script.turns[..i].iter().filter(|other| outage(other.kind) && outage(one.kind)) {
-                let apart = other.at + other.span < one.at || other.whom != one.whom;
+        assert!(script.faults.is_sorted_by_key(|turn| turn.at) && script.arrivals.is_sorted_by_key(|a| a.at));
+        let kills: Vec<_> = script.faults.iter().filter(|turn| turn.kind == FaultKind::Kill).collect();
+        assert!((1..=scenario.random_faults.kills).contains(&kills.len()), "seed {seed}");
+        for (i, one) in script.faults.iter().enumerate() {
+            assert!(one.at + one.duration <= (scenario.duration_s * 1e6) as u64, "seed {seed}: {one:?}");
+            let outage = |kind: FaultKind| !kind.targets_dispatcher() && !kind.targets_platform();
+            for other in script.faults[..i].iter().filter(|other| outage(other.kind) && outage(one.kind)) {
+                let apart = other.at + other.duration < one.at || other.target != one.target;
                 assert!(apart, "seed {seed}: {one:?} and {other:?}");
             }
         }
@@ -143,11 +143,11 @@
 #[test]
 fn shares_are_kept() {
     let scenario = Scenario::parse("demo", DEMO).unwrap();
-    let script = Script::draw(&scenario, 5);
+    let script = Script::generate(&scenario, 5);
     let part = |class| {
         let count = script.arrivals.iter().filter(|arrival| arrival.class == class).count();
         count as f64 / script.arrivals.len() as f64
     };
     assert!((part(0) - 0.5).abs() < 0.05 && (part(1) - 0.4).abs() < 0.05 && (part(2) - 0.1).abs() < 0.05);
-    assert!(script.arrivals.iter().all(|arrival| (100..=400).contains(&arrival.length)));
+    assert!(script.arrivals.iter().all(|arrival| (100..=400).contains(&arrival.body_bytes)));
 }
--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -2,11 +2,11 @@
 
 use fawnspoke_lab::endpoint::{Door as Sockets, Endpoint, How, Reply, Traits};
 use fawnspoke_lab::http::Wire;
-use fawnspoke_lab::ledger::Ledger;
+use fawnspoke_lab::message_registry::Ledger;
 use fawnspoke_lab::partner::{Door, Partner, Trouble};
 use fawnspoke_lab::platform::{Host, Platform};
 use fawnspoke_lab::record::*;
-use fawnspoke_lab::scenario::{self, Returning, Scenario};
+use fawnspoke_lab::scenario::{self, Recovery, Scenario};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -72,7 +72,7 @@
     for id in keyed {
         ledger.enter(id, 7, Micros::MAX, Effect::Keyed, window);
     }
-    (Arc::new(Partner::new(spec, Returning::default(), 7, 3, 1, ledger, recorder.clone())), recorder)
+    (Arc::new(Partner::new(spec, Recovery::default(), 7, 3, 1, ledger, recorder.clone())), recorder)
 }
 
 async fn open(partner: &Arc<Partner>, recorder: &Recorder) -> Endpoint {
