--- a/crates/fawnspoke/tests/fleet/main.rs
+++ b/crates/fawnspoke/tests/fleet/main.rs
@@ -3,8 +3,8 @@
 
 mod duties;
 mod faults;
-mod folders;
-mod tries;
+mod member_identity;
+mod trials;
 
 use fawnspoke_lab::members::{Members, Shape};
 use fawnspoke_lab::stage::{Endpoint, Platform, Reply, eventually};
--- a/crates/fawnspoke/tests/sockets/closing.rs
+++ b/crates/fawnspoke/tests/sockets/closing.rs
@@ -1,7 +1,7 @@
 //! How connections and calls end at their extremes: what was read has its answer, what was not read is not touched, and what an
 //! answer told holds, however the rest of it fares.
 
-use crate::gated::Gated;
+use crate::manual_endpoint::ManualEndpoint;
 use crate::support::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -51,15 +51,15 @@
 }
 
 /// A dispatcher whose address is known, and which stays for a call that is out once it is told to stop.
-fn staying() -> (Gated, crate::gated::Peer, Platform, Dispatcher, SocketAddr) {
-    let (gated, platform) = (Gated::open(), Platform::start());
+fn staying() -> (ManualEndpoint, crate::manual_endpoint::Peer, Platform, Dispatcher, SocketAddr) {
+    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), held(8)]);
     let at = free_address();
     dispatcher.config["listen"] = at.to_string().into();
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("safe", "out", 7), 202);
     let mut peer = gated.accept();
-    assert!(peer.request().is_some());
+    assert!(peer.read_request().is_some());
     (gated, peer, platform, dispatcher, at)
 }
 
@@ -114,7 +114,7 @@
 /// A crowd of clients that say nothing: who has begun a request goes last.
 #[test]
 fn a_crowd_closes_no_connection_in_the_middle_of_a_request() {
-    let (gated, platform) = (Gated::open(), Platform::start());
+    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7), held(8)]);
     let at = free_address();
     dispatcher.config["listen"] = at.to_string().into();
@@ -136,11 +136,11 @@
 fn a_wait_in_an_answer_that_is_cut_short_is_heeded() {
     const WAIT: Duration = Duration::from_millis(2500);
     for closes in [false, true] {
-        let (gated, platform) = (Gated::open(), Platform::start());
+        let (gated, platform) = (ManualEndpoint::start(), Platform::start());
         let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7)]);
         assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
         let mut peer = gated.accept();
-        assert!(peer.request().is_some());
+        assert!(peer.read_request().is_some());
         let told = Instant::now();
         peer.write(b"HTTP/1.1 429 Wait\r\nRetry-After: 2.5\r\nContent-Length: 5\r\n\r\nhe");
         if closes {
@@ -153,7 +153,7 @@
         thread::sleep(Duration::from_millis(110).saturating_sub(told.elapsed()));
         assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
         let mut next = gated.accept();
-        assert!(next.request().is_some());
+        assert!(next.read_request().is_some());
         let early = Duration::from_millis(150);
         assert!(told.elapsed() >= WAIT - early, "closes {closes}: a call {:?} into the wait", told.elapsed());
     }
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -1,7 +1,7 @@
 //! A machine in trouble: wall clocks that are stepped, folders that refuse writes, system calls that fail or fall short.
 //! The process runs with a preloaded library (`crates/machine-faults`) that causes them.
 
-use crate::gated::Gated;
+use crate::manual_endpoint::ManualEndpoint;
 use crate::support::*;
 use std::fs::{self, File};
 use std::os::unix::fs::FileExt;
@@ -133,14 +133,14 @@
 #[test]
 fn a_key_is_not_trusted_for_longer_after_a_step_back() {
     for seconds in [-3600, -2, 0] {
-        let (gated, platform) = (Gated::open(), Platform::start());
+        let (gated, platform) = (ManualEndpoint::start(), Platform::start());
         let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7)]);
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
         let machine = Machine::under(&mut dispatcher);
         dispatcher.start();
         assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
         let mut peer = gated.accept();
-        assert!(peer.request().is_some());
+        assert!(peer.read_request().is_some());
         let ran = Instant::now();
         dispatcher.kill();
         machine.step_wall_clock(seconds);
@@ -155,7 +155,7 @@
     }
 }
 
-fn gated_is_quiet(gated: &Gated) -> bool {
+fn gated_is_quiet(gated: &ManualEndpoint) -> bool {
     gated.accept_within(Duration::ZERO).is_none()
 }
 
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -1,18 +1,18 @@
 //! The dispatcher as a process, on loopback sockets. Each test waits on conditions, never on a tight time.
 
-mod answers;
 mod churn;
 mod clients;
 mod closing;
-mod crossings;
-mod gated;
 mod limits;
 mod machine_faults;
+mod malformed_responses;
+mod manual_endpoint;
 mod operations;
+mod races;
 mod reload;
 mod settings;
+mod shutdown;
 mod soak;
-mod stopping;
 mod support;
 mod watch;
 
--- a/crates/fawnspoke/tests/sockets/gated.rs
+++ b/crates/fawnspoke/tests/sockets/manual_endpoint.rs
@@ -13,36 +13,36 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 /// An endpoint that does nothing by itself.
-pub struct Gated {
+pub struct ManualEndpoint {
     pub at: SocketAddr,
     listener: TcpListener,
     /// It fills the queue of connections that nobody has accepted.
     filler: Option<TcpStream>,
 }
 
-impl Gated {
+impl ManualEndpoint {
     /// One to which connections come up at once.
-    pub fn open() -> Gated {
-        Gated::listening(16)
+    pub fn start() -> ManualEndpoint {
+        ManualEndpoint::with_backlog(16)
     }
 
-    /// One to which no connection comes up before `unlock`.
-    pub fn locked() -> Gated {
-        let mut gated = Gated::listening(0);
+    /// One to which no connection comes up before `accept_connects`.
+    pub fn with_full_backlog() -> ManualEndpoint {
+        let mut gated = ManualEndpoint::with_backlog(0);
         gated.filler = Some(TcpStream::connect(gated.at).unwrap());
         gated
     }
 
-    fn listening(backlog: i32) -> Gated {
+    fn with_backlog(backlog: i32) -> ManualEndpoint {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(backlog).unwrap();
         let listener = TcpListener::from(socket);
-        Gated { at: listener.local_addr().unwrap(), listener, filler: None }
+        ManualEndpoint { at: listener.local_addr().unwrap(), listener, filler: None }
     }
 
     /// How many wait for a connection to come up.
-    pub fn knocks(&self) -> usize {
+    pub fn pending_connects(&self) -> usize {
         let here = format!("0100007F:{:04X}", self.at.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let waits = |line: &&str| {
@@ -53,7 +53,7 @@
     }
 
     /// Lets connections come up from now on.
-    pub fn unlock(&mut self) {
+    pub fn accept_connects(&mut self) {
         self.filler.take().expect("a locked one");
         drop(self.accept());
     }
@@ -92,7 +92,7 @@
                 let seen = seen.clone();
                 std::thread::spawn(move || {
                     let mut peer = Peer { stream };
-                    while let Some(request) = peer.request() {
+                    while let Some(request) = peer.read_request() {
                         seen.lock().unwrap().push(request);
                         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                     }
@@ -132,7 +132,7 @@
 
 impl Peer {
     /// The next request, head and body; none where the other side has ended the connection.
-    pub fn request(&mut self) -> Option<String> {
+    pub fn read_request(&mut self) -> Option<String> {
         let (mut read, mut piece) = (Vec::new(), [0; 4096]);
         loop {
             let text = String::from_utf8_lossy(&read).to_ascii_lowercase();
@@ -152,7 +152,7 @@
     }
 
     /// Whether the other side has neither sent more nor ended the connection.
-    pub fn waits(&self) -> bool {
+    pub fn is_open_and_quiet(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false).unwrap();
--- a/crates/fawnspoke/tests/sockets/crossings.rs
+++ b/crates/fawnspoke/tests/sockets/races.rs
@@ -1,6 +1,6 @@
 //! Two things that cross: each test forces one order of them and says which.
 
-use crate::gated::Gated;
+use crate::manual_endpoint::ManualEndpoint;
 use crate::support::*;
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 #[test]
 fn a_wait_told_while_a_connection_comes_up_is_heeded() {
     const WAIT: Duration = Duration::from_millis(3900);
-    let (quick, mut slow) = (Gated::open(), Gated::locked());
+    let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
@@ -16,15 +16,15 @@
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
     assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
     let mut peer = quick.accept();
-    assert!(peer.request().is_some());
-    eventually("a connect that hangs", || slow.knocks() == 1);
+    assert!(peer.read_request().is_some());
+    eventually("a connect that hangs", || slow.pending_connects() == 1);
     let told = Instant::now();
     peer.write(b"HTTP/1.1 429 Wait\r\nRetry-After: 3.9\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    assert!(peer.request().is_none(), "it has read the answer, and closes");
-    slow.unlock();
+    assert!(peer.read_request().is_none(), "it has read the answer, and closes");
+    slow.accept_connects();
     let mut late = slow.accept();
     assert!(told.elapsed() < WAIT - Duration::from_millis(500), "the connection came up within the wait");
-    assert!(late.request().is_some());
+    assert!(late.read_request().is_some());
     assert!(told.elapsed() >= WAIT - Duration::from_millis(100), "a call {:?} into the wait", told.elapsed());
     assert!(platform.notices().is_empty());
 }
@@ -32,7 +32,7 @@
 /// The connection of a call that was not sent stays, idle for longer than an unsafe message is risked on.
 #[test]
 fn a_connection_that_was_kept_unused_is_known_to_be_idle() {
-    let (quick, mut slow) = (Gated::open(), Gated::locked());
+    let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
@@ -42,11 +42,11 @@
         assert_eq!(client.hand_in("safe", id, 7, 2500, b"x").status(), 202);
     }
     let mut peer = quick.accept();
-    assert!(peer.request().is_some());
-    eventually("a connect that hangs", || slow.knocks() == 1);
+    assert!(peer.read_request().is_some());
+    eventually("a connect that hangs", || slow.pending_connects() == 1);
     peer.write(b"HTTP/1.1 429 Wait\r\nRetry-After: 3.9\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    assert!(peer.request().is_none(), "it has read the answer, and closes");
-    slow.unlock();
+    assert!(peer.read_request().is_none(), "it has read the answer, and closes");
+    slow.accept_connects();
     let mut kept = slow.accept();
     let mut gone = quick.host("quick", 7);
     gone["health"] = "draining".into();
@@ -55,14 +55,17 @@
     eventually("their ends", || ["m1", "m2"].iter().all(|id| platform.told(id) == ["handed_back"]));
     assert_eq!(client.hand_in("unsafe", "u", 7, 15_000, b"x").status(), 202);
     let mut anew = slow.accept();
-    assert!(anew.request().is_some_and(|request| request.contains("u\r\n")), "on a connection of its own");
-    assert!(kept.request().is_none(), "the one that was idle is closed");
+    assert!(
+        anew.read_request().is_some_and(|request| request.contains("u\r\n")),
+        "on a connection of its own"
+    );
+    assert!(kept.read_request().is_none(), "the one that was idle is closed");
 }
 
 /// A keyed message may have run; its second call's connection comes up only when the memory of its key is over.
 #[test]
 fn a_key_that_is_forgotten_while_a_connection_comes_up_is_not_sent_again() {
-    let (quick, mut slow) = (Gated::open(), Gated::locked());
+    let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[quick.host("quick", 7)]);
     dispatcher.config["settings"]["grades"][1]["repeat_window"] = 2.25.into();
@@ -70,7 +73,7 @@
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
     let mut peer = quick.accept();
-    assert!(peer.request().is_some());
+    assert!(peer.read_request().is_some());
     let ran = Instant::now();
     // The next call can go nowhere else.
     let mut gone = quick.host("quick", 7);
@@ -80,9 +83,9 @@
     // It is tried again within the memory, which is over 2 s after the first call; a connect is repeated after 1 s.
     eventually("some time", || ran.elapsed() > Duration::from_millis(1400));
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    eventually("a connect that hangs", || slow.knocks() == 1);
+    eventually("a connect that hangs", || slow.pending_connects() == 1);
     eventually("the end of the key's memory", || ran.elapsed() > Duration::from_millis(2010));
-    slow.unlock();
+    slow.accept_connects();
     let served = slow.serve();
     let called = || served.requests().iter().any(|call| call.contains("m1"));
     eventually("its end", || !platform.told("m1").is_empty() || called());
@@ -116,7 +119,7 @@
 #[test]
 fn a_body_that_stalls_past_its_messages_time_makes_no_notice_late() {
     const TIME: Duration = Duration::from_millis(1500);
-    let (stalls, silent) = (Gated::open(), Gated::open());
+    let (stalls, silent) = (ManualEndpoint::start(), ManualEndpoint::start());
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[stalls.host("a", 7), silent.host("b", 8)]);
     let mut client = dispatcher.connect();
@@ -125,7 +128,7 @@
         assert_eq!(client.hand_in("unsafe", id, dest, TIME.as_millis() as u32, b"x").status(), 202);
     }
     let (mut peer, mut other) = (stalls.accept(), silent.accept());
-    assert!(peer.request().is_some() && other.request().is_some());
+    assert!(peer.read_request().is_some() && other.read_request().is_some());
     eventually("almost the end", || handed.elapsed() > TIME - Duration::from_millis(150));
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 5\r\n\r\n");
     // Both ends are due at the same time.
@@ -143,12 +146,12 @@
 /// The process is killed while the connection of a call is coming up: its message was found untried, and is tried.
 #[test]
 fn a_kill_while_a_connection_comes_up_leaves_its_message_untried() {
-    let (slow, platform) = (Gated::locked(), Platform::start());
+    let (slow, platform) = (ManualEndpoint::with_full_backlog(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("unsafe", "u", 7), 202);
-    eventually("a connect that hangs", || slow.knocks() == 1);
+    eventually("a connect that hangs", || slow.pending_connects() == 1);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
--- a/crates/fawnspoke/tests/sockets/stopping.rs
+++ b/crates/fawnspoke/tests/sockets/shutdown.rs
@@ -1,16 +1,16 @@
 //! SIGTERM: what is still taken on, what has its answer before the end, and how connections close.
 
-use crate::gated::{Gated, Peer};
+use crate::manual_endpoint::{ManualEndpoint, Peer};
 use crate::support::*;
 use std::time::Duration;
 
 /// A dispatcher that stays for as long as its one call is out, once it is told to stop; nothing may go to destination 8.
-fn with_a_call_out() -> (Gated, Peer, Platform, Dispatcher) {
-    let (gated, platform) = (Gated::open(), Platform::start());
+fn with_a_call_out() -> (ManualEndpoint, Peer, Platform, Dispatcher) {
+    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7), held(8)]);
     assert_eq!(dispatcher.hand_in("safe", "out", 7), 202);
     let mut peer = gated.accept();
-    assert!(peer.request().is_some());
+    assert!(peer.read_request().is_some());
     (gated, peer, platform, dispatcher)
 }
 
@@ -31,7 +31,7 @@
     // What can go at once is taken, however short its time.
     assert_eq!(dispatcher.connect().hand_in("safe", "quick", 7, 2500, b"x").status(), 202);
     let mut other = gated.accept();
-    assert!(other.request().is_some_and(|request| request.contains("quick")));
+    assert!(other.read_request().is_some_and(|request| request.contains("quick")));
     for peer in [&mut peer, &mut other] {
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
@@ -64,7 +64,7 @@
     told(&dispatcher);
     assert!(kept.closes(), "an idle connection ends, or its client would send on it up to the kill");
     // The call is given up 2 s after it began, and the process ends after that.
-    assert!(peer.waits(), "it ends long before the process does");
+    assert!(peer.is_open_and_quiet(), "it ends long before the process does");
     // A request that had crossed the close comes once more, on a new connection, which is accepted before its first byte
     // comes: one that was opened later has its answer already.
     let mut anew = dispatcher.connect();
@@ -102,7 +102,7 @@
 /// One slot; a kill leaves some untried; in the next life fresh messages come before the first of them is answered.
 #[test]
 fn what_a_kill_leaves_untried_is_tried_before_fresh_ones() {
-    let (gated, platform) = (Gated::open(), Platform::start());
+    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[held(7)]);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 1.into();
     dispatcher.start();
@@ -113,13 +113,13 @@
     dispatcher.config["known"]["hosts"] = serde_json::json!([gated.host("e", 7)]);
     dispatcher.start();
     let mut peer = gated.accept();
-    let mut calls = vec![peer.request().expect("the first call")];
+    let mut calls = vec![peer.read_request().expect("the first call")];
     for number in 0..5 {
         assert_eq!(dispatcher.hand_in("safe", &format!("fresh{number}"), 7), 202);
     }
     while calls.len() < 10 {
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        calls.push(peer.request().expect("a call on the connection that is kept"));
+        calls.push(peer.read_request().expect("a call on the connection that is kept"));
     }
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     let first = |word: &str| calls.iter().position(|call| call.contains(word));
--- a/crates/fawnspoke/tests/sockets/watch.rs
+++ b/crates/fawnspoke/tests/sockets/watch.rs
@@ -1,6 +1,6 @@
 //! The watch on the list: how it is written, where it breaks off, what opens it anew.
 
-use crate::gated::{Gated, Peer};
+use crate::manual_endpoint::{ManualEndpoint, Peer};
 use crate::support::*;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -16,13 +16,13 @@
 }
 
 /// A dispatcher whose discovery does what the test says, and its first watch.
-fn watched(known: &[Value]) -> (Gated, Dispatcher, Peer) {
-    let (discovery, platform) = (Gated::open(), Platform::start());
+fn watched(known: &[Value]) -> (ManualEndpoint, Dispatcher, Peer) {
+    let (discovery, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, known);
     dispatcher.config["discovery"] = discovery.at.to_string().into();
     dispatcher.start();
     let mut watch = discovery.accept();
-    assert!(watch.request().is_some_and(|request| request.contains("stream=1&index=1 ")));
+    assert!(watch.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")));
     watch.write(HEAD);
     (discovery, dispatcher, watch)
 }
@@ -54,7 +54,7 @@
 }
 
 /// The next watch, while heartbeats go on at the one before: its silence does not end it.
-fn anew(discovery: &Gated, watch: &mut Peer) -> Peer {
+fn anew(discovery: &ManualEndpoint, watch: &mut Peer) -> Peer {
     let begun = Instant::now();
     loop {
         if let Some(peer) = discovery.accept_within(Duration::from_millis(100)) {
@@ -73,7 +73,7 @@
     chunk(&mut watch, "{\"seq\":2,\"whole\":false,\"hosts\":[\n");
     let mut anew = anew(&discovery, &mut watch);
     assert!(
-        anew.request().is_some_and(|request| request.contains("stream=1&index=1 ")),
+        anew.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")),
         "nothing of it counts"
     );
 }
@@ -87,7 +87,7 @@
         let (discovery, dispatcher, mut watch) = watched(&[endpoint.host("e", 7, "up")]);
         chunk(&mut watch, wrong);
         let mut anew = anew(&discovery, &mut watch);
-        assert!(anew.request().is_some_and(|request| request.contains("stream=1&index=1 ")), "{wrong}");
+        assert!(anew.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")), "{wrong}");
         assert_eq!(dispatcher.hand_in("safe", &format!("m{number}"), 7), 202);
         eventually("its call", || endpoint.ids().contains(&format!("m{number}")));
     }
