--- a/crates/fawnspoke/tests/fleet/main.rs
+++ b/crates/fawnspoke/tests/fleet/main.rs
@@ -3,8 +3,8 @@
 
 mod duties;
 mod faults;
-mod folders;
-mod tries;
+mod member_identity;
+mod trials;
 
 use fawnspoke_lab::blocking::{Endpoint, Platform, Reply, eventually};
 use fawnspoke_lab::test_fleet::{FleetShape, TestFleet};
