--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -6,7 +6,7 @@
 use fawnspoke_control::client;
 use fawnspoke_control::protocol::{Request, Response};
 use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
-use fawnspoke_lab::bench::Settings;
+use fawnspoke_lab::bench::BenchSettings;
 use fawnspoke_lab::command;
 use std::io::{BufWriter, ErrorKind, Write};
 use std::net::SocketAddr;
@@ -277,7 +277,7 @@
         Command::Lab(Lab::Audit { record }) => command::audit(&record),
         Command::Lab(Lab::Bench { seconds, body, connections, slots, tick_ms, program }) => {
             let (body, connections, slots) = (body as usize, connections as usize, slots as usize);
-            command::bench(&Settings { seconds, body, connections, slots, tick_ms, program })
+            command::bench(&BenchSettings { seconds, body, connections, slots, tick_ms, program })
         }
         Command::Lab(Lab::Fleet { logs, every }) => command::fleet(&logs, every),
         Command::Lab(Lab::Losses { logs, before, json }) => command::losses(&logs, before.as_deref(), json),
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -35,7 +35,7 @@
 
 /// What is measured, and for how long.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct BenchSettings {
     /// Seconds of each measure.
     pub seconds: f64,
     /// Bytes of a body.
@@ -54,7 +54,7 @@
 const BAD_CALLERS: usize = 200;
 
 /// What came of a bench.
-pub struct Measured {
+pub struct BenchResults {
     /// The plain proxy.
     pub beside: Figures,
     /// The dispatcher.
@@ -248,7 +248,7 @@
 
 /// Loads a subject for the time set.
 fn load(
-    at: SocketAddr, target: std::net::TcpListener, settings: &Settings, rate: Option<f64>,
+    at: SocketAddr, target: std::net::TcpListener, settings: &BenchSettings, rate: Option<f64>,
 ) -> io::Result<(Measure, std::net::TcpListener)> {
     let counts = Arc::new(Counts {
         began: Instant::now(),
@@ -321,7 +321,7 @@
 
 /// Measures a subject that runs already.
 fn figures(
-    pid: u32, at: SocketAddr, target: std::net::TcpListener, settings: &Settings, journal: Option<&Path>,
+    pid: u32, at: SocketAddr, target: std::net::TcpListener, settings: &BenchSettings, journal: Option<&Path>,
 ) -> io::Result<(Figures, std::net::TcpListener)> {
     let idle = resident_kb(pid).unwrap_or(0);
     let length = || journal.and_then(|path| std::fs::metadata(path).ok()).map(|meta| meta.len());
@@ -365,7 +365,7 @@
 ///
 /// # Errors
 /// What keeps either from starting or ends the load.
-pub fn run(program: &Path, folder: &Path, settings: &Settings) -> io::Result<Measured> {
+pub fn run(program: &Path, folder: &Path, settings: &BenchSettings) -> io::Result<BenchResults> {
     // The platform goes on while this thread waits for the load.
     let runtime = crate::stage::handle();
     let subject = cores().into_iter().take(1).collect::<Vec<_>>();
@@ -445,7 +445,7 @@
     if ended > 0 {
         eprintln!("{ended} messages ended by a notice: the figures are not of a clean run");
     }
-    Ok(Measured { beside, measured, door })
+    Ok(BenchResults { beside, measured, door })
 }
 
 fn stop(runtime: &tokio::runtime::Handle, process: &Process) {
@@ -454,7 +454,7 @@
 }
 
 /// The figures as text.
-pub fn text(Measured { beside, measured, door }: &Measured) -> String {
+pub fn format_results(BenchResults { beside, measured, door }: &BenchResults) -> String {
     let mut text = String::from(
         "              delivered/s  refused  CPU us/message  answered us p50/p99/p99.9  delivered us p50/p99/p99.9  resident MB idle/load  \
          journal B/message\n",
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -34,7 +34,7 @@
 }
 
 /// All clients of a run.
-pub struct Crowd {
+pub struct SimulatedClients {
     scenario: Scenario,
     recorder: Recorder,
     ledger: Arc<Ledger>,
@@ -64,13 +64,13 @@
     Unreached,
 }
 
-impl Crowd {
+impl SimulatedClients {
     /// Clients of dispatchers at these addresses.
     pub fn new(
         scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, at: Vec<SocketAddr>,
-    ) -> Arc<Crowd> {
+    ) -> Arc<SimulatedClients> {
         let count = at.len();
-        Arc::new(Crowd {
+        Arc::new(SimulatedClients {
             scenario,
             recorder,
             ledger,
@@ -84,7 +84,7 @@
     }
 
     /// What the front thinks of a dispatcher from now on.
-    pub fn believe(&self, dispatcher: usize, alive: bool) {
+    pub fn set_alive(&self, dispatcher: usize, alive: bool) {
         lock(&self.alive)[dispatcher] = alive;
         if !alive {
             lock(&self.kept[dispatcher]).clear();
@@ -92,17 +92,17 @@
     }
 
     /// Errands under way.
-    pub fn active(&self) -> usize {
+    pub fn active_submissions(&self) -> usize {
         self.active.load(Ordering::SeqCst)
     }
 
     /// Messages that never found a dispatcher that would listen.
-    pub fn never(&self) -> usize {
+    pub fn unreached_messages(&self) -> usize {
         self.never.load(Ordering::SeqCst)
     }
 
     /// Hands in all arrivals at their times, from `began` on.
-    pub async fn arrive(self: Arc<Crowd>, arrivals: Vec<Arrival>, began: Micros) {
+    pub async fn submit_arrivals(self: Arc<SimulatedClients>, arrivals: Vec<Arrival>, began: Micros) {
         for arrival in arrivals {
             tokio::time::sleep_until(self.recorder.instant(began + arrival.at).into()).await;
             let mut rng = fastrand::Rng::with_seed(arrival.seed);
@@ -116,7 +116,7 @@
     }
 
     /// Hears what the platform was told: a message that is handed back may come again.
-    pub async fn hear(self: Arc<Crowd>, mut notices: mpsc::UnboundedReceiver<Notice>) {
+    pub async fn handle_notices(self: Arc<SimulatedClients>, mut notices: mpsc::UnboundedReceiver<Notice>) {
         while let Some(notice) = notices.recv().await {
             let Some(mut errand) = lock(&self.taken).remove(&notice.message) else { continue };
             errand.reached = true;
@@ -133,7 +133,7 @@
         }
     }
 
-    fn spawn(self: &Arc<Crowd>, errand: Errand, after: Duration) {
+    fn spawn(self: &Arc<SimulatedClients>, errand: Errand, after: Duration) {
         self.active.fetch_add(1, Ordering::SeqCst);
         let crowd = self.clone();
         tokio::spawn(async move {
@@ -163,7 +163,7 @@
         }
     }
 
-    async fn run(self: &Arc<Crowd>, mut errand: Errand) {
+    async fn run(self: &Arc<SimulatedClients>, mut errand: Errand) {
         let class = &self.scenario.classes[errand.arrival.class];
         let span = (class.deadline_s * 1e6) as Micros;
         while errand.hand_ins < HAND_INS_MOST {
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -2,7 +2,7 @@
 
 use crate::auditor::audit as judge;
 use crate::killer::Kills;
-use crate::measures::{self, Fault};
+use crate::measures::{self, HolderFault};
 use crate::process::Program;
 use crate::record;
 use crate::run::{self, Options};
@@ -85,7 +85,7 @@
     match record::load(path) {
         Ok(entries) => {
             let verdict = judge(&entries);
-            print!("{}{}", table::classes(&verdict), table::verdict(&verdict));
+            print!("{}{}", table::format_classes(&verdict), table::format_verdict(&verdict));
             code(verdict.clean())
         }
         Err(error) => wrong(error),
@@ -106,7 +106,9 @@
 /// What a fleet lost by destination, by the second; beside another folder's, where one is given.
 pub fn losses(folder: &Path, before: Option<&Path>, json: bool) -> ExitCode {
     const SPAN: f64 = 1.0;
-    let read = |folder: &Path| Ok::<_, String>(loss::losses(&fleet::Fleet::read(folder, SPAN)?, SPAN));
+    let read = |folder: &Path| {
+        Ok::<_, String>(loss::losses_by_destination(&fleet::Fleet::read(folder, SPAN)?, SPAN))
+    };
     let (after, before) = match (read(folder), before.map(read).transpose()) {
         (Ok(after), Ok(before)) => (after, before),
         (Err(error), _) | (_, Err(error)) => return wrong(error),
@@ -114,7 +116,7 @@
     if json {
         println!("{}", serde_json::json!({ "before": before, "after": after }));
     } else {
-        print!("{}", loss::text(before.as_ref(), &after));
+        print!("{}", loss::format_losses(before.as_ref(), &after));
     }
     ExitCode::SUCCESS
 }
@@ -132,7 +134,7 @@
 }
 
 /// Measures throughput and latency beside a plain proxy.
-pub fn bench(settings: &bench::Settings) -> ExitCode {
+pub fn bench(settings: &bench::BenchSettings) -> ExitCode {
     let folder = match run::fresh_folder(&std::env::temp_dir()) {
         Ok(folder) => folder,
         Err(error) => return wrong(error),
@@ -142,7 +144,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     match measured {
         Ok(measured) => {
-            print!("{}", bench::text(&measured));
+            print!("{}", bench::format_results(&measured));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -158,10 +160,10 @@
         let folder = run::fresh_folder(&std::env::temp_dir())?;
         let mut clean = true;
         for term in terms {
-            for fault in [Fault::Kill, Fault::Stall, Fault::Cut, Fault::Word] {
-                let measured = measures::handing_on(&program, &folder, *term, fault, times)?;
+            for fault in [HolderFault::Kill, HolderFault::Stall, HolderFault::Cut, HolderFault::Word] {
+                let measured = measures::measure_duty_failover(&program, &folder, *term, fault, times)?;
                 println!("{measured}");
-                clean &= measured.faults.is_empty();
+                clean &= measured.violations.is_empty();
             }
         }
         std::fs::remove_dir_all(folder)?;
@@ -175,7 +177,7 @@
     let measured = std::env::current_exe().and_then(|program| {
         let folder = run::fresh_folder(&std::env::temp_dir())?;
         for fleet in [false, true] {
-            println!("{}", measures::tried(&program, &folder, count, fleet, out_s, a_second)?);
+            println!("{}", measures::measure_outage_cost(&program, &folder, count, fleet, out_s, a_second)?);
         }
         std::fs::remove_dir_all(folder)
     });
@@ -188,7 +190,10 @@
         let folder = run::fresh_folder(&std::env::temp_dir())?;
         for count in counts {
             for fleet in [false, true] {
-                println!("{}", measures::rest(&program, &folder, *count as usize, fleet, seconds)?);
+                println!(
+                    "{}",
+                    measures::measure_idle_cost(&program, &folder, *count as usize, fleet, seconds)?
+                );
             }
         }
         std::fs::remove_dir_all(folder)
@@ -276,7 +281,7 @@
         record::save(path, &outcome.entries)?;
     }
     let verdict = judge(&outcome.entries);
-    print!("{}", table::classes(&verdict));
+    print!("{}", table::format_classes(&verdict));
     let memory: Vec<String> =
         outcome.resident_kb.iter().map(|kb| format!("{:.1}", *kb as f64 / 1024.0)).collect();
     println!("resident memory of the dispatchers at most: {} MB", memory.join(", "));
@@ -296,7 +301,7 @@
     if !outcome.fallen.is_empty() {
         println!("fell over: {}", outcome.fallen.join(", "));
     }
-    print!("{}", table::verdict(&verdict));
+    print!("{}", table::format_verdict(&verdict));
     let told = outcome.fleet.unwrap_or_default();
     if told.epochs > 0 {
         println!("the fleet: {} acts under {} epochs, {} breaks", told.acts, told.epochs, told.faults.len());
--- a/crates/lab/src/loss.rs
+++ b/crates/lab/src/loss.rs
@@ -43,7 +43,7 @@
 }
 
 /// The losses by destination, and of all under `all`. `every`: seconds of the fleet's spans.
-pub fn losses(fleet: &Fleet, every: f64) -> BTreeMap<String, Loss> {
+pub fn losses_by_destination(fleet: &Fleet, every: f64) -> BTreeMap<String, Loss> {
     let dests: BTreeSet<&String> = fleet.spans.keys().map(|(_, dest)| dest).collect();
     let mut found = BTreeMap::new();
     let mut all = Loss::default();
@@ -111,7 +111,7 @@
 }
 
 /// The table, of one folder or of two side by side (`before` first).
-pub fn text(before: Option<&BTreeMap<String, Loss>>, after: &BTreeMap<String, Loss>) -> String {
+pub fn format_losses(before: Option<&BTreeMap<String, Loss>>, after: &BTreeMap<String, Loss>) -> String {
     let heads = ["calls", "unused", "used_up", "shut", "other", "ended", "found_s", "full_s"];
     let mut text = format!("{:>5}", "dest");
     heads.iter().for_each(|head| text.push_str(&format!(" {head:>15}")));
@@ -176,7 +176,7 @@
 
     #[test]
     fn room_refusals_and_returns_are_told_by_destination() {
-        let losses = losses(&fleet(), 1.0);
+        let losses = losses_by_destination(&fleet(), 1.0);
         let four = &losses["4"];
         assert_eq!((four.calls, four.refused_shut, four.refused_used, four.refused_other), (116, 15, 1, 4));
         assert_eq!((four.unused, four.limit, four.ended), (40.0 + 30.0 + 30.0 + 30.0 + 4.0, 250.0, 4));
@@ -189,10 +189,10 @@
 
     #[test]
     fn two_folders_stand_side_by_side() {
-        let after = losses(&fleet(), 1.0);
+        let after = losses_by_destination(&fleet(), 1.0);
         let mut before = after.clone();
         before.get_mut("4").unwrap().calls = 99;
-        let table = text(Some(&before), &after);
+        let table = format_losses(Some(&before), &after);
         let row = table.lines().find(|line| line.trim_start().starts_with("4 ")).unwrap();
         assert!(row.contains("99 > 116") && row.contains("134 > 134"), "{table}");
     }
--- a/crates/lab/src/measures.rs
+++ b/crates/lab/src/measures.rs
@@ -16,7 +16,7 @@
 
 /// A fault after which a duty has to be another one's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum HolderFault {
     /// SIGKILL.
     Kill,
     /// SIGSTOP, for longer than all else takes.
@@ -34,20 +34,20 @@
 }
 
 /// Times from a fault to the next holder's first act.
-pub struct HandingOn {
+pub struct DutyFailover {
     /// The term, in seconds.
     pub term: f64,
     /// The fault.
-    pub fault: Fault,
+    pub fault: HolderFault,
     /// In milliseconds.
     pub times: Histogram<u64>,
     /// How often the holder was the leader too.
     pub led: usize,
     /// What is wrong with the histories.
-    pub faults: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl fmt::Display for HandingOn {
+impl fmt::Display for DutyFailover {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (median, worst) = (self.times.value_at_quantile(0.5) as f64, self.times.max() as f64);
         write!(
@@ -59,7 +59,7 @@
             self.led,
             median / 1000.0,
             worst / 1000.0,
-            self.faults.len()
+            self.violations.len()
         )
     }
 }
@@ -78,19 +78,19 @@
 ///
 /// # Panics
 /// Where a fleet does not come up, or nobody takes the duty, in 30 s.
-pub fn handing_on(
-    program: &Path, folder: &Path, term: f64, fault: Fault, times: usize,
-) -> io::Result<HandingOn> {
+pub fn measure_duty_failover(
+    program: &Path, folder: &Path, term: f64, fault: HolderFault, times: usize,
+) -> io::Result<DutyFailover> {
     let settings = format!("term_s = {term}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
     let shape = Shape { voters: 5, observers: 0, settings };
     let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
     members.start();
-    let mut measured = HandingOn {
+    let mut measured = DutyFailover {
         term,
         fault,
         times: Histogram::new(3).map_err(io::Error::other)?,
         led: 0,
-        faults: Vec::new(),
+        violations: Vec::new(),
     };
     for _ in 0..times {
         let mut held = None;
@@ -102,10 +102,10 @@
         measured.led += usize::from(members.leader(holder) == Some(holder));
         let began = boot();
         match fault {
-            Fault::Kill => members.dispatchers[holder].kill(),
-            Fault::Stall => members.dispatchers[holder].signal("STOP"),
-            Fault::Cut => members.cut_off(holder, (true, true)),
-            Fault::Word => members.dispatchers[holder].signal("TERM"),
+            HolderFault::Kill => members.dispatchers[holder].kill(),
+            HolderFault::Stall => members.dispatchers[holder].signal("STOP"),
+            HolderFault::Cut => members.cut_off(holder, (true, true)),
+            HolderFault::Word => members.dispatchers[holder].signal("TERM"),
         }
         let mut acted = None;
         let until = Instant::now() + Duration::from_secs_f64(30.0 + 4.0 * term);
@@ -117,10 +117,10 @@
         let took = ((at - began) * 1000.0).max(0.0) as u64;
         measured.times.record(took).map_err(io::Error::other)?;
         match fault {
-            Fault::Kill => members.dispatchers[holder].start(),
-            Fault::Stall => members.dispatchers[holder].signal("CONT"),
-            Fault::Cut => members.cut_off(holder, (false, false)),
-            Fault::Word => {
+            HolderFault::Kill => members.dispatchers[holder].start(),
+            HolderFault::Stall => members.dispatchers[holder].signal("CONT"),
+            HolderFault::Cut => members.cut_off(holder, (false, false)),
+            HolderFault::Word => {
                 members.dispatchers[holder].wait();
                 members.dispatchers[holder].start();
             }
@@ -142,13 +142,13 @@
             sleep(Duration::from_millis(10));
         }
     }
-    measured.faults = members.faults();
+    measured.violations = members.faults();
     Ok(measured)
 }
 
 /// What a fleet did while a place, or discovery, was out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Tried {
+pub struct OutageCost {
     /// Members, or dispatchers that are none.
     pub count: usize,
     /// As a fleet.
@@ -169,7 +169,7 @@
     pub memory_mb: f64,
 }
 
-impl fmt::Display for Tried {
+impl fmt::Display for OutageCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -190,7 +190,7 @@
 
 /// What members cost that do nothing, beside dispatchers that are none.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rest {
+pub struct IdleCost {
     /// Dispatchers.
     pub count: usize,
     /// Of these, voters; none where they are no fleet.
@@ -205,7 +205,7 @@
     pub memory_mb: [f64; 2],
 }
 
-impl fmt::Display for Rest {
+impl fmt::Display for IdleCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let [first, voter, observer] = self.cpu;
         let [votes, follows] = self.memory_mb;
@@ -225,7 +225,9 @@
 ///
 /// # Panics
 /// Where a fleet does not come up in 30 s.
-pub fn rest(program: &Path, folder: &Path, count: usize, as_fleet: bool, span: f64) -> io::Result<Rest> {
+pub fn measure_idle_cost(
+    program: &Path, folder: &Path, count: usize, as_fleet: bool, span: f64,
+) -> io::Result<IdleCost> {
     let voters = 5.min(count);
     let shape = Shape { voters, observers: count - voters, settings: "disk_mb = 1".into() };
     let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
@@ -250,7 +252,7 @@
     let memory = |of: &[u32]| {
         of.iter().filter_map(|id| crate::process::resident_kb(*id)).max().unwrap_or(0) as f64 / 1024.0
     };
-    Ok(Rest {
+    Ok(IdleCost {
         count,
         voters: if as_fleet { voters } else { 0 },
         whole_s,
@@ -276,9 +278,9 @@
 ///
 /// # Panics
 /// Where a fleet does not come up, or messages are not delivered, in 30 s.
-pub fn tried(
+pub fn measure_outage_cost(
     program: &Path, folder: &Path, count: usize, as_fleet: bool, out_s: f64, a_second: f64,
-) -> io::Result<Tried> {
+) -> io::Result<OutageCost> {
     let out = Arc::new(AtomicBool::new(false));
     let asked = out.clone();
     let endpoint = Endpoint::start(move |_, _| match asked.load(Ordering::SeqCst) {
@@ -354,7 +356,7 @@
     let memory =
         ids.iter().filter_map(|id| crate::process::resident_kb(*id)).max().unwrap_or(0) as f64 / 1024.0;
     let (taken_in, delivered) = (taken.len(), delivered());
-    Ok(Tried {
+    Ok(OutageCost {
         count,
         fleet: as_fleet,
         tries,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario: starts all stand-ins and the dispatchers, carries out the script, and gives the record.
 
-use crate::clients::Crowd;
+use crate::clients::SimulatedClients;
 use crate::endpoint::{Door as Sockets, Endpoint, Traits};
 use crate::killer::{Counter, Kills};
 use crate::ledger::Ledger;
@@ -98,7 +98,7 @@
     endpoints: Mutex<Vec<Vec<Arc<Endpoint>>>>,
     processes: Vec<Process>,
     configs: Vec<Value>,
-    crowd: Arc<Crowd>,
+    clients: Arc<SimulatedClients>,
     network: Network,
     numbers: Arc<AtomicU64>,
     renamed: AtomicU64,
@@ -208,7 +208,7 @@
         process.start(stage.agent(index)?).await?;
     }
     let began = recorder.now();
-    let arriving = tokio::spawn(stage.crowd.clone().arrive(script.arrivals.clone(), began));
+    let arriving = tokio::spawn(stage.clients.clone().submit_arrivals(script.arrivals.clone(), began));
     let watching = tokio::spawn(watch(stage.clone(), options.progress, began));
     let mut turning = Vec::new();
     for turn in script.turns.clone() {
@@ -269,7 +269,7 @@
     loop {
         sleep(Duration::from_millis(100)).await;
         recorder.with(|entries| progress.follow(entries));
-        if (stage.crowd.active() == 0 && progress.open.is_empty()) || recorder.now() > until {
+        if (stage.clients.active_submissions() == 0 && progress.open.is_empty()) || recorder.now() > until {
             break;
         }
     }
@@ -298,7 +298,15 @@
     }
     let members = (scenario.fleet.voters > 0).then_some(stage.processes.len());
     let fleet = members.map(|count| mischief::read_logs(&options.folder, count));
-    Ok(Outcome { entries, resident_kb, never: stage.crowd.never(), fallen, kills, upgrades, fleet })
+    Ok(Outcome {
+        entries,
+        resident_kb,
+        never: stage.clients.unreached_messages(),
+        fallen,
+        kills,
+        upgrades,
+        fleet,
+    })
 }
 
 async fn set_up(
@@ -353,8 +361,8 @@
         0 => Relays::new(),
         _ => mischief::set_up(&scenario.fleet, &folders, |i| network.at(1 + i as u8, MEMBERS_PORT)).await?,
     };
-    let crowd = Crowd::new(scenario.clone(), recorder.clone(), ledger, listens);
-    tokio::spawn(crowd.clone().hear(notices));
+    let clients = SimulatedClients::new(scenario.clone(), recorder.clone(), ledger, listens);
+    tokio::spawn(clients.clone().handle_notices(notices));
     Ok(Stage {
         scenario: scenario.clone(),
         recorder,
@@ -363,7 +371,7 @@
         endpoints: Mutex::new(endpoints),
         processes,
         configs,
-        crowd,
+        clients,
         network,
         numbers,
         renamed: AtomicU64::new(0),
@@ -419,7 +427,7 @@
         sleep(Duration::from_millis(self.scenario.dispatchers.restart_ms)).await;
         self.configure(index)?;
         process.start(self.agent(index)?).await?;
-        self.crowd.believe(index, true);
+        self.clients.set_alive(index, true);
         Ok(())
     }
 
@@ -457,7 +465,7 @@
                     sleep(Duration::from_millis(notice)).await;
                     // Back before anybody noticed.
                     if process.id().is_none() {
-                        self.crowd.believe(turn.whom, false);
+                        self.clients.set_alive(turn.whom, false);
                     }
                 })
                 .0
@@ -466,7 +474,7 @@
                 let process = &self.processes[turn.whom];
                 process.signal(Sig::Term);
                 sleep(FRONT_AFTER_TERM).await;
-                self.crowd.believe(turn.whom, false);
+                self.clients.set_alive(turn.whom, false);
                 if !process.ended(KILL_AFTER - FRONT_AFTER_TERM).await {
                     process.signal(Sig::Kill);
                 }
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -12,7 +12,7 @@
 }
 
 /// The counts by class, with latencies in milliseconds.
-pub fn classes(verdict: &Verdict) -> String {
+pub fn format_classes(verdict: &Verdict) -> String {
     let heads = [
         "class",
         "messages",
@@ -98,7 +98,7 @@
 }
 
 /// The auditor's word: clean, or each rule that was broken with its first breaches.
-pub fn verdict(verdict: &Verdict) -> String {
+pub fn format_verdict(verdict: &Verdict) -> String {
     if verdict.clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
     }
