--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,6 +1,6 @@
 //! Plays a scenario: starts all stand-ins and the dispatchers, carries out the script, and gives the record.
 
-use crate::clients::Crowd;
+use crate::clients::SimulatedClients;
 use crate::endpoint::{Door as Sockets, Endpoint, Traits};
 use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
@@ -98,7 +98,7 @@
     endpoints: Mutex<Vec<Vec<Arc<Endpoint>>>>,
     processes: Vec<Process>,
     configs: Vec<Value>,
-    crowd: Arc<Crowd>,
+    clients: Arc<SimulatedClients>,
     network: Network,
     numbers: Arc<AtomicU64>,
     renamed: AtomicU64,
@@ -210,7 +210,7 @@
         process.start(stage.agent(index)?).await?;
     }
     let began = recorder.now();
-    let arriving = tokio::spawn(stage.crowd.clone().arrive(script.arrivals.clone(), began));
+    let arriving = tokio::spawn(stage.clients.clone().submit_arrivals(script.arrivals.clone(), began));
     let watching = tokio::spawn(watch(stage.clone(), options.progress, began));
     let mut turning = Vec::new();
     for turn in script.faults.clone() {
@@ -271,7 +271,7 @@
     loop {
         sleep(Duration::from_millis(100)).await;
         recorder.with(|entries| progress.follow(entries));
-        if (stage.crowd.active() == 0 && progress.open.is_empty()) || recorder.now() > until {
+        if (stage.clients.active_submissions() == 0 && progress.open.is_empty()) || recorder.now() > until {
             break;
         }
     }
@@ -303,7 +303,7 @@
     Ok(RunOutcome {
         entries,
         resident_kb,
-        unreached_messages: stage.crowd.never(),
+        unreached_messages: stage.clients.unreached_messages(),
         collapsed_partners: fallen,
         kills,
         upgrades,
@@ -367,8 +367,8 @@
             fleet_faults::set_up(&scenario.fleet, &folders, |i| network.at(1 + i as u8, MEMBERS_PORT)).await?
         }
     };
-    let crowd = Crowd::new(scenario.clone(), recorder.clone(), ledger, listens);
-    tokio::spawn(crowd.clone().hear(notices));
+    let clients = SimulatedClients::new(scenario.clone(), recorder.clone(), ledger, listens);
+    tokio::spawn(clients.clone().handle_notices(notices));
     Ok(Stage {
         scenario: scenario.clone(),
         recorder,
@@ -377,7 +377,7 @@
         endpoints: Mutex::new(endpoints),
         processes,
         configs,
-        crowd,
+        clients,
         network,
         numbers,
         renamed: AtomicU64::new(0),
@@ -437,7 +437,7 @@
         sleep(Duration::from_millis(self.scenario.dispatchers.restart_delay_ms)).await;
         self.configure(index)?;
         process.start(self.agent(index)?).await?;
-        self.crowd.believe(index, true);
+        self.clients.set_alive(index, true);
         Ok(())
     }
 
@@ -475,7 +475,7 @@
                     sleep(Duration::from_millis(notice)).await;
                     // Back before anybody noticed.
                     if process.pid().is_none() {
-                        self.crowd.believe(turn.target, false);
+                        self.clients.set_alive(turn.target, false);
                     }
                 })
                 .0
@@ -484,7 +484,7 @@
                 let process = &self.processes[turn.target];
                 process.signal(Sig::Term);
                 sleep(FRONT_AFTER_TERM).await;
-                self.crowd.believe(turn.target, false);
+                self.clients.set_alive(turn.target, false);
                 if !process.wait_for_exit(KILL_AFTER - FRONT_AFTER_TERM).await {
                     process.signal(Sig::Kill);
                 }
