--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -1,7 +1,7 @@
 //! A duty handed on: by word, and by time after a kill, a stall and cuts of every kind.
 
 use super::*;
-use fawnspoke_lab::history::Line;
+use fawnspoke_lab::history::LogLine;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -36,7 +36,7 @@
             let histories = stage.members.histories();
             histories[&format!("n{holder}")]
                 .iter()
-                .any(|line| matches!(line, Line::Given { duty, epoch: under, .. } if duty == "keeper" && *under > epoch))
+                .any(|line| matches!(line, LogLine::DutyGranted { duty, epoch: under, .. } if duty == "keeper" && *under > epoch))
         });
     }
     clean(&stage.members);
@@ -65,7 +65,12 @@
     stage.members.between(0, 2, (true, true));
     let (_, epoch) = next_keeper(&stage.members, 0);
     let acts = |members: &Members| {
-        members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
+        members
+            .histories()
+            .values()
+            .flatten()
+            .filter(|line| matches!(line, LogLine::DutyAction { .. }))
+            .count()
     };
     let before = acts(&stage.members);
     eventually("that work is done", || acts(&stage.members) > before + 20);
@@ -79,7 +84,12 @@
     let stage = started(3, 0);
     let (holder, _) = next_keeper(&stage.members, 0);
     let acts = |members: &Members| {
-        members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
+        members
+            .histories()
+            .values()
+            .flatten()
+            .filter(|line| matches!(line, LogLine::DutyAction { .. }))
+            .count()
     };
     let before = acts(&stage.members);
     for _ in 0..10 {
@@ -111,7 +121,7 @@
     assert!(stage.members.dispatchers[holder].wait());
     let lapse = stage.members.histories().values().flatten().any(|line| {
         // Given up by its word, the duty was nobody's in between.
-        matches!(line, Line::Given { duty, epoch: under, to, .. } if duty == "keeper" && *under == epoch + 1 && to == "nobody")
+        matches!(line, LogLine::DutyGranted { duty, epoch: under, holder, .. } if duty == "keeper" && *under == epoch + 1 && holder == "nobody")
     });
     assert!(lapse, "it went on by time, after {took:?}");
     clean(&stage.members);
--- a/crates/fawnspoke/tests/sockets/answers.rs
+++ b/crates/fawnspoke/tests/sockets/answers.rs
@@ -12,7 +12,7 @@
 
 /// An endpoint for destination 7, of the kind that takes one message a call or several.
 fn stage(
-    class: &str, script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
+    class: &str, script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[host("e", endpoint.at, 7, class, "up")]);
@@ -123,7 +123,7 @@
 #[test]
 fn one_bad_message_does_not_turn_away_the_others() {
     let endpoint = Endpoint::start(|_, request| match request.text().contains("bad") {
-        false if request.first.contains("/receive-many") => {
+        false if request.start_line.contains("/receive-many") => {
             raw("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
         }
         false => raw(OK),
--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-fn ok(_: usize, _: &Http) -> Reply {
+fn ok(_: usize, _: &HttpMessage) -> Reply {
     Reply::status(200)
 }
 
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -30,7 +30,9 @@
 }
 
 /// An endpoint for destination 7 that answers by the script, a platform, a dispatcher that knows both.
-fn one(script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static) -> (Endpoint, Platform, Dispatcher) {
+fn one(
+    script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
+) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     (endpoint, platform, dispatcher)
@@ -48,7 +50,7 @@
     assert_eq!(client.hand_in("safe", "m2", 7, 15_000, b"two").status(), 202);
     eventually("the second call", || endpoint.seen().len() == 2);
     let seen = endpoint.seen();
-    assert!(seen[0].request.first.starts_with("POST /receive "));
+    assert!(seen[0].request.start_line.starts_with("POST /receive "));
     assert_eq!((seen[0].id(), seen[0].request.header("idempotency-key")), ("m1", Some("key-m1")));
     assert!(seen[0].request.header("request-timeout-ms").is_some_and(|ms| ms.parse::<u64>().is_ok()));
     assert_eq!(seen[0].request.body, body);
@@ -207,7 +209,7 @@
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
     eventually("the first notice", || platform.told("m1") == ["given_up"]);
     // Three are lost, the first of them on the connection that is kept.
-    platform.set(|mood| mood.deaf = 3);
+    platform.set(|mood| mood.unanswered_notices = 3);
     let begun = std::time::Instant::now();
     assert_eq!(dispatcher.hand_in("unsafe", "m2", 7), 202);
     eventually("the second notice", || platform.told("m2") == ["given_up"]);
@@ -461,7 +463,9 @@
     // All are held; once the endpoint is listed they go in one round.
     platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
     eventually("the calls with all", || endpoint.seen().len() >= 2);
-    assert!(endpoint.seen()[..2].iter().all(|seen| seen.request.first.starts_with("POST /receive-many ")));
+    assert!(
+        endpoint.seen()[..2].iter().all(|seen| seen.request.start_line.starts_with("POST /receive-many "))
+    );
     eventually("the notice", || platform.told("unsafe-c") == ["given_up"]);
     // The refused ones come again, by themselves or together; the others do not.
     let later = |id: &str| {
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -113,7 +113,7 @@
 
 #[test]
 fn an_upgrade_takes_all_along() {
-    let slow = |n: usize, _: &Http| match n {
+    let slow = |n: usize, _: &HttpMessage| match n {
         0 => Reply::Late(Duration::from_millis(1500), 200),
         _ => Reply::status(200),
     };
@@ -178,7 +178,7 @@
 
 #[test]
 fn a_process_with_other_settings_takes_what_is_on_record() {
-    let script = |n: usize, _: &Http| if n == 0 { Reply::Hang } else { Reply::status(200) };
+    let script = |n: usize, _: &HttpMessage| if n == 0 { Reply::Hang } else { Reply::status(200) };
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
     let mut dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
     assert_eq!(dispatcher.hand_in("keyed", "out", 7), 202);
--- a/crates/fawnspoke/tests/sockets/support.rs
+++ b/crates/fawnspoke/tests/sockets/support.rs
@@ -1,6 +1,6 @@
 //! The lab's stand-ins, with this program as the dispatcher.
 
-pub use fawnspoke_lab::stage::{Client, Endpoint, Http, Platform, Reply, eventually, held, host};
+pub use fawnspoke_lab::stage::{Client, Endpoint, HttpMessage, Platform, Reply, eventually, held, host};
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
--- a/crates/lab/src/auditor.rs
+++ b/crates/lab/src/auditor.rs
@@ -5,7 +5,9 @@
 //! entry. Where a record leaves a doubt (an answer on its way while the other side closed), the doubt is the
 //! dispatcher's for as long as [`Rules::slack`].
 
-use crate::record::{Effect, End, Entry, Fate, Listed, Micros, Outcome, Rules, Sig, What};
+use crate::record::{
+    CallEnd, Effect, EndpointState, Entry, Event, MessageResult, Micros, Outcome, ProcessSignal, Rules,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 
@@ -26,41 +28,41 @@
     /// What was taken on gets its end in time.
     Lost,
     /// One final answer, and nothing is sent after it.
-    Answer,
+    SingleAnswer,
     /// Nothing takes effect twice.
-    Twice,
+    Duplicate,
     /// Never two attempts of one message at once.
-    Parallel,
+    ConcurrentAttempts,
     /// Nothing new goes to an endpoint that drains or is gone.
     Drain,
     /// A destination that comes back cold is not pushed over.
-    Cold,
+    ColdStart,
     /// Order, where a class asks for it.
     Order,
     /// A told wait is kept.
-    Wait,
+    RetryAfter,
     /// A message goes to its own destination, unchanged.
     Altered,
     /// No process ends that was not told to.
     Crash,
     /// What a restart finds taken on and untried is still tried.
-    Untried,
+    NeverCalled,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Rule::Lost => "nothing is lost",
-            Rule::Answer => "one final answer",
-            Rule::Twice => "nothing takes effect twice",
-            Rule::Parallel => "no two attempts at once",
+            Rule::SingleAnswer => "one final answer",
+            Rule::Duplicate => "nothing takes effect twice",
+            Rule::ConcurrentAttempts => "no two attempts at once",
             Rule::Drain => "drains are kept",
-            Rule::Cold => "a returning destination is not pushed over",
+            Rule::ColdStart => "a returning destination is not pushed over",
             Rule::Order => "order is kept",
-            Rule::Wait => "waits are heeded",
+            Rule::RetryAfter => "waits are heeded",
             Rule::Altered => "messages go unchanged to their own destination",
             Rule::Crash => "no dispatcher crashes",
-            Rule::Untried => "what a restart finds untried is tried",
+            Rule::NeverCalled => "what a restart finds untried is tried",
         })
     }
 }
@@ -86,33 +88,33 @@
 
 /// Counts of one class. A message that is handed in again under a new id counts once.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct ClassCounts {
     /// Messages that clients had.
     pub messages: u64,
     /// Taken on under at least one id.
-    pub taken: u64,
+    pub accepted: u64,
     /// Delivered, and their clients had heard that they were taken on.
     pub delivered: u64,
     /// Those of them within the aim.
-    pub in_aim: u64,
+    pub within_target: u64,
     /// Ended by a notice that promises nothing, and not delivered.
     pub given_up: u64,
     /// Ended by a notice that coming again is harmless, and not delivered.
     pub handed_back: u64,
     /// Turned away each time.
-    pub refused: u64,
+    pub rejected: u64,
     /// No answer was heard, or another than taken or refused.
-    pub unheard: u64,
+    pub unanswered: u64,
     /// Lost: the rule is broken.
     pub lost: u64,
     /// Took effect twice though its class forbids it, by the dispatchers' doing.
-    pub doubled: u64,
+    pub duplicated: u64,
     /// Took effect under two ids, since its client had handed it in twice: no rule is broken.
-    pub doubled_by_clients: u64,
+    pub duplicated_by_clients: u64,
     /// Hand-ins that a later process found taken on and never called, with time left once it was ready.
-    pub found: u64,
+    pub recovered: u64,
     /// Those of them that never were called.
-    pub untried: u64,
+    pub never_called: u64,
     /// Time from the first hand-in to the delivery of each delivered message, in microseconds.
     pub latencies: Vec<Micros>,
 }
@@ -123,9 +125,9 @@
     /// The breaches, by time; at most so many are kept.
     pub breaches: Vec<Breach>,
     /// How many there were of each rule.
-    pub counts: BTreeMap<Rule, u64>,
+    pub breach_counts: BTreeMap<Rule, u64>,
     /// Counts by class.
-    pub classes: BTreeMap<String, Tally>,
+    pub classes: BTreeMap<String, ClassCounts>,
     /// Calls that endpoints got, and probes.
     pub calls: u64,
     /// Probes that endpoints got.
@@ -136,8 +138,8 @@
 
 impl Verdict {
     /// Whether no rule was broken.
-    pub fn clean(&self) -> bool {
-        self.counts.is_empty()
+    pub fn is_clean(&self) -> bool {
+        self.breach_counts.is_empty()
     }
 }
 
@@ -223,7 +225,7 @@
     /// When a dispatcher was told that an endpoint drains or is gone.
     drains: HashMap<(usize, String), Micros>,
     /// Changes that must be told to all by some time, where the platform spoke all the while.
-    pending: Vec<(Micros, String, Listed)>,
+    pending: Vec<(Micros, String, EndpointState)>,
     silent: bool,
     silences: Vec<(Micros, Option<Micros>)>,
     waits: HashMap<(usize, u32), Vec<(Micros, Micros)>>,
@@ -239,7 +241,7 @@
     let mut audit = Audit::default();
     for entry in entries {
         audit.done = audit.done.max(entry.at);
-        audit.hear(entry.at, &entry.what);
+        audit.hear(entry.at, &entry.event);
     }
     audit.finish();
     audit.verdict
@@ -247,7 +249,7 @@
 
 impl Audit {
     fn breach(&mut self, rule: Rule, subject: impl Into<String>, at: Micros, text: String) {
-        *self.verdict.counts.entry(rule).or_default() += 1;
+        *self.verdict.breach_counts.entry(rule).or_default() += 1;
         if self.verdict.breaches.len() < BREACHES_KEPT {
             self.verdict.breaches.push(Breach { rule, subject: subject.into(), text, at });
         }
@@ -255,21 +257,21 @@
 
     fn effect(&self, message: &Message) -> (Effect, Micros) {
         let class = self.rules.classes.get(message.class);
-        class.map_or((Effect::Unsafe, 0), |class| (class.effect, class.window))
+        class.map_or((Effect::Unsafe, 0), |class| (class.effect, class.key_window))
     }
 
-    fn hear(&mut self, at: Micros, what: &What) {
+    fn hear(&mut self, at: Micros, what: &Event) {
         match what {
-            What::Rules(rules) => self.rules = rules.clone(),
-            What::Asked { .. } => self.asked(at, what),
-            What::Answered { id, status } => self.answered(at, id, *status),
-            What::Left { id } => {
+            Event::Rules(rules) => self.rules = rules.clone(),
+            Event::Submitted { .. } => self.asked(at, what),
+            Event::Answered { id, status } => self.answered(at, id, *status),
+            Event::ClientTimedOut { id } => {
                 if let Some(message) = self.messages.get_mut(id) {
                     message.left = true;
                 }
             }
-            What::Dropped { id } => self.dropped(at, id),
-            What::Call { call, endpoint, dest, dispatcher, first, items } => {
+            Event::ConnectionLost { id } => self.dropped(at, id),
+            Event::Call { call, endpoint, destination: dest, dispatcher, first_byte_at: first, items } => {
                 self.verdict.calls += 1;
                 self.drained(*dispatcher, endpoint, *first);
                 self.waited(at, *dispatcher, *dest);
@@ -281,7 +283,7 @@
                 let (endpoint, dispatcher, dest) = (endpoint.clone(), *dispatcher, *dest);
                 self.calls.insert(*call, Call { at, endpoint, dispatcher, dest, ids, ended: None });
             }
-            What::Probe { endpoint, dest, dispatcher, well } => {
+            Event::Probe { endpoint, destination: dest, dispatcher, healthy: well } => {
                 self.verdict.probes += 1;
                 self.drained(*dispatcher, endpoint, at);
                 self.waited(at, *dispatcher, *dest);
@@ -290,9 +292,11 @@
                     self.informed(at, *dispatcher, *dest);
                 }
             }
-            What::Ran { call, id, effect } => self.ran(at, *call, id, *effect),
-            What::Ended { call, how, fates, wait } => self.ended(at, *call, *how, fates, *wait),
-            What::Out { dest, refusing } => {
+            Event::MessageProcessed { call, id, took_effect: effect } => self.ran(at, *call, id, *effect),
+            Event::CallEnded { call, end: how, results: fates, retry_after: wait } => {
+                self.ended(at, *call, *how, fates, *wait)
+            }
+            Event::OutageStarted { destination: dest, refuses_connections: refusing } => {
                 let outage = Outage {
                     from: at,
                     back: None,
@@ -303,13 +307,13 @@
                 };
                 self.outages.entry(*dest).or_default().push(outage);
             }
-            What::Back { dest } => {
+            Event::OutageEnded { destination: dest } => {
                 let outage = self.outages.get_mut(dest).and_then(|all| all.last_mut());
                 let Some(outage) = outage.filter(|outage| outage.back.is_none()) else { return };
                 outage.back = Some(at);
                 if outage.refusing {
                     // No endpoint sees a refused connection. Who held messages for it meanwhile has tried.
-                    let (from, slack) = (outage.from, self.rules.slack);
+                    let (from, slack) = (outage.from, self.rules.tolerance);
                     let held = self.messages.values().filter(|m| {
                         m.dest == *dest
                             && m.taken()
@@ -319,58 +323,73 @@
                     outage.informed.extend(held.map(|m| m.dispatcher));
                 }
             }
-            What::Changed { endpoint, state } => {
+            Event::EndpointChanged { endpoint, state } => {
                 self.pending.push((at, endpoint.clone(), *state));
             }
-            What::Told { dispatcher, endpoint, state } => self.told(at, *dispatcher, endpoint, *state),
-            What::Silent { on } => {
+            Event::ChangeDelivered { dispatcher, endpoint, state } => {
+                self.told(at, *dispatcher, endpoint, *state)
+            }
+            Event::PlatformSilent { silent: on } => {
                 self.silent = *on;
                 match on {
                     true => self.silences.push((at, None)),
                     false => self.silences.iter_mut().for_each(|s| s.1 = s.1.or(Some(at))),
                 }
             }
-            What::Notice { id, outcome, status, .. } => self.noticed(at, id, *outcome, *status),
-            What::Started { dispatcher } => self.lives.entry(*dispatcher).or_default().started.push(at),
-            What::Ready { dispatcher } => {
+            Event::Notice { id, outcome, status, .. } => self.noticed(at, id, *outcome, *status),
+            Event::ProcessStarted { dispatcher } => {
+                self.lives.entry(*dispatcher).or_default().started.push(at)
+            }
+            Event::ProcessReady { dispatcher } => {
                 let lives = self.lives.entry(*dispatcher).or_default();
                 lives.ready.push(at);
                 lives.restarts.iter_mut().for_each(|restart| restart.1 = restart.1.or(Some(at)));
             }
-            What::Signalled { dispatcher, signal } => {
+            Event::SignalSent { dispatcher, signal } => {
                 let lives = self.lives.entry(*dispatcher).or_default();
                 match signal {
                     // The process that is told to stop and then killed is one restart.
-                    Sig::Kill | Sig::Term => {
+                    ProcessSignal::Kill | ProcessSignal::Term => {
                         if lives.restarts.last().is_none_or(|last| last.1.is_some()) {
                             lives.restarts.push((at, None));
                         }
-                        if *signal == Sig::Kill {
+                        if *signal == ProcessSignal::Kill {
                             lives.kills.push(at);
                         }
                     }
                     // A process that stands still is late with all that it owes.
-                    Sig::Stop => lives.restarts.push((at, None)),
-                    Sig::Cont => {
+                    ProcessSignal::Stop => lives.restarts.push((at, None)),
+                    ProcessSignal::Cont => {
                         if let Some(last) = lives.restarts.last_mut() {
                             last.1 = last.1.or(Some(at));
                         }
                     }
-                    Sig::Hup => {}
+                    ProcessSignal::Hup => {}
                 }
             }
-            What::Exited { dispatcher, asked } => {
+            Event::ProcessExited { dispatcher, expected: asked } => {
                 if !asked {
                     let text = "its process ended and nobody had told it to".to_string();
                     self.breach(Rule::Crash, format!("dispatcher {dispatcher}"), at, text);
                 }
             }
-            What::Done => {}
+            Event::RunEnded => {}
         }
     }
 
-    fn asked(&mut self, at: Micros, what: &What) {
-        let What::Asked { id, origin, class, dest, key, order, body, deadline, dispatcher, fresh } = what
+    fn asked(&mut self, at: Micros, what: &Event) {
+        let Event::Submitted {
+            id,
+            origin,
+            class,
+            destination: dest,
+            key,
+            order,
+            body_digest: body,
+            deadline,
+            dispatcher,
+            new_connection: fresh,
+        } = what
         else {
             return;
         };
@@ -417,12 +436,12 @@
         if refused && let Some(call) = message.calls.first() {
             let call = *call;
             let text = format!("refused with {status}, but call {call} had gone out with it");
-            self.breach(Rule::Answer, id, at, text);
+            self.breach(Rule::SingleAnswer, id, at, text);
         }
     }
 
     fn dropped(&mut self, at: Micros, id: &str) {
-        let slack = self.rules.slack * 2;
+        let slack = self.rules.tolerance * 2;
         let Some(message) = self.messages.get(id) else { return };
         let (asked, dispatcher, fresh) = (message.asked, message.dispatcher, message.fresh);
         let killed = self.lives.get(&dispatcher).is_some_and(|lives| {
@@ -439,15 +458,15 @@
     }
 
     fn drained(&mut self, dispatcher: usize, endpoint: &str, first: Micros) {
-        let limit = self.rules.drain + self.rules.slack;
+        let limit = self.rules.drain_grace + self.rules.tolerance;
         let told = self.drains.get(&(dispatcher, endpoint.to_string())).copied();
         // Told by the clock alone, unless the platform was silent meanwhile.
         let by_clock =
             self.pending.iter().rev().find(|(_, changed, _)| changed == endpoint).and_then(|change| {
-                let due = change.0 + self.rules.told_by;
+                let due = change.0 + self.rules.max_update_delay;
                 let silent =
                     self.silences.iter().any(|(from, to)| *from < due && to.is_none_or(|to| to > change.0));
-                (change.2 != Listed::Up && !silent).then_some(due)
+                (change.2 != EndpointState::Up && !silent).then_some(due)
             });
         let Some(told) = told.into_iter().chain(by_clock).min() else { return };
         if first > told + limit {
@@ -460,15 +479,15 @@
         }
     }
 
-    fn told(&mut self, at: Micros, dispatcher: usize, endpoint: &str, state: Listed) {
+    fn told(&mut self, at: Micros, dispatcher: usize, endpoint: &str, state: EndpointState) {
         let key = (dispatcher, endpoint.to_string());
         match state {
-            Listed::Up => {
+            EndpointState::Up => {
                 self.drains.remove(&key);
                 // Listed anew: what was said of it before holds no longer.
                 self.pending.retain(|(changed, name, _)| name != endpoint || *changed > at);
             }
-            Listed::Draining | Listed::Removed => {
+            EndpointState::Draining | EndpointState::Removed => {
                 self.drains.entry(key).or_insert(at);
             }
         }
@@ -477,7 +496,7 @@
     fn waited(&mut self, at: Micros, dispatcher: usize, dest: u32) {
         let started =
             self.lives.get(&dispatcher).and_then(|lives| lives.started.last()).copied().unwrap_or(0);
-        let grace = self.rules.wait_grace + self.rules.slack;
+        let grace = self.rules.retry_after_grace + self.rules.tolerance;
         let Some(waits) = self.waits.get_mut(&(dispatcher, dest)) else { return };
         waits.retain(|(told, until)| *until > at && *told >= started);
         let Some((told, until)) = waits.iter().find(|(told, _)| at > *told + grace).copied() else { return };
@@ -487,27 +506,30 @@
             seconds(until),
             seconds(at)
         );
-        self.breach(Rule::Wait, format!("destination {dest}"), at, text);
+        self.breach(Rule::RetryAfter, format!("destination {dest}"), at, text);
     }
 
     /// A call or probe that pushes a place that may be cold.
     fn arrived(&mut self, at: Micros, dispatcher: usize, dest: u32) {
         let rules = &self.rules;
-        let Some(capacity) = rules.places.iter().find(|p| p.dest == dest).map(|p| p.capacity) else { return };
+        let Some(capacity) = rules.capacities.iter().find(|p| p.destination == dest).map(|p| p.capacity)
+        else {
+            return;
+        };
         let Some(outage) = self.outages.get_mut(&dest).and_then(|all| all.last_mut()) else { return };
         let Some(back) = outage.back else { return };
-        if at > back + rules.cold || outage.judged {
+        if at > back + rules.warm_up || outage.judged {
             return;
         }
         outage.arrivals.push((at, dispatcher));
         // Over the window that ends now, or the first one where less time has passed.
-        let from = at.saturating_sub(rules.fall).max(back);
+        let from = at.saturating_sub(rules.overload_time).max(back);
         let present = |at: Micros| {
-            let warm = (at - back) as f64 / rules.cold as f64;
-            capacity * (rules.cold_share + (1.0 - rules.cold_share) * warm.min(1.0))
+            let warm = (at - back) as f64 / rules.warm_up as f64;
+            capacity * (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warm.min(1.0))
         };
-        let mean = (present(from) + present(from + rules.fall)) / 2.0;
-        let budget = rules.multiple * mean * seconds(rules.fall) + COLD_SLACK;
+        let mean = (present(from) + present(from + rules.overload_time)) / 2.0;
+        let budget = rules.overload_multiple * mean * seconds(rules.overload_time) + COLD_SLACK;
         let window = || outage.arrivals.iter().filter(|(at, _)| *at >= from);
         let pushed = window().count();
         let informed = window().filter(|(_, from)| outage.informed.contains(from)).count();
@@ -520,7 +542,7 @@
                 seconds(from),
                 seconds(at)
             );
-            self.breach(Rule::Cold, format!("destination {dest}"), at, text);
+            self.breach(Rule::ColdStart, format!("destination {dest}"), at, text);
         }
     }
 
@@ -539,25 +561,25 @@
             return self.breach(Rule::Altered, &item.id, at, text);
         };
         let (effect, window) = self.effect(message);
-        let slack = self.rules.slack;
+        let slack = self.rules.tolerance;
         let mut found = Vec::new();
         if dest != message.dest {
             let text =
                 format!("for destination {}, sent to {endpoint} of {dest} in call {call}", message.dest);
             found.push((Rule::Altered, text));
         }
-        if item.key != message.key || item.body != message.body {
+        if item.key != message.key || item.body_digest != message.body {
             found.push((Rule::Altered, format!("its key or body was changed in call {call} to {endpoint}")));
         }
         if let Some((when, status @ (429 | 503))) = message.status {
             let text = format!("refused with {status} at {:.3}, but sent in call {call}", seconds(when));
-            found.push((Rule::Answer, text));
+            found.push((Rule::SingleAnswer, text));
         }
         if let Some((when, outcome, _)) =
             message.notices.iter().find(|(when, _, status)| *status == 204 && at > *when + slack)
         {
             let text = format!("ended by {outcome:?} at {:.3}, but sent in call {call}", seconds(*when));
-            found.push((Rule::Answer, text));
+            found.push((Rule::SingleAnswer, text));
         }
         if let Some(first) = message.may_have_run {
             match effect {
@@ -566,7 +588,7 @@
                         "not to be repeated, it may have run at {:.3}, and went out again in call {call} to {endpoint}",
                         seconds(first)
                     );
-                    found.push((Rule::Twice, text));
+                    found.push((Rule::Duplicate, text));
                 }
                 Effect::Keyed if at > first + window + slack => {
                     let text = format!(
@@ -574,12 +596,12 @@
                         seconds(window),
                         seconds(first)
                     );
-                    found.push((Rule::Twice, text));
+                    found.push((Rule::Duplicate, text));
                 }
                 Effect::Keyed | Effect::Safe => {}
             }
         }
-        let doubled = found.iter().any(|(rule, _)| *rule == Rule::Twice);
+        let doubled = found.iter().any(|(rule, _)| *rule == Rule::Duplicate);
         for (rule, text) in found {
             self.breach(rule, &item.id, at, text);
         }
@@ -613,15 +635,17 @@
         message.effects += u32::from(effect);
         let (count, doubled) = (message.effects, message.doubled);
         let (class, _) =
-            self.rules.classes.get(message.class).map_or((Effect::Unsafe, 0), |c| (c.effect, c.window));
+            self.rules.classes.get(message.class).map_or((Effect::Unsafe, 0), |c| (c.effect, c.key_window));
         if effect && count > 1 && class != Effect::Safe && !doubled {
             message.doubled = true;
             let text = format!("took effect {count} times, the last time in call {call}");
-            self.breach(Rule::Twice, id, at, text);
+            self.breach(Rule::Duplicate, id, at, text);
         }
     }
 
-    fn ended(&mut self, at: Micros, number: u64, how: End, fates: &[Fate], wait: Option<Micros>) {
+    fn ended(
+        &mut self, at: Micros, number: u64, how: CallEnd, fates: &[MessageResult], wait: Option<Micros>,
+    ) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         if call.ended.is_some() {
             return;
@@ -631,42 +655,44 @@
         if let Some(wait) = wait {
             self.waits.entry((dispatcher, dest)).or_default().push((at, at + wait));
         }
-        let failed = !matches!(how, End::Answered(200) | End::Cut(200) | End::Closed);
+        let failed = !matches!(how, CallEnd::Answered(200) | CallEnd::Truncated(200) | CallEnd::Closed);
         if failed {
             self.informed(at, dispatcher, dest);
         }
         // Given up for want of an answer.
-        if how == End::Closed && at > begun + self.rules.slack {
+        if how == CallEnd::Closed && at > begun + self.rules.tolerance {
             self.informed(at, dispatcher, dest);
         }
         for (i, id) in ids.iter().enumerate() {
             let fate = match (how, fates.get(i)) {
-                (End::Answered(200), Some(fate)) if ids.len() > 1 => *fate,
-                (End::Answered(200), None) if ids.len() > 1 => Fate::Failed,
+                (CallEnd::Answered(200), Some(fate)) if ids.len() > 1 => *fate,
+                (CallEnd::Answered(200), None) if ids.len() > 1 => MessageResult::Failed,
                 // A first line with 200 is true of the one message that it answers.
-                (End::Answered(200) | End::Cut(200), _) if ids.len() == 1 => Fate::Delivered,
-                (End::Answered(429 | 503 | 400 | 413), _) => Fate::Refused,
-                (End::Answered(504), _) => Fate::Spent,
-                (End::Answered(410), _) => Fate::Over,
-                _ => Fate::Failed,
+                (CallEnd::Answered(200) | CallEnd::Truncated(200), _) if ids.len() == 1 => {
+                    MessageResult::Delivered
+                }
+                (CallEnd::Answered(429 | 503 | 400 | 413), _) => MessageResult::Rejected,
+                (CallEnd::Answered(504), _) => MessageResult::AttemptsExhausted,
+                (CallEnd::Answered(410), _) => MessageResult::Expired,
+                _ => MessageResult::Failed,
             };
             self.settle(at, number, id, fate);
             self.crossed(at, number, id, how);
         }
     }
 
-    fn settle(&mut self, at: Micros, number: u64, id: &str, fate: Fate) {
+    fn settle(&mut self, at: Micros, number: u64, id: &str, fate: MessageResult) {
         let calls = &self.calls;
         let Some(message) = self.messages.get_mut(id) else { return };
         match fate {
-            Fate::Delivered => message.delivered = message.delivered.or(Some(at)),
+            MessageResult::Delivered => message.delivered = message.delivered.or(Some(at)),
             // Nothing is owed any more.
-            Fate::Over => {
+            MessageResult::Expired => {
                 message.over = message.over.or(Some(at));
                 message.never.push(number);
             }
-            Fate::Failed => {}
-            Fate::Refused | Fate::Spent => {
+            MessageResult::Failed => {}
+            MessageResult::Rejected | MessageResult::AttemptsExhausted => {
                 // It never ran: what may have run is the first of the others.
                 message.never.push(number);
                 let others = message.calls.iter().filter(|other| !message.never.contains(other));
@@ -676,10 +702,10 @@
     }
 
     /// Whether another call of the message had begun well before this one ended.
-    fn crossed(&mut self, at: Micros, number: u64, id: &str, how: End) {
+    fn crossed(&mut self, at: Micros, number: u64, id: &str, how: CallEnd) {
         let Some(message) = self.messages.get(id) else { return };
         // The dispatcher's own close takes its time to be seen, and an answer may cross it.
-        let limit = if how == End::Closed { self.rules.slack } else { CROSSING };
+        let limit = if how == CallEnd::Closed { self.rules.tolerance } else { CROSSING };
         let Some(begun) = self.calls.get(&number).map(|call| call.at) else { return };
         let other = message.calls.iter().filter(|other| **other != number).find_map(|other| {
             let call = self.calls.get(other)?;
@@ -691,7 +717,7 @@
                 seconds(when),
                 seconds(at)
             );
-            self.breach(Rule::Parallel, id, at, text);
+            self.breach(Rule::ConcurrentAttempts, id, at, text);
         }
     }
 
@@ -705,24 +731,24 @@
         let (effect, _) = self.effect(message);
         if let Some((when, told, _)) = other {
             let text = format!("ended by {told:?} at {:.3} and by {outcome:?} once more", seconds(when));
-            self.breach(Rule::Answer, id, at, text);
+            self.breach(Rule::SingleAnswer, id, at, text);
         }
         if let (Outcome::HandedBack, Effect::Unsafe, Some(ran)) = (outcome, effect, ran) {
             let text = format!(
                 "handed back as harmless to repeat, though it may have run at {:.3} and must not be",
                 seconds(ran)
             );
-            self.breach(Rule::Twice, id, at, text);
+            self.breach(Rule::Duplicate, id, at, text);
         }
     }
 
     /// Until when the end of a message may come: no notice is overdue while its dispatcher restarts.
     fn due(&self, message: &Message) -> Micros {
         let rules = &self.rules;
-        let mut due = message.deadline + rules.answer_slack + rules.slack;
+        let mut due = message.deadline + rules.answer_grace + rules.tolerance;
         let Some(lives) = self.lives.get(&message.dispatcher) else { return due };
         for (from, ready) in &lives.restarts {
-            let until = ready.map_or(Micros::MAX, |ready| ready + rules.restart_grace + rules.slack);
+            let until = ready.map_or(Micros::MAX, |ready| ready + rules.restart_grace + rules.tolerance);
             if *from <= due && until > due {
                 due = until;
             }
@@ -736,7 +762,7 @@
         out.sort_by_key(|(number, _)| **number);
         let out: Vec<_> = out.into_iter().map(|(number, call)| (*number, call.ids.clone())).collect();
         for (number, ids) in out {
-            ids.iter().for_each(|id| self.crossed(self.done, number, id, End::Closed));
+            ids.iter().for_each(|id| self.crossed(self.done, number, id, CallEnd::Closed));
         }
         let mut found = Vec::new();
         let mut lost = HashSet::new();
@@ -797,12 +823,12 @@
             }
             let tally = self.verdict.classes.entry(class.name.clone()).or_default();
             let never = u64::from(message.calls.is_empty());
-            (tally.found, tally.untried) = (tally.found + 1, tally.untried + never);
+            (tally.recovered, tally.never_called) = (tally.recovered + 1, tally.never_called + never);
             (found, untried) = (found + 1, untried + never);
         }
         if found >= FOUND_LEAST && 2 * untried > found {
             let text = format!("of {found} that restarts found with time left, {untried} were never called");
-            self.breach(Rule::Untried, "all dispatchers", self.done, text);
+            self.breach(Rule::NeverCalled, "all dispatchers", self.done, text);
         }
     }
 
@@ -826,15 +852,15 @@
             let tally = self.verdict.classes.entry(class.name.clone()).or_default();
             tally.messages += 1;
             let taken = || ids.iter().filter(|m| m.taken());
-            tally.taken += u64::from(taken().next().is_some());
-            tally.doubled += ids.iter().filter(|m| m.doubled).count() as u64;
+            tally.accepted += u64::from(taken().next().is_some());
+            tally.duplicated += ids.iter().filter(|m| m.doubled).count() as u64;
             let effects: u32 = ids.iter().map(|m| m.effects.min(1)).sum();
-            tally.doubled_by_clients += u64::from(class.effect != Effect::Safe && effects > 1);
+            tally.duplicated_by_clients += u64::from(class.effect != Effect::Safe && effects > 1);
             let told = |outcome| taken().any(|m| m.notices.iter().any(|(_, told, _)| *told == outcome));
             if let Some(at) = taken().filter_map(|m| m.delivered).min() {
                 let latency = at.saturating_sub(ids[0].asked);
                 tally.delivered += 1;
-                tally.in_aim += u64::from(latency <= class.aim);
+                tally.within_target += u64::from(latency <= class.target_latency);
                 tally.latencies.push(latency);
             } else if told(Outcome::GivenUp) {
                 tally.given_up += 1;
@@ -842,7 +868,7 @@
                 tally.handed_back += 1;
             } else if taken().next().is_none() {
                 let refused = ids.iter().any(|m| matches!(m.status, Some((_, 429 | 503))));
-                *(if refused { &mut tally.refused } else { &mut tally.unheard }) += 1;
+                *(if refused { &mut tally.rejected } else { &mut tally.unanswered }) += 1;
             }
         }
         for id in lost {
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -5,9 +5,9 @@
 //! sustained. Latencies are taken in an open loop at half that rate.
 
 use crate::door::{Answers, asked};
-use crate::platform::{Host, Platform};
+use crate::platform::{EndpointEntry, Platform};
 use crate::process::{Process, Program, resident_kb, serves};
-use crate::record::{Listed, Recorder, Sig};
+use crate::record::{EndpointState, ProcessSignal, Recorder};
 use hdrhistogram::Histogram;
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
@@ -390,21 +390,21 @@
 
     let (listener, to) = target()?;
     let (listen, control) = (free()?, free()?);
-    let host = Host {
+    let host = EndpointEntry {
         name: "bench".into(),
-        dial: vec![to, to],
-        site: "lab".into(),
-        class: "one".into(),
-        block: 1,
-        state: Listed::Up,
-        share: 1e9,
+        addresses: vec![to, to],
+        zone: "lab".into(),
+        destination_kind: "one".into(),
+        destination: 1,
+        state: EndpointState::Up,
+        rate_limit_per_s: 1e9,
     };
     let (platform, mut notices) = Platform::new(vec![host], recorder.clone());
-    let discovery = runtime.block_on(platform.agent(1, SocketAddr::from(([127, 0, 0, 1], 0))))?;
+    let discovery = runtime.block_on(platform.start_agent(1, SocketAddr::from(([127, 0, 0, 1], 0))))?;
     let config = json!({
         "name": "bench", "listen": listen.to_string(), "control": control.to_string(), "discovery": discovery.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 16384},
-        "known": platform.known(1),
+        "known": platform.known_list(1),
         "settings": {
             "balancers": 1, "discovery": "automatic", "tick": settings.tick_ms / 1000.0, "weights": "off", "zone": 0,
             "zones": ["lab"], "kinds": ["one"],
@@ -449,7 +449,7 @@
 }
 
 fn stop(runtime: &tokio::runtime::Handle, process: &Process) {
-    process.signal(Sig::Kill);
+    process.signal(ProcessSignal::Kill);
     runtime.block_on(process.ended(Duration::from_secs(10)));
 }
 
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,10 +1,10 @@
 //! Stand-ins for clients and the front before the dispatchers: they hand messages in at their own times, wait
 //! 400 ms, and come again by habit.
 
-use crate::http::Wire;
-use crate::ledger::Ledger;
+use crate::http::HttpConnection;
+use crate::ledger::MessageRegistry;
 use crate::platform::Notice;
-use crate::record::{Effect, Micros, Outcome, Recorder, What, digest};
+use crate::record::{Effect, Event, Micros, Outcome, Recorder, digest};
 use crate::scenario::Scenario;
 use crate::script::Arrival;
 use std::collections::HashMap;
@@ -37,11 +37,11 @@
 pub struct Crowd {
     scenario: Scenario,
     recorder: Recorder,
-    ledger: Arc<Ledger>,
+    ledger: Arc<MessageRegistry>,
     at: Vec<SocketAddr>,
     /// Whom the front takes to be alive.
     alive: Mutex<Vec<bool>>,
-    kept: Vec<Mutex<Vec<Wire>>>,
+    kept: Vec<Mutex<Vec<HttpConnection>>>,
     /// Taken on, and not yet known to be over: a notice may send its client once more.
     taken: Mutex<HashMap<String, Errand>>,
     /// Errands under way.
@@ -67,7 +67,7 @@
 impl Crowd {
     /// Clients of dispatchers at these addresses.
     pub fn new(
-        scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, at: Vec<SocketAddr>,
+        scenario: Scenario, recorder: Recorder, ledger: Arc<MessageRegistry>, at: Vec<SocketAddr>,
     ) -> Arc<Crowd> {
         let count = at.len();
         Arc::new(Crowd {
@@ -213,7 +213,7 @@
         let class = &self.scenario.classes[arrival.class];
         let dest = arrival.partner as u32 + 1;
         let window = (class.window_s * 1e6) as Micros;
-        self.ledger.enter(id, dest, deadline, class.effect, window);
+        self.ledger.register(id, dest, deadline, class.effect, window);
         let patience = Duration::from_millis(self.scenario.clients.patience_ms);
         let mut fresh = false;
         loop {
@@ -221,7 +221,7 @@
             fresh = kept.is_none();
             let mut wire = match kept {
                 Some(wire) => wire,
-                None => match Wire::connect(self.at[dispatcher], patience).await {
+                None => match HttpConnection::connect(self.at[dispatcher], patience).await {
                     Ok(wire) => wire,
                     Err(_) => return Heard::Unreached,
                 },
@@ -256,22 +256,22 @@
                     }
                 }
             }
-            self.recorder.add(What::Asked {
+            self.recorder.add(Event::Submitted {
                 id: id.into(),
                 origin: arrival.id.clone(),
                 class: class.name.clone(),
-                dest,
+                destination: dest,
                 key,
                 order: None,
-                body: digest(&errand.body),
+                body_digest: digest(&errand.body),
                 deadline,
                 dispatcher,
-                fresh,
+                new_connection: fresh,
             });
-            let answer = match timeout(patience, wire.answer()).await {
+            let answer = match timeout(patience, wire.read_response()).await {
                 Ok(Ok(answer)) => answer,
                 Ok(Err(_)) => {
-                    self.recorder.add(What::Dropped { id: id.into() });
+                    self.recorder.add(Event::ConnectionLost { id: id.into() });
                     if !fresh {
                         fresh = true;
                         continue;
@@ -279,11 +279,11 @@
                     return Heard::Nothing;
                 }
                 Err(_) => {
-                    self.recorder.add(What::Left { id: id.into() });
+                    self.recorder.add(Event::ClientTimedOut { id: id.into() });
                     return Heard::Nothing;
                 }
             };
-            self.recorder.add(What::Answered { id: id.into(), status: answer.status() });
+            self.recorder.add(Event::Answered { id: id.into(), status: answer.status() });
             if !answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
                 let mut kept = lock(&self.kept[dispatcher]);
                 if kept.len() < self.scenario.clients.connections {
@@ -302,11 +302,11 @@
         }
     }
 
-    fn reuse(&self, dispatcher: usize) -> Option<Wire> {
+    fn reuse(&self, dispatcher: usize) -> Option<HttpConnection> {
         let mut kept = lock(&self.kept[dispatcher]);
         loop {
             let mut wire = kept.pop()?;
-            if !wire.spent() {
+            if !wire.is_stale() {
                 return Some(wire);
             }
         }
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -86,7 +86,7 @@
         Ok(entries) => {
             let verdict = judge(&entries);
             print!("{}{}", table::classes(&verdict), table::verdict(&verdict));
-            code(verdict.clean())
+            code(verdict.is_clean())
         }
         Err(error) => wrong(error),
     }
@@ -302,5 +302,5 @@
         println!("the fleet: {} acts under {} epochs, {} breaks", told.acts, told.epochs, told.faults.len());
         told.faults.iter().take(FAULTS_SHOWN).for_each(|fault| println!("  {fault}"));
     }
-    Ok(verdict.clean() && told.faults.is_empty())
+    Ok(verdict.is_clean() && told.faults.is_empty())
 }
--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -3,8 +3,8 @@
 //! An endpoint listens at one address for each dispatcher, so that it knows who calls. What it decides to do it
 //! does whether or not the dispatcher still listens: a call that was given up runs on.
 
-use crate::http::{self, Http, Wire};
-use crate::record::{End, Fate, Item, Recorder, What, digest};
+use crate::http::{self, HttpConnection, HttpMessage};
+use crate::record::{CallEnd, Event, Item, MessageResult, Recorder, digest};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -16,99 +16,105 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// A call that has come whole.
+/// A call that has arrived in full.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Its number, unique in the run.
     pub number: u64,
     /// The dispatcher that makes it.
     pub dispatcher: usize,
-    /// The connection it came on, counted from 0 at each endpoint.
+    /// Its connection, counted from 0 at each endpoint.
     pub connection: usize,
     /// The request.
-    pub request: Http,
-    /// What it holds; none for a probe.
+    pub request: HttpMessage,
+    /// Its messages; none for a probe.
     pub items: Vec<Item>,
     /// Whether it is a probe.
     pub probe: bool,
 }
 
-/// What an endpoint writes.
+/// What an endpoint writes in response to a call.
 #[derive(Clone, Debug)]
-pub enum How {
-    /// A whole answer: its status, header lines with their ends, its body.
-    Answer(u16, String, Vec<u8>),
-    /// The same, and the connection is closed without a word of it.
-    AnswerAndClose(u16),
+pub enum EndpointResponse {
+    /// A complete response: its status, header lines with their line ends, its body.
+    Complete(u16, String, Vec<u8>),
+    /// A complete response, after which the connection is closed without announcing it.
+    CompleteAndClose(u16),
     /// Bytes as they are, and how the call counts as ended; the connection stays open.
-    Raw(Vec<u8>, End),
-    /// The first bytes, then the second ones over and over until the other side has had enough.
+    Raw(Vec<u8>, CallEnd),
+    /// The first bytes, then the second ones repeatedly until the other side closes.
     Endless(Vec<u8>, Vec<u8>),
-    /// So many bytes of an answer with that status, then a reset.
-    Cut(u16, usize),
-    /// Closes without a word.
-    Break,
+    /// The given number of bytes of a response with that status, then a reset.
+    Truncated(u16, usize),
+    /// Closes the connection without a response.
+    Disconnect,
     /// Resets the connection.
     Reset,
-    /// Never answers; reads on until the other side closes.
+    /// Never responds; reads on until the other side closes.
     Hang,
 }
 
-/// What an endpoint does with a call.
+/// How an endpoint handles a call.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// How long it works before it writes.
-    pub after: Duration,
+    pub delay: Duration,
     /// What it writes then.
-    pub how: How,
-    /// What each message is told, where the call holds several and the answer is 200.
-    pub fates: Vec<Fate>,
-    /// The wait that the answer tells.
-    pub wait: Option<Duration>,
-    /// Which of its messages are worked on.
-    pub runs: Vec<bool>,
+    pub response: EndpointResponse,
+    /// The result of each message, where the call is a batch and the status 200.
+    pub results: Vec<MessageResult>,
+    /// The Retry-After of the response.
+    pub retry_after: Option<Duration>,
+    /// Which of the messages are processed.
+    pub processed: Vec<bool>,
 }
 
 impl Reply {
-    /// Written at once.
-    pub fn now(how: How) -> Reply {
-        Reply { after: Duration::ZERO, how, fates: Vec::new(), wait: None, runs: Vec::new() }
+    /// A response that is written at once.
+    pub fn immediate(response: EndpointResponse) -> Reply {
+        Reply {
+            delay: Duration::ZERO,
+            response,
+            results: Vec::new(),
+            retry_after: None,
+            processed: Vec::new(),
+        }
     }
 
-    /// A bare status, at once.
+    /// A response with only a status, written at once.
     pub fn status(status: u16) -> Reply {
-        Reply::now(How::Answer(status, String::new(), Vec::new()))
+        Reply::immediate(EndpointResponse::Complete(status, String::new(), Vec::new()))
     }
 
-    /// The same reply after a while.
-    pub fn late(self, after: Duration) -> Reply {
-        Reply { after, ..self }
+    /// The same reply after a delay.
+    pub fn delayed(self, delay: Duration) -> Reply {
+        Reply { delay, ..self }
     }
 }
 
 /// Decides what an endpoint does.
-pub trait Script: Send + Sync + 'static {
+pub trait CallHandler: Send + Sync + 'static {
     /// Whether the connection is reset on the next request's first bytes, which then never runs.
     fn resets_request(&self) -> bool {
         false
     }
     /// A call has come whole.
-    fn begin(&self, call: &Call) -> Reply;
+    fn handle(&self, call: &Call) -> Reply;
     /// Its work is done, whatever becomes of its answer.
-    fn worked(&self, _call: &Call, _reply: &Reply) {}
+    fn processed(&self, _call: &Call, _reply: &Reply) {}
     /// Its answer is written, or its connection has ended.
-    fn over(&self, _call: &Call, _reply: &Reply) {}
+    fn finished(&self, _call: &Call, _reply: &Reply) {}
 }
 
-impl<F: Fn(&Call) -> Reply + Send + Sync + 'static> Script for F {
-    fn begin(&self, call: &Call) -> Reply {
+impl<F: Fn(&Call) -> Reply + Send + Sync + 'static> CallHandler for F {
+    fn handle(&self, call: &Call) -> Reply {
         self(call)
     }
 }
 
 /// How an endpoint's sockets behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door {
+pub enum SocketState {
     /// As usual.
     Open,
     /// Open connections are reset, new ones refused: the process is gone.
@@ -122,36 +128,36 @@
 #[derive(Default)]
 pub struct Counters {
     /// Connections that were accepted.
-    pub connections: AtomicUsize,
+    pub accepted_connections: AtomicUsize,
     /// Connections that have ended.
-    pub ended: AtomicUsize,
+    pub closed_connections: AtomicUsize,
     /// Calls that the other side gave up.
-    pub given_up: AtomicUsize,
+    pub abandoned_calls: AtomicUsize,
 }
 
-/// Traits of an endpoint.
+/// ConnectionLimits of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Traits {
+pub struct ConnectionLimits {
     /// It closes a connection that has been idle for so long.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
     /// It holds so many connections; calls on more are turned away with 503.
-    pub connections: usize,
+    pub max_connections: usize,
 }
 
-impl Default for Traits {
-    fn default() -> Traits {
-        Traits { idle: None, connections: usize::MAX }
+impl Default for ConnectionLimits {
+    fn default() -> ConnectionLimits {
+        ConnectionLimits { idle_timeout: None, max_connections: usize::MAX }
     }
 }
 
 struct Shared {
     name: String,
     dest: u32,
-    traits: Traits,
-    script: Box<dyn Script>,
+    traits: ConnectionLimits,
+    script: Box<dyn CallHandler>,
     recorder: Recorder,
     numbers: Arc<AtomicU64>,
-    door: watch::Sender<Door>,
+    door: watch::Sender<SocketState>,
     counters: Counters,
 }
 
@@ -159,7 +165,8 @@
     /// Connections that are open.
     fn open(&self) -> usize {
         let counters = &self.counters;
-        counters.connections.load(Ordering::SeqCst) - counters.ended.load(Ordering::SeqCst)
+        counters.accepted_connections.load(Ordering::SeqCst)
+            - counters.closed_connections.load(Ordering::SeqCst)
     }
 }
 
@@ -200,8 +207,8 @@
     /// # Errors
     /// Those of listening.
     pub async fn start(
-        name: &str, dest: u32, at: &[SocketAddr], traits: Traits, script: impl Script, recorder: Recorder,
-        numbers: Arc<AtomicU64>,
+        name: &str, dest: u32, at: &[SocketAddr], traits: ConnectionLimits, script: impl CallHandler,
+        recorder: Recorder, numbers: Arc<AtomicU64>,
     ) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             name: name.into(),
@@ -210,7 +217,7 @@
             script: Box::new(script),
             recorder,
             numbers,
-            door: watch::Sender::new(Door::Open),
+            door: watch::Sender::new(SocketState::Open),
             counters: Counters::default(),
         });
         let mut endpoint = Endpoint { shared, at: BTreeMap::new(), listening: Mutex::default() };
@@ -231,12 +238,12 @@
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
-                let connection = shared.counters.connections.fetch_add(1, Ordering::SeqCst);
-                let extra = shared.open() > shared.traits.connections;
+                let connection = shared.counters.accepted_connections.fetch_add(1, Ordering::SeqCst);
+                let extra = shared.open() > shared.traits.max_connections;
                 let (from, shared) = (From { dispatcher, connection, extra }, shared.clone());
                 tokio::spawn(async move {
                     connected(&shared, from, stream).await;
-                    shared.counters.ended.fetch_add(1, Ordering::SeqCst);
+                    shared.counters.closed_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
@@ -244,7 +251,7 @@
     }
 
     /// Where it listens for a dispatcher.
-    pub fn at(&self, dispatcher: usize) -> Option<SocketAddr> {
+    pub fn address(&self, dispatcher: usize) -> Option<SocketAddr> {
         self.at.get(&dispatcher).copied()
     }
 
@@ -262,15 +269,15 @@
     ///
     /// # Errors
     /// Those of listening anew.
-    pub async fn set_door(&self, door: Door) -> io::Result<()> {
+    pub async fn set_socket_state(&self, door: SocketState) -> io::Result<()> {
         let was = self.shared.door.send_replace(door);
         if was == door {
             return Ok(());
         }
-        if door == Door::Refusing {
+        if door == SocketState::Refusing {
             self.stop_listening();
         }
-        if was == Door::Refusing {
+        if was == SocketState::Refusing {
             for (dispatcher, at) in &self.at {
                 self.accept(*dispatcher, listen(*at).await?);
             }
@@ -287,16 +294,16 @@
 impl Drop for Endpoint {
     fn drop(&mut self) {
         self.stop_listening();
-        self.shared.door.send_replace(Door::Refusing);
+        self.shared.door.send_replace(SocketState::Refusing);
     }
 }
 
 async fn connected(shared: &Arc<Shared>, from: From, stream: TcpStream) {
     let mut door = shared.door.subscribe();
     door.mark_unchanged();
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     loop {
-        if *door.borrow() != Door::Open {
+        if *door.borrow() != SocketState::Open {
             break;
         }
         let later = door.clone();
@@ -312,7 +319,7 @@
         }
     }
     // A machine that is gone leaves its connections open until it is back.
-    let _ = door.wait_for(|door| *door != Door::Silent).await;
+    let _ = door.wait_for(|door| *door != SocketState::Silent).await;
     wire.reset();
 }
 
@@ -333,19 +340,24 @@
 }
 
 impl Ending<'_> {
-    fn tell(&mut self, how: End) {
+    fn tell(&mut self, how: CallEnd) {
         if std::mem::replace(&mut self.told, true) {
             return;
         }
-        self.shared.script.over(self.call, self.reply);
+        self.shared.script.finished(self.call, self.reply);
         if !self.call.probe {
             let late = self.written.map_or(0, |at| self.shared.recorder.now().saturating_sub(at));
-            let wait = self.reply.wait.map(|wait| (wait.as_micros() as u64).saturating_sub(late));
+            let wait = self.reply.retry_after.map(|wait| (wait.as_micros() as u64).saturating_sub(late));
             let (wait, fates) = match how {
-                End::Answered(_) => (wait, self.reply.fates.clone()),
+                CallEnd::Answered(_) => (wait, self.reply.results.clone()),
                 _ => (None, Vec::new()),
             };
-            self.shared.recorder.add(What::Ended { call: self.call.number, how, fates, wait });
+            self.shared.recorder.add(Event::CallEnded {
+                call: self.call.number,
+                end: how,
+                results: fates,
+                retry_after: wait,
+            });
         }
     }
 }
@@ -353,53 +365,55 @@
 impl Drop for Ending<'_> {
     fn drop(&mut self) {
         // The endpoint itself went down under it.
-        self.tell(End::Broken);
+        self.tell(CallEnd::Broken);
     }
 }
 
 /// One call on a connection.
-async fn one(shared: &Arc<Shared>, from: From, wire: &mut Wire, mut door: watch::Receiver<Door>) -> Next {
+async fn one(
+    shared: &Arc<Shared>, from: From, wire: &mut HttpConnection, mut door: watch::Receiver<SocketState>,
+) -> Next {
     if shared.script.resets_request() {
-        let limit = shared.traits.idle.unwrap_or(Duration::from_secs(3600));
-        return match timeout(limit, wire.piece()).await {
+        let limit = shared.traits.idle_timeout.unwrap_or(Duration::from_secs(3600));
+        return match timeout(limit, wire.read_available()).await {
             Ok(Ok(piece)) if !piece.is_empty() => Next::Reset,
             _ => Next::Close,
         };
     }
-    let request = match shared.traits.idle {
-        Some(idle) => match timeout(idle, wire.request()).await {
+    let request = match shared.traits.idle_timeout {
+        Some(idle) => match timeout(idle, wire.read_request()).await {
             Ok(request) => request,
             Err(_) => return Next::Close,
         },
-        None => wire.request().await,
+        None => wire.read_request().await,
     };
     let Ok(Some(request)) = request else { return Next::Close };
-    let probe = request.first.starts_with("GET ");
+    let probe = request.start_line.starts_with("GET ");
     let items = if probe { Some(Vec::new()) } else { items(&request) };
     let Some(items) = items else {
-        let written = wire.write(&http::answer(400, "", b"")).await;
+        let written = wire.write(&http::response_bytes(400, "", b"")).await;
         return if written.is_ok() { Next::Another } else { Next::Close };
     };
     let From { dispatcher, connection, extra } = from;
-    let first = shared.recorder.at(request.begun);
+    let first = shared.recorder.micros_at(request.first_byte_at);
     let number = shared.numbers.fetch_add(1, Ordering::SeqCst);
     let call = Call { number, dispatcher, connection, request, items, probe };
     if !probe {
-        shared.recorder.add(What::Call {
+        shared.recorder.add(Event::Call {
             call: number,
             endpoint: shared.name.clone(),
-            dest: shared.dest,
+            destination: shared.dest,
             dispatcher,
-            first,
+            first_byte_at: first,
             items: call.items.clone(),
         });
     }
-    let full = extra && shared.open() > shared.traits.connections;
-    let reply = if full { Reply::status(503) } else { shared.script.begin(&call) };
+    let full = extra && shared.open() > shared.traits.max_connections;
+    let reply = if full { Reply::status(503) } else { shared.script.handle(&call) };
     if probe {
-        let well = matches!(reply.how, How::Answer(200, ..));
+        let well = matches!(reply.response, EndpointResponse::Complete(200, ..));
         let (endpoint, dest) = (shared.name.clone(), shared.dest);
-        shared.recorder.add(What::Probe { endpoint, dest, dispatcher, well });
+        shared.recorder.add(Event::Probe { endpoint, destination: dest, dispatcher, healthy: well });
     }
     let mut ending = Ending { shared, call: &call, reply: &reply, told: false, written: None };
     let work = Work {
@@ -407,22 +421,22 @@
         call: Some((call.clone(), reply.clone())),
         started: std::time::Instant::now(),
     };
-    if !reply.after.is_zero() {
+    if !reply.delay.is_zero() {
         tokio::select! {
             biased;
-            () = wire.closed() => {
-                ending.tell(End::Closed);
-                shared.counters.given_up.fetch_add(1, Ordering::SeqCst);
+            () = wire.wait_closed() => {
+                ending.tell(CallEnd::Closed);
+                shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
                 // It runs on though nobody listens.
                 work.run_on(&mut door);
                 return Next::Close;
             }
-            () = sleep(reply.after) => {}
+            () = sleep(reply.delay) => {}
         }
     }
     work.done();
     ending.written = Some(shared.recorder.now());
-    let (how, next) = write(shared, wire, &reply.how).await;
+    let (how, next) = write(shared, wire, &reply.response).await;
     ending.tell(how);
     next
 }
@@ -437,13 +451,13 @@
 impl Work {
     fn done(mut self) {
         if let Some((call, reply)) = self.call.take() {
-            self.shared.script.worked(&call, &reply);
+            self.shared.script.processed(&call, &reply);
         }
     }
 
-    fn run_on(self, door: &mut watch::Receiver<Door>) {
+    fn run_on(self, door: &mut watch::Receiver<SocketState>) {
         let Some(left) =
-            self.call.as_ref().map(|(_, reply)| reply.after.saturating_sub(self.started.elapsed()))
+            self.call.as_ref().map(|(_, reply)| reply.delay.saturating_sub(self.started.elapsed()))
         else {
             return;
         };
@@ -451,30 +465,32 @@
         tokio::spawn(async move {
             tokio::select! {
                 () = sleep(left) => self.done(),
-                _ = door.wait_for(|door| *door == Door::Refusing) => {}
+                _ = door.wait_for(|door| *door == SocketState::Refusing) => {}
             }
         });
     }
 }
 
-async fn write(shared: &Shared, wire: &mut Wire, how: &How) -> (End, Next) {
-    let after = |written: io::Result<()>, end: End, next: Next| match written {
+async fn write(shared: &Shared, wire: &mut HttpConnection, how: &EndpointResponse) -> (CallEnd, Next) {
+    let after = |written: io::Result<()>, end: CallEnd, next: Next| match written {
         Ok(()) => (end, next),
-        Err(_) => (End::Closed, Next::Close),
+        Err(_) => (CallEnd::Closed, Next::Close),
     };
     match how {
-        How::Answer(status, headers, body) => {
-            let written = wire.write(&http::answer(*status, headers, body)).await;
-            after(written, End::Answered(*status), Next::Another)
-        }
-        How::AnswerAndClose(status) => {
-            after(wire.write(&http::answer(*status, "", b"")).await, End::Answered(*status), Next::Close)
+        EndpointResponse::Complete(status, headers, body) => {
+            let written = wire.write(&http::response_bytes(*status, headers, body)).await;
+            after(written, CallEnd::Answered(*status), Next::Another)
         }
-        How::Raw(bytes, end) => after(wire.write(bytes).await, *end, Next::Another),
-        How::Endless(start, more) => {
+        EndpointResponse::CompleteAndClose(status) => after(
+            wire.write(&http::response_bytes(*status, "", b"")).await,
+            CallEnd::Answered(*status),
+            Next::Close,
+        ),
+        EndpointResponse::Raw(bytes, end) => after(wire.write(bytes).await, *end, Next::Another),
+        EndpointResponse::Endless(start, more) => {
             let end = match status(start) {
-                Some(status) => End::Cut(status),
-                None => End::Broken,
+                Some(status) => CallEnd::Truncated(status),
+                None => CallEnd::Broken,
             };
             let mut written = wire.write(start).await;
             while written.is_ok() {
@@ -482,25 +498,25 @@
                 // So that others get their turn.
                 tokio::task::yield_now().await;
             }
-            shared.counters.given_up.fetch_add(1, Ordering::SeqCst);
+            shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
             (end, Next::Close)
         }
-        How::Cut(status, at) => {
-            let whole = http::answer(*status, "", b"the rest of it never comes\n");
+        EndpointResponse::Truncated(status, at) => {
+            let whole = http::response_bytes(*status, "", b"the rest of it never comes\n");
             let line = whole.iter().position(|byte| *byte == b'\n').unwrap_or(0);
-            let end = if *at > line { End::Cut(*status) } else { End::Broken };
+            let end = if *at > line { CallEnd::Truncated(*status) } else { CallEnd::Broken };
             let piece = &whole[..(*at).min(whole.len() - 1)];
             let written = wire.write(piece).await;
             // A reset takes along what the other side has not read yet.
             sleep(Duration::from_millis(5)).await;
             after(written, end, Next::Reset)
         }
-        How::Break => (End::Broken, Next::Close),
-        How::Reset => (End::Broken, Next::Reset),
-        How::Hang => {
-            wire.drain().await;
-            shared.counters.given_up.fetch_add(1, Ordering::SeqCst);
-            (End::Closed, Next::Close)
+        EndpointResponse::Disconnect => (CallEnd::Broken, Next::Close),
+        EndpointResponse::Reset => (CallEnd::Broken, Next::Reset),
+        EndpointResponse::Hang => {
+            wire.discard_until_closed().await;
+            shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
+            (CallEnd::Closed, Next::Close)
         }
     }
 }
@@ -513,13 +529,13 @@
 }
 
 /// The messages of a call; none where it can't be read.
-fn items(request: &Http) -> Option<Vec<Item>> {
+fn items(request: &HttpMessage) -> Option<Vec<Item>> {
     let ("POST", path) = request.target() else { return None };
     match path {
         "/receive" => {
             let id = request.header("request-id")?.to_string();
             let key = request.header("idempotency-key").map(Into::into);
-            Some(vec![Item { id, key, body: digest(&request.body) }])
+            Some(vec![Item { id, key, body_digest: digest(&request.body) }])
         }
         "/receive-many" => {
             let (mut rest, mut items) = (&request.body[..], Vec::<Item>::new());
@@ -535,7 +551,7 @@
                     return None;
                 }
                 let key = Some(key).filter(|key| *key != "-").map(Into::into);
-                items.push(Item { id: id.into(), key, body: digest(body) });
+                items.push(Item { id: id.into(), key, body_digest: digest(body) });
             }
             Some(items).filter(|items| !items.is_empty())
         }
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -1,137 +1,150 @@
-//! A fleet's history, from the logs of its processes, and what is wrong with it. Goes by what they wrote, with the times
-//! of the machine's one clock; shares nothing with what it checks.
+//! The history of a fleet, read from the logs of its dispatchers, and the violations in it. The check relies only on
+//! the log lines, with times of the machine's one clock, and shares no code with the program that it checks.
 
 use std::collections::BTreeMap;
 
-/// One line of a history.
+/// One log line about the fleet.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Line {
-    /// A process has begun as a member, and learns the log anew.
-    Began,
-    /// It looked at its clock and acted as the holder of a duty.
-    Acted {
-        /// When it looked, in seconds.
+pub enum LogLine {
+    /// A process has started as a member and reads the log from its beginning.
+    ProcessStarted,
+    /// The process read its clock and acted as the holder of a duty.
+    DutyAction {
+        /// When it read the clock, in seconds.
         at: f64,
         /// The duty.
         duty: String,
-        /// Under this epoch.
+        /// The epoch under which it acted.
         epoch: u64,
     },
-    /// It learnt that a duty was given.
-    Given {
-        /// When it learnt that.
+    /// The process learned that a duty was granted.
+    DutyGranted {
+        /// When it learned that, in seconds.
         at: f64,
         /// The duty.
         duty: String,
-        /// Under this epoch.
+        /// The epoch of the grant.
         epoch: u64,
-        /// To this birth, or `nobody`.
-        to: String,
+        /// The member instance that holds the duty, or `nobody`.
+        holder: String,
     },
-    /// It learnt of a holder's word.
-    Told {
+    /// The process received a statement of a duty's holder.
+    StatementReceived {
         /// The duty.
         duty: String,
-        /// Under this epoch.
+        /// The epoch under which the statement was made.
         epoch: u64,
     },
 }
 
-/// Reads one line of a dispatcher's log; nothing where it tells nothing of a fleet.
-pub fn read(line: &str) -> Option<Line> {
+/// Parses one line of a dispatcher's log; `None` where it is not about the fleet.
+pub fn parse_line(line: &str) -> Option<LogLine> {
     let words: Vec<&str> = line.strip_prefix("fleet: ")?.split_whitespace().collect();
     match *words.as_slice() {
-        [.., "birth", _, "life", _] => Some(Line::Began),
+        [.., "birth", _, "life", _] => Some(LogLine::ProcessStarted),
         [at, "acts", duty, "epoch", epoch] => {
-            Some(Line::Acted { at: at.parse().ok()?, duty: duty.into(), epoch: epoch.parse().ok()? })
+            Some(LogLine::DutyAction { at: at.parse().ok()?, duty: duty.into(), epoch: epoch.parse().ok()? })
         }
-        [at, "given", duty, "epoch", epoch, "to", to] => {
+        [at, "given", duty, "epoch", epoch, "to", holder] => {
             let (at, epoch) = (at.parse().ok()?, epoch.parse().ok()?);
-            Some(Line::Given { at, duty: duty.into(), epoch, to: to.into() })
+            Some(LogLine::DutyGranted { at, duty: duty.into(), epoch, holder: holder.into() })
         }
         [_, "told", duty, "epoch", epoch, ..] => {
-            Some(Line::Told { duty: duty.into(), epoch: epoch.parse().ok()? })
+            Some(LogLine::StatementReceived { duty: duty.into(), epoch: epoch.parse().ok()? })
         }
         _ => None,
     }
 }
 
-/// What is wrong with the histories of a fleet's processes, by their names.
-pub fn faults(histories: &BTreeMap<String, Vec<Line>>) -> Vec<String> {
-    let mut faults = Vec::new();
-    // The first act under each epoch of a duty, and by whom.
-    let mut first: BTreeMap<(&str, u64), (f64, &str)> = BTreeMap::new();
-    let acts = histories.iter().flat_map(|(name, lines)| lines.iter().map(move |line| (&**name, line)));
-    for (name, line) in acts.clone() {
-        if let Line::Acted { at, duty, epoch } = line {
-            let known = first.entry((duty, *epoch)).or_insert((*at, name));
+/// Returns the violations in the histories of a fleet's dispatchers, which are given by name:
+/// - an epoch of a duty under which two dispatchers acted,
+/// - an action under an epoch after another dispatcher had acted under a later one,
+/// - grants on whose holder two dispatchers disagree,
+/// - a statement that a process accepted after it knew of a later epoch.
+pub fn find_violations(histories: &BTreeMap<String, Vec<LogLine>>) -> Vec<String> {
+    let mut violations = Vec::new();
+    // The time of the first action under each epoch of a duty, and the dispatcher that acted.
+    let mut first_actions: BTreeMap<(&str, u64), (f64, &str)> = BTreeMap::new();
+    let all_lines = histories.iter().flat_map(|(name, lines)| lines.iter().map(move |line| (&**name, line)));
+    for (name, line) in all_lines.clone() {
+        if let LogLine::DutyAction { at, duty, epoch } = line {
+            let known = first_actions.entry((duty, *epoch)).or_insert((*at, name));
             if known.1 != name {
-                faults.push(format!("{duty} {epoch} is of two: {} and {name}", known.1));
+                violations.push(format!("{duty} {epoch} is held by two: {} and {name}", known.1));
             }
             known.0 = known.0.min(*at);
         }
     }
-    for (name, line) in acts {
-        let Line::Acted { at, duty, epoch } = line else { continue };
-        let later = first.range((&**duty, epoch + 1)..=(&**duty, u64::MAX));
-        for ((_, next), (when, who)) in later.filter(|(_, (when, _))| when < at) {
-            faults.push(format!(
-                "{at:.4} {name} acts as {duty} {epoch}, {who} acted under {next} at {when:.4}"
+    for (name, line) in all_lines {
+        let LogLine::DutyAction { at, duty, epoch } = line else { continue };
+        let later = first_actions.range((&**duty, epoch + 1)..=(&**duty, u64::MAX));
+        for ((_, later_epoch), (first_at, other)) in later.filter(|(_, (first_at, _))| first_at < at) {
+            violations.push(format!(
+                "{at:.4} {name} acts as {duty} {epoch}, {other} acted under {later_epoch} at {first_at:.4}"
             ));
         }
     }
     let mut holders: BTreeMap<u64, (&str, &str)> = BTreeMap::new();
     for (name, lines) in histories {
-        let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut latest_epochs: BTreeMap<&str, u64> = BTreeMap::new();
         for line in lines {
             match line {
-                Line::Began => latest.clear(),
-                Line::Given { duty, epoch, to, .. } => {
-                    let known = holders.entry(*epoch).or_insert((duty, to));
-                    if *known != (&**duty, &**to) {
-                        faults.push(format!("{name} learns that {duty} {epoch} is {to}'s, others {known:?}"));
+                LogLine::ProcessStarted => latest_epochs.clear(),
+                LogLine::DutyGranted { duty, epoch, holder, .. } => {
+                    let known = holders.entry(*epoch).or_insert((duty, holder));
+                    if *known != (&**duty, &**holder) {
+                        violations.push(format!(
+                            "{name} records {holder} as holder of {duty} {epoch}, others {known:?}"
+                        ));
                     }
-                    let last = latest.entry(duty).or_default();
+                    let last = latest_epochs.entry(duty).or_default();
                     *last = (*last).max(*epoch);
                 }
-                Line::Told { duty, epoch } if latest.get(&**duty).is_some_and(|last| epoch < last) => {
-                    faults.push(format!("{name} accepts a word of {duty} {epoch} after {}", latest[&**duty]));
+                LogLine::StatementReceived { duty, epoch }
+                    if latest_epochs.get(&**duty).is_some_and(|last| epoch < last) =>
+                {
+                    violations.push(format!(
+                        "{name} accepts a statement of {duty} {epoch} after {}",
+                        latest_epochs[&**duty]
+                    ));
                 }
-                Line::Told { .. } | Line::Acted { .. } => {}
+                LogLine::StatementReceived { .. } | LogLine::DutyAction { .. } => {}
             }
         }
     }
-    faults
+    violations
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn found(histories: &[(&str, &[&str])]) -> Vec<String> {
-        let lines = |lines: &[&str]| lines.iter().filter_map(|line| read(line)).collect();
-        faults(&histories.iter().map(|(name, text)| (name.to_string(), lines(text))).collect())
+    fn violations_in(histories: &[(&str, &[&str])]) -> Vec<String> {
+        let parse_all = |lines: &[&str]| lines.iter().filter_map(|line| parse_line(line)).collect();
+        find_violations(&histories.iter().map(|(name, text)| (name.to_string(), parse_all(text))).collect())
     }
 
     #[test]
-    fn a_history_with_a_break_in_it_is_found() {
+    fn violations_in_a_history_are_found() {
         let a = [
             "fleet: a of m, birth 0a, life 1",
             "fleet: 1.0 given keeper epoch 1 to 0a",
             "fleet: 1.1 acts keeper epoch 1",
         ];
         let b = ["fleet: 5.0 given keeper epoch 2 to 0b", "fleet: 5.1 acts keeper epoch 2", "noise"];
-        assert_eq!(found(&[("a", &a), ("b", &b)]), Vec::<String>::new());
-        let late = [&a[..], &["fleet: 5.2 acts keeper epoch 1"]].concat();
-        assert!(found(&[("a", &late), ("b", &b)])[0].contains("acts as keeper 1, b acted under 2"));
-        let two = [&a[..], &["fleet: 5.05 acts keeper epoch 2"]].concat();
-        assert!(found(&[("a", &two), ("b", &b)])[0].contains("is of two"));
-        let old = [&b[..], &["fleet: 5.3 told keeper epoch 1 Out"]].concat();
-        assert!(found(&[("b", &old)])[0].contains("accepts a word"));
-        let anew =
+        assert_eq!(violations_in(&[("a", &a), ("b", &b)]), Vec::<String>::new());
+        let late_action = [&a[..], &["fleet: 5.2 acts keeper epoch 1"]].concat();
+        assert!(
+            violations_in(&[("a", &late_action), ("b", &b)])[0].contains("acts as keeper 1, b acted under 2")
+        );
+        let shared_epoch = [&a[..], &["fleet: 5.05 acts keeper epoch 2"]].concat();
+        assert!(violations_in(&[("a", &shared_epoch), ("b", &b)])[0].contains("is held by two"));
+        let old_statement = [&b[..], &["fleet: 5.3 told keeper epoch 1 Out"]].concat();
+        assert!(violations_in(&[("b", &old_statement)])[0].contains("accepts a statement"));
+        let after_restart =
             [&b[..], &["fleet: b of m, birth 0b, life 2", "fleet: 6.0 told keeper epoch 1 Out"]].concat();
-        assert_eq!(found(&[("b", &anew)]), Vec::<String>::new());
-        let other = ["fleet: 5.0 given keeper epoch 2 to 0c"];
-        assert!(found(&[("a", &other), ("b", &b)])[0].contains("others"));
+        assert_eq!(violations_in(&[("b", &after_restart)]), Vec::<String>::new());
+        let other_holder = ["fleet: 5.0 given keeper epoch 2 to 0c"];
+        assert!(violations_in(&[("a", &other_holder), ("b", &b)])[0].contains("others"));
     }
 }
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -15,28 +15,28 @@
 
 /// A request or an answer.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpMessage {
     /// Its first line, without the line's end.
-    pub first: String,
+    pub start_line: String,
     /// Its headers, names in lower case.
     pub headers: Vec<(String, String)>,
     /// Its body, by Content-Length or in chunks.
     pub body: Vec<u8>,
     /// When its first byte was there.
-    pub begun: Instant,
+    pub first_byte_at: Instant,
     /// When its last byte was there.
-    pub whole: Instant,
+    pub last_byte_at: Instant,
 }
 
-impl Http {
+impl HttpMessage {
     /// The status of an answer; 0 where it has none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
     /// A request's method and its path.
     pub fn target(&self) -> (&str, &str) {
-        let mut words = self.first.split(' ');
+        let mut words = self.start_line.split(' ');
         (words.next().unwrap_or_default(), words.next().unwrap_or_default())
     }
 
@@ -52,7 +52,7 @@
 }
 
 /// A connection, read through a buffer.
-pub struct Wire {
+pub struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
@@ -61,25 +61,25 @@
     io::Error::new(io::ErrorKind::InvalidData, text)
 }
 
-impl Wire {
+impl HttpConnection {
     /// Wraps a connection.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         // It only costs time where it can't be set.
         let _ = stream.set_nodelay(true);
-        Wire { stream, buffer: Vec::new() }
+        HttpConnection { stream, buffer: Vec::new() }
     }
 
     /// Opens a connection.
     ///
     /// # Errors
     /// Those of connecting; `TimedOut` after `limit`.
-    pub async fn connect(at: SocketAddr, limit: Duration) -> io::Result<Wire> {
+    pub async fn connect(at: SocketAddr, limit: Duration) -> io::Result<HttpConnection> {
         let stream = tokio::time::timeout(limit, TcpStream::connect(at)).await??;
-        Ok(Wire::new(stream))
+        Ok(HttpConnection::new(stream))
     }
 
     /// Whether the other side has closed, or sent what nobody asked for.
-    pub fn spent(&mut self) -> bool {
+    pub fn is_stale(&mut self) -> bool {
         !self.buffer.is_empty()
             || match self.stream.try_read(&mut [0]) {
                 Err(error) => error.kind() != io::ErrorKind::WouldBlock,
@@ -96,7 +96,7 @@
 
     /// Waits for the other side to close; what it sends meanwhile is kept for the next read, as far as a head
     /// may be long.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         while self.buffer.len() < HEAD_MOST {
             if !matches!(self.more().await, Ok(1..)) {
                 return;
@@ -106,7 +106,7 @@
     }
 
     /// Reads on and forgets what comes, until the other side closes.
-    pub async fn drain(&mut self) {
+    pub async fn discard_until_closed(&mut self) {
         loop {
             self.buffer.clear();
             if !matches!(self.more().await, Ok(1..)) {
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// Those of the socket.
-    pub async fn piece(&mut self) -> io::Result<Vec<u8>> {
+    pub async fn read_available(&mut self) -> io::Result<Vec<u8>> {
         if self.buffer.is_empty() {
             self.more().await?;
         }
@@ -130,7 +130,7 @@
     ///
     /// # Errors
     /// Those of the socket; `InvalidData` for what is no request; `UnexpectedEof` for half of one.
-    pub async fn request(&mut self) -> io::Result<Option<Http>> {
+    pub async fn read_request(&mut self) -> io::Result<Option<HttpMessage>> {
         self.read(true).await
     }
 
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     /// Those of the socket; `InvalidData` for what is no answer; `UnexpectedEof` where it doesn't come whole.
-    pub async fn answer(&mut self) -> io::Result<Http> {
+    pub async fn read_response(&mut self) -> io::Result<HttpMessage> {
         loop {
             let answer = self.read(false).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
             if answer.status() >= 200 {
@@ -147,7 +147,7 @@
         }
     }
 
-    async fn read(&mut self, request: bool) -> io::Result<Option<Http>> {
+    async fn read(&mut self, request: bool) -> io::Result<Option<HttpMessage>> {
         if self.buffer.is_empty() && self.more().await? == 0 {
             return Ok(None);
         }
@@ -173,7 +173,7 @@
             };
             http.body = self.take(length).await?;
         }
-        http.whole = Instant::now();
+        http.last_byte_at = Instant::now();
         Ok(Some(http))
     }
 
@@ -232,7 +232,7 @@
     ///
     /// # Errors
     /// Those of the connection.
-    pub async fn end_sending(&mut self) -> io::Result<()> {
+    pub async fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
@@ -244,7 +244,7 @@
 }
 
 /// A head and its length; none while it is not whole.
-fn parse(bytes: &[u8], request: bool, begun: Instant) -> io::Result<Option<(usize, Http)>> {
+fn parse(bytes: &[u8], request: bool, begun: Instant) -> io::Result<Option<(usize, HttpMessage)>> {
     let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let (first, length, headers) = if request {
         let mut head = httparse::Request::new(&mut lines);
@@ -267,11 +267,20 @@
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
     let headers = headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect();
-    Ok(Some((length, Http { first, headers, body: Vec::new(), begun, whole: begun })))
+    Ok(Some((
+        length,
+        HttpMessage {
+            start_line: first,
+            headers,
+            body: Vec::new(),
+            first_byte_at: begun,
+            last_byte_at: begun,
+        },
+    )))
 }
 
 /// An answer's bytes: `headers` are whole lines, each with its end.
-pub fn answer(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
+pub fn response_bytes(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
         202 => "Accepted",
@@ -295,10 +304,11 @@
     use super::*;
     use tokio::net::TcpListener;
 
-    async fn pair() -> (Wire, Wire) {
+    async fn pair() -> (HttpConnection, HttpConnection) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let one = Wire::connect(listener.local_addr().unwrap(), Duration::from_secs(9)).await.unwrap();
-        (one, Wire::new(listener.accept().await.unwrap().0))
+        let one =
+            HttpConnection::connect(listener.local_addr().unwrap(), Duration::from_secs(9)).await.unwrap();
+        (one, HttpConnection::new(listener.accept().await.unwrap().0))
     }
 
     #[tokio::test]
@@ -306,9 +316,9 @@
         let (mut client, mut server) = pair().await;
         client.write(b"POST /a HTTP/1.1\r\nA: b\r\nContent-Len").await.unwrap();
         let reading = tokio::spawn(async move {
-            let first = server.request().await.unwrap().unwrap();
-            let second = server.request().await.unwrap().unwrap();
-            (first, second, server.request().await)
+            let first = server.read_request().await.unwrap().unwrap();
+            let second = server.read_request().await.unwrap().unwrap();
+            (first, second, server.read_request().await)
         });
         tokio::task::yield_now().await;
         client
@@ -327,11 +337,11 @@
     async fn a_reset_is_no_end_in_peace() {
         let (mut client, server) = pair().await;
         server.reset();
-        assert_eq!(client.answer().await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
+        assert_eq!(client.read_response().await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
         let (mut client, mut server) = pair().await;
-        server.write(&answer(100, "", b"")).await.unwrap();
-        server.write(&answer(429, "Retry-After: 1.5\r\n", b"no")).await.unwrap();
-        let told = client.answer().await.unwrap();
+        server.write(&response_bytes(100, "", b"")).await.unwrap();
+        server.write(&response_bytes(429, "Retry-After: 1.5\r\n", b"no")).await.unwrap();
+        let told = client.read_response().await.unwrap();
         assert_eq!((told.status(), told.header("retry-after"), &*told.body), (429, Some("1.5"), &b"no"[..]));
     }
 }
--- a/crates/lab/src/killer.rs
+++ b/crates/lab/src/killer.rs
@@ -2,7 +2,7 @@
 //! came while the journal was winning room back.
 
 use crate::process::Process;
-use crate::record::Sig;
+use crate::record::ProcessSignal;
 use crate::scenario::Killer;
 use fawnspoke_journal::Disk;
 use fawnspoke_journal::scan::scan;
@@ -58,14 +58,14 @@
         let until = Instant::now() + Duration::from_millis(killer.aim_ms);
         while Instant::now() < until {
             // Held still, so that what is seen is what the kill meets.
-            process.signal(Sig::Stop);
+            process.signal(ProcessSignal::Stop);
             if scan(&Disk::new(&process.state()), 0).is_ok_and(|scan| scan.interrupted_compaction()) {
                 break;
             }
-            process.signal(Sig::Cont);
+            process.signal(ProcessSignal::Cont);
             sleep(Duration::from_micros(rng.u64(500..5000))).await;
         }
-        process.signal(Sig::Kill);
+        process.signal(ProcessSignal::Kill);
         process.ended(GONE).await;
         self.count.fetch_add(1, Ordering::SeqCst);
         // A folder that can't be read keeps the next life from starting, which the record tells.
--- a/crates/lab/src/ledger.rs
+++ b/crates/lab/src/ledger.rs
@@ -1,60 +1,66 @@
-//! What clients and partners both know of messages: which there are, where they go, and until when.
+//! The registry of a run's messages, shared by clients and partners: destination, deadline and effect of each.
 
 use crate::record::{Effect, Micros};
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-struct Ticket {
-    dest: u32,
+struct Registration {
+    destination: u32,
     deadline: Micros,
     effect: Effect,
-    window: Micros,
-    tries: u32,
+    key_window: Micros,
+    attempts: u32,
 }
 
-/// What stands against a try.
+/// Whether a partner may process an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Nothing.
-    Fine,
-    /// No client has handed it in for this destination.
+pub enum AttemptCheck {
+    /// It may.
+    Allowed,
+    /// No client has submitted the message for this destination.
     Unknown,
-    /// Its time is up.
-    Over,
-    /// It has had all its attempts.
-    Spent,
+    /// The message's deadline has passed.
+    Expired,
+    /// The message has had all its attempts.
+    AttemptsExhausted,
 }
 
-/// The messages of a run.
+/// The messages of a run, by id.
 #[derive(Default)]
-pub struct Ledger(Mutex<HashMap<String, Ticket>>);
+pub struct MessageRegistry(Mutex<HashMap<String, Registration>>);
 
-impl Ledger {
-    fn lock(&self) -> MutexGuard<'_, HashMap<String, Ticket>> {
+impl MessageRegistry {
+    fn lock(&self) -> MutexGuard<'_, HashMap<String, Registration>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A message is about to be handed in.
-    pub fn enter(&self, id: &str, dest: u32, deadline: Micros, effect: Effect, window: Micros) {
-        let ticket = Ticket { dest, deadline, effect, window, tries: 0 };
-        self.lock().insert(id.into(), ticket);
+    /// Registers a message that is about to be submitted.
+    pub fn register(&self, id: &str, destination: u32, deadline: Micros, effect: Effect, key_window: Micros) {
+        let registration = Registration { destination, deadline, effect, key_window, attempts: 0 };
+        self.lock().insert(id.into(), registration);
     }
 
-    /// One try at a partner.
-    pub fn try_once(&self, id: &str, dest: u32, now: Micros, most: u32) -> Verdict {
-        let mut tickets = self.lock();
-        let Some(ticket) = tickets.get_mut(id).filter(|ticket| ticket.dest == dest) else {
-            return Verdict::Unknown;
+    /// Checks an attempt at a partner, and counts it unless the message is unknown or expired.
+    pub fn record_attempt(&self, id: &str, destination: u32, now: Micros, max_attempts: u32) -> AttemptCheck {
+        let mut registrations = self.lock();
+        let Some(registration) =
+            registrations.get_mut(id).filter(|registration| registration.destination == destination)
+        else {
+            return AttemptCheck::Unknown;
         };
-        if now > ticket.deadline {
-            return Verdict::Over;
+        if now > registration.deadline {
+            return AttemptCheck::Expired;
+        }
+        registration.attempts += 1;
+        if registration.attempts > max_attempts {
+            AttemptCheck::AttemptsExhausted
+        } else {
+            AttemptCheck::Allowed
         }
-        ticket.tries += 1;
-        if ticket.tries > most { Verdict::Spent } else { Verdict::Fine }
     }
 
     /// What a repeat of a message does, and for how long its key is remembered.
     pub fn effect(&self, id: &str) -> Option<(Effect, Micros)> {
-        self.lock().get(id).map(|ticket| (ticket.effect, ticket.window))
+        self.lock().get(id).map(|registration| (registration.effect, registration.key_window))
     }
 }
--- a/crates/lab/src/members.rs
+++ b/crates/lab/src/members.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program as one fleet, a relay between each two that speak, for tests and measures that are
 //! not asynchronous themselves.
 
-use crate::history::{self, Line};
+use crate::history::{self, LogLine};
 use crate::layout::Layout;
 use crate::relay::{Relay, Way};
 use crate::stage::{Dispatcher, Platform, eventually};
@@ -174,23 +174,25 @@
     }
 
     /// The histories of all members, by name.
-    pub fn histories(&self) -> BTreeMap<String, Vec<Line>> {
+    pub fn histories(&self) -> BTreeMap<String, Vec<LogLine>> {
         let lines = |dispatcher: &Dispatcher| {
-            dispatcher.log().iter().filter_map(|line| history::read(line)).collect()
+            dispatcher.log().iter().filter_map(|line| history::parse_line(line)).collect()
         };
         self.dispatchers.iter().enumerate().map(|(i, one)| (format!("n{i}"), lines(one))).collect()
     }
 
     /// What is wrong with them.
     pub fn faults(&self) -> Vec<String> {
-        history::faults(&self.histories())
+        history::find_violations(&self.histories())
     }
 
     /// The first act as a duty under a later epoch than this: when, and which epoch.
     pub fn acted_after(&self, duty: &str, epoch: u64) -> Option<(f64, u64)> {
         let histories = self.histories();
         let acts = histories.values().flatten().filter_map(|line| match line {
-            Line::Acted { at, duty: of, epoch: under } if of == duty && *under > epoch => Some((*at, *under)),
+            LogLine::DutyAction { at, duty: of, epoch: under } if of == duty && *under > epoch => {
+                Some((*at, *under))
+            }
             _ => None,
         });
         acts.min_by(|one, other| one.0.total_cmp(&other.0))
--- a/crates/lab/src/mischief.rs
+++ b/crates/lab/src/mischief.rs
@@ -4,7 +4,7 @@
 use crate::history;
 use crate::layout::Layout;
 use crate::process::Process;
-use crate::record::Sig;
+use crate::record::ProcessSignal;
 use crate::relay::Relay;
 use crate::scenario::Fleet;
 use std::collections::BTreeMap;
@@ -160,9 +160,9 @@
 
 /// Stops a process for a while.
 pub async fn stop(process: &Process, span: f64) {
-    process.signal(Sig::Stop);
+    process.signal(ProcessSignal::Stop);
     tokio::time::sleep(Duration::from_secs_f64(span)).await;
-    process.signal(Sig::Cont);
+    process.signal(ProcessSignal::Cont);
 }
 
 /// What the members' logs tell.
@@ -181,14 +181,14 @@
     let mut histories = BTreeMap::new();
     for i in 0..count {
         let text = fs::read_to_string(folder.join(format!("n{i}.log"))).unwrap_or_default();
-        let lines: Vec<_> = text.lines().filter_map(history::read).collect();
+        let lines: Vec<_> = text.lines().filter_map(history::parse_line).collect();
         histories.insert(format!("n{i}"), lines);
     }
     let all = || histories.values().flatten();
-    let acts = all().filter(|line| matches!(line, history::Line::Acted { .. })).count();
-    let epoch = |line: &history::Line| match line {
-        history::Line::Given { epoch, .. } => *epoch,
+    let acts = all().filter(|line| matches!(line, history::LogLine::DutyAction { .. })).count();
+    let epoch = |line: &history::LogLine| match line {
+        history::LogLine::DutyGranted { epoch, .. } => *epoch,
         _ => 0,
     };
-    Told { acts, epochs: all().map(epoch).max().unwrap_or(0), faults: history::faults(&histories) }
+    Told { acts, epochs: all().map(epoch).max().unwrap_or(0), faults: history::find_violations(&histories) }
 }
--- a/crates/lab/src/naive.rs
+++ b/crates/lab/src/naive.rs
@@ -2,7 +2,7 @@
 //! auditor sees it. It keeps the rules as far as its fault lets it, in the plainest way: one try after the other,
 //! no pace, no memory of who is well.
 
-use crate::http::{self, Http, Wire};
+use crate::http::{self, HttpConnection, HttpMessage};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -143,8 +143,8 @@
         let (stream, _) = listener.accept().await?;
         let naive = naive.clone();
         tokio::spawn(async move {
-            let mut wire = Wire::new(stream);
-            while let Ok(Some(request)) = wire.request().await {
+            let mut wire = HttpConnection::new(stream);
+            while let Ok(Some(request)) = wire.read_request().await {
                 if wire.write(&naive.answer(&request)).await.is_err() {
                     return;
                 }
@@ -200,9 +200,9 @@
     async fn follow(self: Arc<Naive>) {
         loop {
             let asked = async {
-                let mut wire = Wire::connect(self.discovery, PATIENCE).await?;
+                let mut wire = HttpConnection::connect(self.discovery, PATIENCE).await?;
                 wire.write(b"GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n").await?;
-                wire.answer().await
+                wire.read_response().await
             };
             if let Ok(Ok(answer)) = timeout(PATIENCE, asked).await
                 && let Ok(list) = serde_json::from_slice(&answer.body)
@@ -214,19 +214,19 @@
         }
     }
 
-    fn answer(self: &Arc<Naive>, request: &Http) -> Vec<u8> {
+    fn answer(self: &Arc<Naive>, request: &HttpMessage) -> Vec<u8> {
         let (method, path) = request.target();
         if method == "GET" {
-            return http::answer(200, "", b"ok\n");
+            return http::response_bytes(200, "", b"ok\n");
         }
         let class = path.trim_start_matches('/').to_string();
         let dest = request.header("x-consignee").and_then(|text| text.strip_prefix("dest=")?.parse().ok());
         let span = request.header("request-timeout-ms").and_then(|ms| ms.parse::<u64>().ok());
         let (Some(id), Some(dest), Some(span)) = (request.header("request-id"), dest, span) else {
-            return http::answer(400, "", b"");
+            return http::response_bytes(400, "", b"");
         };
         if *lock(&self.held) >= ROOM {
-            return http::answer(503, "Retry-After: 1\r\n", b"");
+            return http::response_bytes(503, "Retry-After: 1\r\n", b"");
         }
         let message = Message {
             id: id.into(),
@@ -250,7 +250,7 @@
         }
         *lock(&self.held) += 1;
         tokio::spawn(self.clone().deliver(message, None));
-        http::answer(202, "", b"")
+        http::response_bytes(202, "", b"")
     }
 
     async fn deliver(self: Arc<Naive>, message: Message, mut ran: Option<u64>) {
@@ -326,7 +326,7 @@
     }
 
     async fn call(&self, at: SocketAddr, message: &Message) -> Option<u16> {
-        let mut wire = Wire::connect(at, PATIENCE).await.ok()?;
+        let mut wire = HttpConnection::connect(at, PATIENCE).await.ok()?;
         let left = message.deadline.saturating_sub(unix_ms());
         let patience = PATIENCE.min(Duration::from_millis(left.saturating_sub(250)));
         let key = message.key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
@@ -337,7 +337,7 @@
             message.body.len()
         );
         wire.write(&[head.as_bytes(), &message.body].concat()).await.ok()?;
-        let answer = timeout(patience, wire.answer()).await.ok()?.ok()?;
+        let answer = timeout(patience, wire.read_response()).await.ok()?.ok()?;
         if let Some(seconds) = answer.header("retry-after").and_then(|text| text.parse::<f64>().ok()) {
             let until = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 60.0));
             lock(&self.waits).insert(message.dest, until);
@@ -347,11 +347,11 @@
 
     async fn give_up(&self, id: &str) -> bool {
         let told = async {
-            let mut wire = Wire::connect(self.discovery, PATIENCE).await?;
+            let mut wire = HttpConnection::connect(self.discovery, PATIENCE).await?;
             let body = json!({"message": id, "outcome": "given_up"}).to_string();
             let head = format!("POST /status HTTP/1.1\r\nHost: d\r\nContent-Length: {}\r\n\r\n", body.len());
             wire.write(format!("{head}{body}").as_bytes()).await?;
-            wire.answer().await
+            wire.read_response().await
         };
         matches!(timeout(PATIENCE, told).await, Ok(Ok(answer)) if answer.status() == 204)
     }
--- a/crates/lab/src/partner.rs
+++ b/crates/lab/src/partner.rs
@@ -1,9 +1,9 @@
 //! A stand-in for a partner: its limit, its capacity, its memory of keys, its troubles, and how it comes back.
 
-use crate::endpoint::{Call, How, Reply, Script};
+use crate::endpoint::{Call, CallHandler, EndpointResponse, Reply};
 use crate::http;
-use crate::ledger::Ledger;
-use crate::record::{Effect, End, Fate, Item, Recorder, What};
+use crate::ledger::MessageRegistry;
+use crate::record::{CallEnd, Effect, Event, Item, MessageResult, Recorder};
 use crate::scenario::{self, Limit, Returning};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,26 +22,26 @@
 
 /// What ails a partner whose sockets work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Trouble {
+pub enum PartnerFault {
     /// Nothing.
     #[default]
     None,
     /// It takes calls and never answers.
     Hang,
     /// It turns all away.
-    Shut,
+    RejectAll,
     /// It fails most calls.
     Errors,
     /// It takes so many times as long.
     Slow(f64),
     /// Answers are cut.
-    Cuts,
+    TruncatedResponses,
     /// Answers can't be read.
-    Spoilt,
+    MalformedResponses,
 }
 
 struct State {
-    trouble: Trouble,
+    trouble: PartnerFault,
     rng: fastrand::Rng,
     /// When the queue will be empty, by endpoint.
     free_at: Vec<Instant>,
@@ -61,24 +61,24 @@
     returning: Returning,
     dest: u32,
     attempts: u32,
-    ledger: Arc<Ledger>,
+    ledger: Arc<MessageRegistry>,
     recorder: Recorder,
     began: Instant,
     state: Mutex<State>,
 }
 
 /// One endpoint's script: the partner and which endpoint it is.
-pub struct Door(pub Arc<Partner>, pub usize);
+pub struct PartnerEndpoint(pub Arc<Partner>, pub usize);
 
 impl Partner {
     /// A partner that is warm and well.
     pub fn new(
         spec: scenario::Partner, returning: Returning, dest: u32, attempts: u32, seed: u64,
-        ledger: Arc<Ledger>, recorder: Recorder,
+        ledger: Arc<MessageRegistry>, recorder: Recorder,
     ) -> Partner {
         let now = Instant::now();
         let state = State {
-            trouble: Trouble::None,
+            trouble: PartnerFault::None,
             rng: fastrand::Rng::with_seed(seed ^ u64::from(dest)),
             free_at: vec![now; spec.endpoints],
             tokens: (spec.limit_per_s * BURST, now),
@@ -97,27 +97,27 @@
     }
 
     /// Its number.
-    pub fn dest(&self) -> u32 {
+    pub fn destination(&self) -> u32 {
         self.dest
     }
 
     /// What ails it from now on.
-    pub fn set(&self, trouble: Trouble) {
+    pub fn set_fault(&self, trouble: PartnerFault) {
         self.state().trouble = trouble;
     }
 
     /// It serves again, cold.
-    pub fn come_back(&self) {
+    pub fn recover(&self) {
         let mut state = self.state();
-        state.trouble = Trouble::None;
+        state.trouble = PartnerFault::None;
         state.back = Some(Instant::now());
         state.arrivals.clear();
         // On record while it is locked: what comes from here on comes to a cold place.
-        self.recorder.add(What::Back { dest: self.dest });
+        self.recorder.add(Event::OutageEnded { destination: self.dest });
     }
 
     /// Whether it was pushed over while it was cold.
-    pub fn fallen(&self) -> bool {
+    pub fn has_collapsed(&self) -> bool {
         self.state().fallen
     }
 
@@ -189,19 +189,22 @@
                 // Whole milliseconds, rounded up: what is told is never less than what is kept on record.
                 let ms = wait.as_secs_f64() * 1000.0;
                 let headers = format!("Retry-After: {:.3}\r\n{report}", ms.ceil() / 1000.0);
-                Reply { wait: Some(wait), ..Reply::now(How::Answer(429, headers, Vec::new())) }
+                Reply {
+                    retry_after: Some(wait),
+                    ..Reply::immediate(EndpointResponse::Complete(429, headers, Vec::new()))
+                }
             }
-            None => Reply::now(How::Answer(503, report, Vec::new())),
+            None => Reply::immediate(EndpointResponse::Complete(503, report, Vec::new())),
         }
     }
 
     /// What is known of a message against it: the status, and its word in a call of several.
-    fn against(&self, item: &Item) -> Option<(u16, Fate)> {
-        match self.ledger.try_once(&item.id, self.dest, self.recorder.now(), self.attempts) {
-            crate::ledger::Verdict::Fine => None,
-            crate::ledger::Verdict::Unknown => Some((400, Fate::Refused)),
-            crate::ledger::Verdict::Over => Some((410, Fate::Over)),
-            crate::ledger::Verdict::Spent => Some((504, Fate::Spent)),
+    fn against(&self, item: &Item) -> Option<(u16, MessageResult)> {
+        match self.ledger.record_attempt(&item.id, self.dest, self.recorder.now(), self.attempts) {
+            crate::ledger::AttemptCheck::Allowed => None,
+            crate::ledger::AttemptCheck::Unknown => Some((400, MessageResult::Rejected)),
+            crate::ledger::AttemptCheck::Expired => Some((410, MessageResult::Expired)),
+            crate::ledger::AttemptCheck::AttemptsExhausted => Some((504, MessageResult::AttemptsExhausted)),
         }
     }
 
@@ -211,17 +214,17 @@
         let state = &mut *state;
         self.push(state, now);
         match state.trouble {
-            Trouble::Hang => return Reply::now(How::Hang),
-            Trouble::Shut => return self.refuse(state, None),
+            PartnerFault::Hang => return Reply::immediate(EndpointResponse::Hang),
+            PartnerFault::RejectAll => return self.refuse(state, None),
             _ => {}
         }
         if state.fallen {
-            return Reply::now(How::Hang);
+            return Reply::immediate(EndpointResponse::Hang);
         }
         if let Some(wait) = self.above_limit(state, now) {
             return self.refuse(state, Some(wait));
         }
-        let slow = if let Trouble::Slow(times) = state.trouble { times } else { 1.0 };
+        let slow = if let PartnerFault::Slow(times) = state.trouble { times } else { 1.0 };
         let capacity = self.spec.capacity / self.spec.endpoints as f64 * self.warmth(state, now) / slow;
         let Some(free_at) = state.free_at.get(endpoint).copied() else { return Reply::status(503) };
         let start = free_at.max(now);
@@ -234,7 +237,7 @@
             *free_at = start + room;
         }
         if call.probe {
-            return Reply::now(How::Answer(200, self.report(state), Vec::new()));
+            return Reply::immediate(EndpointResponse::Complete(200, self.report(state), Vec::new()));
         }
         let [least, most] = self.spec.service_ms;
         let service = Duration::from_secs_f64((least + (most - least) * state.rng.f64()) * slow / 1000.0);
@@ -248,68 +251,76 @@
 
     /// A call that is worked on, and what becomes of its answer.
     fn work(
-        &self, state: &mut State, call: &Call, against: &[Option<(u16, Fate)>], after: Duration,
+        &self, state: &mut State, call: &Call, against: &[Option<(u16, MessageResult)>], after: Duration,
     ) -> Reply {
         let runs: Vec<bool> = against.iter().map(Option::is_none).collect();
-        let fates: Vec<Fate> =
-            against.iter().map(|a| a.as_ref().map_or(Fate::Delivered, |(_, fate)| *fate)).collect();
+        let fates: Vec<MessageResult> =
+            against.iter().map(|a| a.as_ref().map_or(MessageResult::Delivered, |(_, fate)| *fate)).collect();
         let report = self.report(state);
         let trouble = state.trouble;
         let rng = &mut state.rng;
-        let reply = |how, runs, fates| Reply { after, how, fates, wait: None, runs };
+        let reply = |how, runs, fates| Reply {
+            delay: after,
+            response: how,
+            results: fates,
+            retry_after: None,
+            processed: runs,
+        };
         let spec = &self.spec;
         let drawn = rng.f64();
         let share = |usual: f64, now: bool, much: f64| if now { usual.max(much) } else { usual };
-        let errors = share(spec.errors, trouble == Trouble::Errors, MOST);
+        let errors = share(spec.errors, trouble == PartnerFault::Errors, MOST);
         let resets = errors + spec.resets;
-        let cuts = resets + share(spec.cuts, trouble == Trouble::Cuts, SOME);
-        let spoilt = cuts + share(spec.spoilt, trouble == Trouble::Spoilt, SOME);
+        let cuts = resets + share(spec.cuts, trouble == PartnerFault::TruncatedResponses, SOME);
+        let spoilt = cuts + share(spec.spoilt, trouble == PartnerFault::MalformedResponses, SOME);
         if drawn < errors {
             let ran = rng.bool();
             let runs = runs.iter().map(|run| *run && ran).collect();
-            return reply(How::Answer(500, report, Vec::new()), runs, Vec::new());
+            return reply(EndpointResponse::Complete(500, report, Vec::new()), runs, Vec::new());
         }
         if drawn < resets {
-            return reply(How::Reset, runs, Vec::new());
+            return reply(EndpointResponse::Reset, runs, Vec::new());
         }
         if drawn < cuts {
-            return reply(How::Cut(200, rng.usize(0..60)), runs, Vec::new());
+            return reply(EndpointResponse::Truncated(200, rng.usize(0..60)), runs, Vec::new());
         }
         if drawn < spoilt {
-            let (bytes, end): (&[u8], End) = match rng.u8(..6) {
-                0 => (b"\x00\x17\xff noise\r\n\r\n", End::Broken),
-                1 => (b"HTTP/1.1 2zz OK\r\n\r\n", End::Broken),
-                2 => (b"HTTP/1.1 200 OK\r\n\x00\x01 bad\r\n\r\n", End::Cut(200)),
-                3 => (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand on", End::Cut(200)),
-                4 => (b"HTTP/1.1 200 OK\r\nX-Without-End: x", End::Cut(200)),
-                _ => (b"HTTP/1.1 500 No\r\nContent-Length: minus\r\n\r\n", End::Cut(500)),
+            let (bytes, end): (&[u8], CallEnd) = match rng.u8(..6) {
+                0 => (b"\x00\x17\xff noise\r\n\r\n", CallEnd::Broken),
+                1 => (b"HTTP/1.1 2zz OK\r\n\r\n", CallEnd::Broken),
+                2 => (b"HTTP/1.1 200 OK\r\n\x00\x01 bad\r\n\r\n", CallEnd::Truncated(200)),
+                3 => {
+                    (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand on", CallEnd::Truncated(200))
+                }
+                4 => (b"HTTP/1.1 200 OK\r\nX-Without-End: x", CallEnd::Truncated(200)),
+                _ => (b"HTTP/1.1 500 No\r\nContent-Length: minus\r\n\r\n", CallEnd::Truncated(500)),
             };
-            return reply(How::Raw(bytes.to_vec(), end), runs, Vec::new());
+            return reply(EndpointResponse::Raw(bytes.to_vec(), end), runs, Vec::new());
         }
         let extra = (drawn < spoilt + spec.extras).then(|| rng.u8(..4));
         let one = call.items.len() == 1;
         let mut body = String::new();
         for (item, fate) in call.items.iter().zip(&fates) {
             let word = match fate {
-                Fate::Delivered => "delivered",
-                Fate::Failed => "failed",
-                Fate::Refused => "refused",
-                Fate::Over => "over",
-                Fate::Spent => "spent",
+                MessageResult::Delivered => "delivered",
+                MessageResult::Failed => "failed",
+                MessageResult::Rejected => "refused",
+                MessageResult::Expired => "over",
+                MessageResult::AttemptsExhausted => "spent",
             };
             body.push_str(&format!("{} {word}\r\n", item.id));
         }
         let (body, fates) = if one { (Vec::new(), Vec::new()) } else { (body.into_bytes(), fates) };
-        let whole = http::answer(200, &report, &body);
+        let whole = http::response_bytes(200, &report, &body);
         let how = match extra {
-            None => How::Answer(200, report, body),
+            None => EndpointResponse::Complete(200, report, body),
             Some(0) => {
                 let early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-                How::Raw([early, &whole[..]].concat(), End::Answered(200))
+                EndpointResponse::Raw([early, &whole[..]].concat(), CallEnd::Answered(200))
             }
-            Some(1) => How::Raw([&whole[..], b"\x00 noise"].concat(), End::Answered(200)),
-            Some(2) => How::Raw([&whole[..], &whole[..]].concat(), End::Answered(200)),
-            Some(_) => How::Answer(200, "Server-Load: {x1:\r\n".into(), body),
+            Some(1) => EndpointResponse::Raw([&whole[..], b"\x00 noise"].concat(), CallEnd::Answered(200)),
+            Some(2) => EndpointResponse::Raw([&whole[..], &whole[..]].concat(), CallEnd::Answered(200)),
+            Some(_) => EndpointResponse::Complete(200, "Server-Load: {x1:\r\n".into(), body),
         };
         reply(how, runs, fates)
     }
@@ -336,20 +347,24 @@
     }
 }
 
-impl Script for Door {
+impl CallHandler for PartnerEndpoint {
     fn resets_request(&self) -> bool {
         let share = self.0.spec.request_resets;
         share > 0.0 && self.0.state().rng.f64() < share
     }
 
-    fn begin(&self, call: &Call) -> Reply {
+    fn handle(&self, call: &Call) -> Reply {
         self.0.begin(self.1, call)
     }
 
-    fn worked(&self, call: &Call, reply: &Reply) {
-        for (item, _) in call.items.iter().zip(&reply.runs).filter(|(_, ran)| **ran) {
-            let effect = self.0.takes_effect(call.request.whole, item);
-            self.0.recorder.add(What::Ran { call: call.number, id: item.id.clone(), effect });
+    fn processed(&self, call: &Call, reply: &Reply) {
+        for (item, _) in call.items.iter().zip(&reply.processed).filter(|(_, ran)| **ran) {
+            let effect = self.0.takes_effect(call.request.last_byte_at, item);
+            self.0.recorder.add(Event::MessageProcessed {
+                call: call.number,
+                id: item.id.clone(),
+                took_effect: effect,
+            });
         }
     }
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -3,8 +3,8 @@
 //! Each dispatcher has an agent of its own, at an address of its own, as in service. Notices are answered also
 //! while discovery is down.
 
-use crate::http::{self, Http, Wire};
-use crate::record::{Listed, Outcome, Recorder, What};
+use crate::http::{self, HttpConnection, HttpMessage};
+use crate::record::{EndpointState, Event, Outcome, Recorder};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -26,32 +26,32 @@
 
 /// An endpoint in the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Host {
+pub struct EndpointEntry {
     /// Its id.
     pub name: String,
     /// Its address, by dispatcher.
-    pub dial: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// Its zone.
-    pub site: String,
+    pub zone: String,
     /// Its destination's kind.
-    pub class: String,
+    pub destination_kind: String,
     /// Its destination.
-    pub block: u32,
+    pub destination: u32,
     /// Its state.
-    pub state: Listed,
+    pub state: EndpointState,
     /// Calls a second that its destination takes from all dispatchers.
-    pub share: f64,
+    pub rate_limit_per_s: f64,
 }
 
-impl Host {
+impl EndpointEntry {
     fn line(&self, dispatcher: usize) -> Value {
         let health = match self.state {
-            Listed::Up => "up",
-            Listed::Draining => "draining",
-            Listed::Removed => "removed",
+            EndpointState::Up => "up",
+            EndpointState::Draining => "draining",
+            EndpointState::Removed => "removed",
         };
-        json!({"host": self.name, "dial": self.dial.get(dispatcher), "site": self.site, "class": self.class,
-            "block": self.block, "health": health, "share": self.share, "born_ms": 0})
+        json!({"host": self.name, "dial": self.addresses.get(dispatcher), "site": self.zone, "class": self.destination_kind,
+            "block": self.destination, "health": health, "share": self.rate_limit_per_s, "born_ms": 0})
     }
 }
 
@@ -68,49 +68,56 @@
 
 /// How the platform behaves.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Mood {
+pub struct PlatformBehavior {
     /// It accepts and answers nothing but notices; watches stay open and silent.
     pub silent: bool,
     /// A change reaches watches so much later.
-    pub late: Duration,
+    pub update_delay: Duration,
     /// The next lines are cut in half, and their watch is ended.
-    pub torn: bool,
+    pub truncate_updates: bool,
     /// What a notice is answered.
     pub notice_status: u16,
     /// So many requests with notices are lost: read, and never answered on a connection that stays open.
-    pub deaf: usize,
+    pub unanswered_notices: usize,
     /// Watches get an empty line every 2 s.
     pub heartbeats: bool,
 }
 
-impl Default for Mood {
-    fn default() -> Mood {
+impl Default for PlatformBehavior {
+    fn default() -> PlatformBehavior {
         let (silent, torn, deaf, heartbeats) = (false, false, 0, true);
-        Mood { silent, late: Duration::ZERO, torn, notice_status: 204, deaf, heartbeats }
+        PlatformBehavior {
+            silent,
+            update_delay: Duration::ZERO,
+            truncate_updates: torn,
+            notice_status: 204,
+            unanswered_notices: deaf,
+            heartbeats,
+        }
     }
 }
 
 struct Change {
     seq: u64,
     at: Instant,
-    host: Host,
+    host: EndpointEntry,
 }
 
 #[derive(Default)]
 struct List {
     seq: u64,
-    hosts: BTreeMap<String, Host>,
+    hosts: BTreeMap<String, EndpointEntry>,
     changes: Vec<Change>,
     notices: Vec<(usize, Notice)>,
     /// First lines of the requests for watches, by dispatcher.
     watched: Vec<(usize, String)>,
     /// What each dispatcher has been told in full.
-    known: BTreeMap<usize, (u64, BTreeMap<String, Host>)>,
+    known: BTreeMap<usize, (u64, BTreeMap<String, EndpointEntry>)>,
 }
 
 struct Shared {
     list: Mutex<List>,
-    mood: watch::Sender<Mood>,
+    mood: watch::Sender<PlatformBehavior>,
     changed: watch::Sender<u64>,
     recorder: Recorder,
     /// Lines that watches are told as they are.
@@ -138,13 +145,13 @@
 
 impl Platform {
     /// A platform with this list; what it hears of notices goes to the receiver as well.
-    pub fn new(hosts: Vec<Host>, recorder: Recorder) -> (Platform, mpsc::UnboundedReceiver<Notice>) {
+    pub fn new(hosts: Vec<EndpointEntry>, recorder: Recorder) -> (Platform, mpsc::UnboundedReceiver<Notice>) {
         let (heard, hearing) = mpsc::unbounded_channel();
         let hosts = hosts.into_iter().map(|host| (host.name.clone(), host)).collect();
         let list = List { seq: 1, hosts, ..List::default() };
         let shared = Shared {
             list: Mutex::new(list),
-            mood: watch::Sender::new(Mood::default()),
+            mood: watch::Sender::new(PlatformBehavior::default()),
             changed: watch::Sender::new(1),
             recorder,
             said: broadcast::Sender::new(LINES_MOST),
@@ -159,7 +166,7 @@
     ///
     /// # Errors
     /// Those of listening.
-    pub async fn agent(&self, dispatcher: usize, at: SocketAddr) -> io::Result<SocketAddr> {
+    pub async fn start_agent(&self, dispatcher: usize, at: SocketAddr) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind(at).await?;
         let at = listener.local_addr()?;
         let (closing, closed) = watch::channel(false);
@@ -192,29 +199,29 @@
     }
 
     /// Where a dispatcher's agent is.
-    pub fn at(&self, dispatcher: usize) -> Option<SocketAddr> {
+    pub fn agent_address(&self, dispatcher: usize) -> Option<SocketAddr> {
         let agents = self.agents.lock().unwrap_or_else(PoisonError::into_inner);
         agents.get(&dispatcher).map(|(at, ..)| *at)
     }
 
     /// Changes the mood.
-    pub fn set(&self, change: impl FnOnce(&mut Mood)) {
+    pub fn set_behavior(&self, change: impl FnOnce(&mut PlatformBehavior)) {
         let was = self.shared.mood.borrow().silent;
         self.shared.mood.send_modify(change);
         let now = self.shared.mood.borrow().silent;
         if was != now {
-            self.shared.recorder.add(What::Silent { on: now });
+            self.shared.recorder.add(Event::PlatformSilent { silent: now });
         }
     }
 
     /// Changes an endpoint's entry, or adds it.
-    pub fn list(&self, host: Host) {
+    pub fn update_entry(&self, host: EndpointEntry) {
         let mut list = self.shared.list();
         list.seq += 1;
         let seq = list.seq;
-        self.shared.recorder.add(What::Changed { endpoint: host.name.clone(), state: host.state });
+        self.shared.recorder.add(Event::EndpointChanged { endpoint: host.name.clone(), state: host.state });
         match host.state {
-            Listed::Removed => drop(list.hosts.remove(&host.name)),
+            EndpointState::Removed => drop(list.hosts.remove(&host.name)),
             _ => drop(list.hosts.insert(host.name.clone(), host.clone())),
         }
         list.changes.push(Change { seq, at: Instant::now(), host });
@@ -224,7 +231,7 @@
 
     /// Writes a line, whatever it is, to each watch that is open, as version `seq` of the list; waits until there
     /// is a watch.
-    pub async fn say(&self, seq: Option<u64>, line: &str) {
+    pub async fn push_line(&self, seq: Option<u64>, line: &str) {
         // The sender lives as long as this does.
         let _ = self.shared.watches.subscribe().wait_for(|watches| *watches > 0).await;
         if let Some(seq) = seq {
@@ -236,12 +243,12 @@
     }
 
     /// An endpoint's entry.
-    pub fn host(&self, name: &str) -> Option<Host> {
+    pub fn entry(&self, name: &str) -> Option<EndpointEntry> {
         self.shared.list().hosts.get(name).cloned()
     }
 
     /// The list as a dispatcher has it: as it stood when it was asked for first, with what it was told since.
-    pub fn known(&self, dispatcher: usize) -> Value {
+    pub fn known_list(&self, dispatcher: usize) -> Value {
         let mut list = self.shared.list();
         let List { known, hosts, seq, .. } = &mut *list;
         let (seq, hosts) = known.entry(dispatcher).or_insert_with(|| (*seq, hosts.clone()));
@@ -255,7 +262,7 @@
     }
 
     /// The first lines of the requests for watches.
-    pub fn watched(&self) -> Vec<(usize, String)> {
+    pub fn watch_requests(&self) -> Vec<(usize, String)> {
         self.shared.list().watched.clone()
     }
 }
@@ -271,13 +278,13 @@
 }
 
 async fn serve(shared: &Shared, dispatcher: usize, stream: TcpStream) -> io::Result<()> {
-    let mut wire = Wire::new(stream);
-    while let Some(request) = wire.request().await? {
+    let mut wire = HttpConnection::new(stream);
+    while let Some(request) = wire.read_request().await? {
         match request.target() {
             ("POST", "/status") => notices(shared, dispatcher, &mut wire, &request).await?,
             ("GET", path) if path.starts_with("/registry/instances") => {
                 if path.contains("stream=1") {
-                    shared.list().watched.push((dispatcher, request.first.clone()));
+                    shared.list().watched.push((dispatcher, request.start_line.clone()));
                 }
                 if shared.mood.borrow().silent {
                     let mut mood = shared.mood.subscribe();
@@ -292,10 +299,10 @@
                     let list = shared.list();
                     (whole(&list, dispatcher).to_string(), list.hosts.values().cloned().collect(), list.seq)
                 };
-                wire.write(&http::answer(200, "", body.as_bytes())).await?;
+                wire.write(&http::response_bytes(200, "", body.as_bytes())).await?;
                 told(shared, dispatcher, hosts, seq, true);
             }
-            _ => wire.write(&http::answer(404, "", b"")).await?,
+            _ => wire.write(&http::response_bytes(404, "", b"")).await?,
         }
     }
     Ok(())
@@ -307,26 +314,33 @@
 }
 
 /// Keeps what a dispatcher has been told in full; what a whole list does not name is gone.
-fn told(shared: &Shared, dispatcher: usize, hosts: Vec<Host>, seq: u64, all: bool) {
+fn told(shared: &Shared, dispatcher: usize, hosts: Vec<EndpointEntry>, seq: u64, all: bool) {
     let mut list = shared.list();
     let List { known, hosts: present, .. } = &mut *list;
     let known = known.entry(dispatcher).or_insert_with(|| (seq, present.clone()));
     known.0 = seq;
     let old = if all { std::mem::take(&mut known.1) } else { BTreeMap::new() };
     let gone = old.into_values().filter(|old| !hosts.iter().any(|host| host.name == old.name));
-    let gone: Vec<Host> = gone.map(|old| Host { state: Listed::Removed, ..old }).collect();
+    let gone: Vec<EndpointEntry> =
+        gone.map(|old| EndpointEntry { state: EndpointState::Removed, ..old }).collect();
     for host in gone.into_iter().chain(hosts) {
-        shared.recorder.add(What::Told { dispatcher, endpoint: host.name.clone(), state: host.state });
+        shared.recorder.add(Event::ChangeDelivered {
+            dispatcher,
+            endpoint: host.name.clone(),
+            state: host.state,
+        });
         match host.state {
-            Listed::Removed => drop(known.1.remove(&host.name)),
+            EndpointState::Removed => drop(known.1.remove(&host.name)),
             _ => drop(known.1.insert(host.name.clone(), host)),
         }
     }
 }
 
-async fn notices(shared: &Shared, dispatcher: usize, wire: &mut Wire, request: &Http) -> io::Result<()> {
-    if shared.mood.borrow().deaf > 0 {
-        shared.mood.send_modify(|mood| mood.deaf = mood.deaf.saturating_sub(1));
+async fn notices(
+    shared: &Shared, dispatcher: usize, wire: &mut HttpConnection, request: &HttpMessage,
+) -> io::Result<()> {
+    if shared.mood.borrow().unanswered_notices > 0 {
+        shared.mood.send_modify(|mood| mood.unanswered_notices = mood.unanswered_notices.saturating_sub(1));
         return Ok(());
     }
     let text = request.text();
@@ -339,14 +353,14 @@
     // On record before the answer: a dispatcher that dies meanwhile has told it all the same.
     for notice in read.into_iter().flatten() {
         let Notice { message: id, outcome, retry_in_ms: retry_ms } = notice.clone();
-        shared.recorder.add(What::Notice { dispatcher, id, outcome, retry_ms, status });
+        shared.recorder.add(Event::Notice { dispatcher, id, outcome, retry_ms, status });
         shared.list().notices.push((dispatcher, notice.clone()));
         if status == 204 {
             // Where nobody listens nobody wants to know.
             let _ = shared.heard.send(notice);
         }
     }
-    wire.write(&http::answer(status, "", b"")).await
+    wire.write(&http::response_bytes(status, "", b"")).await
 }
 
 /// Counts a watch for as long as it is open.
@@ -366,7 +380,7 @@
 }
 
 /// A watch: what changed after the version that it asks for, then each change.
-async fn follow(shared: &Shared, dispatcher: usize, wire: &mut Wire, path: &str) -> io::Result<()> {
+async fn follow(shared: &Shared, dispatcher: usize, wire: &mut HttpConnection, path: &str) -> io::Result<()> {
     let index = path.split(['?', '&']).find_map(|pair| pair.strip_prefix("index=")).unwrap_or("0");
     let mut seen: u64 = index.parse().unwrap_or(0);
     let (mut changed, mut mood, mut said) =
@@ -376,13 +390,13 @@
     let mut first = true;
     loop {
         let _ = changed.borrow_and_update();
-        let late = mood.borrow_and_update().late;
+        let late = mood.borrow_and_update().update_delay;
         let (line, hosts, seq, due) = {
             let list = shared.list();
             let now = Instant::now();
             let after = || list.changes.iter().filter(|change| change.seq > seen);
             if first && (seen > list.seq || seen == 0) {
-                let hosts: Vec<Host> = list.hosts.values().cloned().collect();
+                let hosts: Vec<EndpointEntry> = list.hosts.values().cloned().collect();
                 (Some((whole(&list, dispatcher), true)), hosts, list.seq, None)
             } else {
                 let ripe: Vec<_> = after().take_while(|change| change.at + late <= now).collect();
@@ -402,7 +416,7 @@
         if let Some((line, all)) = line.filter(|_| !silent) {
             let text = format!("{line}\n");
             let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-            if mood.borrow().torn {
+            if mood.borrow().truncate_updates {
                 // Half a line, and the end.
                 wire.write(&chunk.as_bytes()[..chunk.len() / 2]).await?;
                 return Ok(());
@@ -430,7 +444,7 @@
                     seen = seen.max(shared.list().seq);
                 }
             }
-            () = wire.closed() => return Ok(()),
+            () = wire.wait_closed() => return Ok(()),
         }
     }
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,7 +1,7 @@
 //! Dispatchers as processes: started, watched, signalled, started again.
 
-use crate::http::Wire;
-use crate::record::{Recorder, Sig, What};
+use crate::http::HttpConnection;
+use crate::record::{Event, ProcessSignal, Recorder};
 use fawnspoke_control::client::send_request;
 use fawnspoke_control::protocol::{Request, Response};
 use rustix::process::{Pid, Signal, kill_process};
@@ -139,7 +139,7 @@
     /// # Errors
     /// Those of starting; `TimedOut` where it isn't ready in 20 s; `Other` where it ends before.
     pub async fn start(&self, discovery: SocketAddr) -> io::Result<()> {
-        self.recorder.add(What::Started { dispatcher: self.index });
+        self.recorder.add(Event::ProcessStarted { dispatcher: self.index });
         let (second, index) = (self.second(discovery, None)?, self.index);
         self.follow(&second);
         let until = Instant::now() + READY_MOST;
@@ -157,7 +157,7 @@
             }
             sleep(Duration::from_millis(10)).await;
         }
-        self.recorder.add(What::Ready { dispatcher: index });
+        self.recorder.add(Event::ProcessReady { dispatcher: index });
         Ok(())
     }
 
@@ -199,7 +199,7 @@
             let told = told.load(Ordering::SeqCst);
             // A process that was told to stop has not crashed where it says that all went well, or was killed.
             let well = status.is_ok_and(|status| status.code().is_none_or(|code| code == 0));
-            recorder.add(What::Exited { dispatcher: index, asked: told && well });
+            recorder.add(Event::ProcessExited { dispatcher: index, expected: told && well });
             ends.send_replace(true);
             running.send_if_modified(|now| now.take_if(|now| *now == id).is_some());
         });
@@ -226,29 +226,29 @@
 
     async fn ready(&self) -> bool {
         let asked = async {
-            let mut wire = Wire::connect(self.listen, Duration::from_millis(500)).await?;
+            let mut wire = HttpConnection::connect(self.listen, Duration::from_millis(500)).await?;
             wire.write(b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n")
                 .await?;
-            wire.answer().await
+            wire.read_response().await
         };
         let answer = tokio::time::timeout(Duration::from_secs(1), asked).await;
         matches!(answer, Ok(Ok(answer)) if answer.status() == 200)
     }
 
     /// Sends it a signal; nothing where it does not run.
-    pub fn signal(&self, signal: Sig) {
+    pub fn signal(&self, signal: ProcessSignal) {
         let Some(pid) = self.id().and_then(|id| Pid::from_raw(id as i32)) else { return };
-        if matches!(signal, Sig::Kill | Sig::Term) {
+        if matches!(signal, ProcessSignal::Kill | ProcessSignal::Term) {
             self.may_end();
         }
         // On record first: what follows from it comes later in the record, too.
-        self.recorder.add(What::Signalled { dispatcher: self.index, signal });
+        self.recorder.add(Event::SignalSent { dispatcher: self.index, signal });
         let number = match signal {
-            Sig::Kill => Signal::KILL,
-            Sig::Term => Signal::TERM,
-            Sig::Stop => Signal::STOP,
-            Sig::Cont => Signal::CONT,
-            Sig::Hup => Signal::HUP,
+            ProcessSignal::Kill => Signal::KILL,
+            ProcessSignal::Term => Signal::TERM,
+            ProcessSignal::Stop => Signal::STOP,
+            ProcessSignal::Cont => Signal::CONT,
+            ProcessSignal::Hup => Signal::HUP,
         };
         // One that has just ended by itself is told of by its end.
         let _ = kill_process(pid, number);
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,7 +1,7 @@
-//! The record of a run: what each stand-in saw, in the order in which it saw it.
+//! The record of a run: the events that the stand-ins observed, in order.
 //!
-//! Entries are kept by the process that holds the stand-ins, so that the death of a dispatcher takes none along.
-//! A record is one JSON object a line; its first entry holds the figures that it is to be judged by.
+//! The process that runs the stand-ins keeps the record, so that nothing is lost when a dispatcher dies.
+//! A record file holds one JSON object a line; its first entry holds the parameters by which the auditor judges it.
 
 use serde::{Deserialize, Serialize};
 use std::fs::File;
@@ -10,18 +10,18 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Microseconds since the run began.
+/// Microseconds since the start of the run.
 pub type Micros = u64;
 
-/// What one more delivery of a message would do.
+/// What a repeated delivery of a message does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It may be repeated freely.
+    /// A repeat does no harm.
     Safe,
-    /// A repeat is dropped for the class's window.
+    /// The receiver drops a repeat with the same idempotency key, within the class's key window.
     Keyed,
-    /// It must never take effect twice.
+    /// A repeat takes effect again, which must never happen.
     Unsafe,
 }
 
@@ -30,70 +30,83 @@
 pub struct Class {
     /// Its name, as in paths and headers.
     pub name: String,
-    /// What a repeat does.
+    /// What a repeated delivery does.
     pub effect: Effect,
-    /// For keyed classes: how long a key is remembered.
-    pub window: Micros,
-    /// Delivered within this time it is in full.
-    pub aim: Micros,
-    /// Messages with the same order key are delivered one at a time, in the order taken.
+    /// For keyed classes: how long a receiver remembers a key.
+    #[serde(rename = "window")]
+    pub key_window: Micros,
+    /// Target latency: a message delivered within it counts as on time.
+    #[serde(rename = "aim")]
+    pub target_latency: Micros,
+    /// Messages with the same order key are delivered one at a time, in the order in which they were accepted.
     #[serde(default)]
     pub ordered: bool,
 }
 
-/// A destination that can go out and come back cold.
+/// The capacity of a destination that may fail and recover cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Place {
+pub struct DestinationCapacity {
     /// Its number.
-    pub dest: u32,
-    /// Calls a second that it serves once warm.
+    #[serde(rename = "dest")]
+    pub destination: u32,
+    /// Calls a second that it serves once it is warm.
     pub capacity: f64,
 }
 
-/// The figures of the rules (protocol page, "The rules on sockets"). Times are in microseconds.
+/// The parameters of the rules (protocol page, "The rules on sockets"). Times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rules {
     /// Classes of messages.
     pub classes: Vec<Class>,
     /// Destinations whose capacity is known.
-    pub places: Vec<Place>,
-    /// A final answer may come so long after a message's time is up.
-    pub answer_slack: Micros,
-    /// After a restart no notice is overdue until so long after readiness.
+    #[serde(rename = "places")]
+    pub capacities: Vec<DestinationCapacity>,
+    /// A final answer may arrive this long after a message's deadline.
+    #[serde(rename = "answer_slack")]
+    pub answer_grace: Micros,
+    /// After a restart no notice is overdue until this long after readiness.
     pub restart_grace: Micros,
-    /// New work may go to a draining endpoint for so long after the dispatcher was told.
-    pub drain: Micros,
-    /// What the platform has to tell counts as told after this time at the latest.
-    pub told_by: Micros,
-    /// Calls are let through for so long after a wait was told, and for the slack.
-    pub wait_grace: Micros,
-    /// Time until a destination that came back is warm.
-    pub cold: Micros,
-    /// Share of its capacity that it starts with.
-    pub cold_share: f64,
-    /// Sent more than this multiple of its present capacity ...
-    pub multiple: f64,
-    /// ... over this time, it falls over.
-    pub fall: Micros,
-    /// Each time limit is longer by this.
-    pub slack: Micros,
+    /// New calls may go to a draining endpoint for this long after the dispatcher was informed.
+    #[serde(rename = "drain")]
+    pub drain_grace: Micros,
+    /// The dispatcher has to know of a change of the list after this time at the latest.
+    #[serde(rename = "told_by")]
+    pub max_update_delay: Micros,
+    /// Calls are tolerated for this long after a Retry-After was sent, and for the tolerance.
+    #[serde(rename = "wait_grace")]
+    pub retry_after_grace: Micros,
+    /// Time that a recovered destination needs to become warm.
+    #[serde(rename = "cold")]
+    pub warm_up: Micros,
+    /// Share of its capacity with which a cold destination starts.
+    #[serde(rename = "cold_share")]
+    pub initial_capacity_share: f64,
+    /// A destination collapses when it gets more than this multiple of its present capacity ...
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
+    /// ... over this time.
+    #[serde(rename = "fall")]
+    pub overload_time: Micros,
+    /// Tolerance that is added to each time limit.
+    #[serde(rename = "slack")]
+    pub tolerance: Micros,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
             classes: Vec::new(),
-            places: Vec::new(),
-            answer_slack: 300_000,
+            capacities: Vec::new(),
+            answer_grace: 300_000,
             restart_grace: 1_500_000,
-            drain: 1_000_000,
-            told_by: 6_000_000,
-            wait_grace: 50_000,
-            cold: 9_600_000,
-            cold_share: 0.19,
-            multiple: 2.0,
-            fall: 3_000_000,
-            slack: 50_000,
+            drain_grace: 1_000_000,
+            max_update_delay: 6_000_000,
+            retry_after_grace: 50_000,
+            warm_up: 9_600_000,
+            initial_capacity_share: 0.19,
+            overload_multiple: 2.0,
+            overload_time: 3_000_000,
+            tolerance: 50_000,
         }
     }
 }
@@ -106,65 +119,70 @@
     /// Its idempotency key.
     pub key: Option<String>,
     /// A digest of its body.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_digest: u64,
 }
 
 /// How a call ended at the endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum End {
-    /// A whole answer with this status was written.
+pub enum CallEnd {
+    /// A complete response with this status was written.
     Answered(u16),
-    /// A first line with this status was written, and the rest was cut or spoilt.
-    Cut(u16),
-    /// The endpoint broke the connection with no word of an answer, or with one that can't be read.
+    /// A status line with this status was written; the rest was truncated or malformed.
+    #[serde(rename = "cut")]
+    Truncated(u16),
+    /// The endpoint closed the connection without a response, or with an unreadable one.
     Broken,
-    /// The dispatcher ended the connection.
+    /// The dispatcher closed the connection.
     Closed,
 }
 
-/// What a message of a call with several was told.
+/// The result that the endpoint reported for one message of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
+pub enum MessageResult {
     /// Delivered.
     Delivered,
-    /// It may have run.
+    /// It failed, and may have run.
     Failed,
-    /// It never ran.
-    Refused,
-    /// Over: nothing is owed.
-    Over,
+    /// It was rejected and never ran.
+    #[serde(rename = "refused")]
+    Rejected,
+    /// Its deadline has passed; no further attempt is due.
+    #[serde(rename = "over")]
+    Expired,
     /// It has had all its attempts.
-    Spent,
+    #[serde(rename = "spent")]
+    AttemptsExhausted,
 }
 
 /// The state of an endpoint in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Listed {
+pub enum EndpointState {
     /// In service.
     Up,
-    /// It finishes what it has.
+    /// It completes pending calls and gets no new ones.
     Draining,
-    /// No longer there.
+    /// No longer in the list.
     Removed,
 }
 
-/// How a dispatcher ended a message that it had taken.
+/// How a dispatcher ended an accepted message that it did not deliver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// Nothing is promised.
+    /// The message may or may not have taken effect.
     GivenUp,
-    /// Handing it in again is harmless.
+    /// The client can safely submit it again.
     HandedBack,
 }
 
 /// A signal to a dispatcher's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Sig {
+pub enum ProcessSignal {
     /// SIGKILL
     Kill,
     /// SIGTERM
@@ -177,240 +195,271 @@
     Hup,
 }
 
-/// What happened.
+/// An event that a stand-in observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
-    /// The figures of the rules: the first entry.
+pub enum Event {
+    /// The parameters of the rules: the first entry.
     Rules(Rules),
     /// A client has written the last byte of a message.
-    Asked {
-        /// The id, new for each time that it is handed in.
+    #[serde(rename = "asked")]
+    Submitted {
+        /// The id, new for each submission.
         id: String,
-        /// The id under which the message was handed in first.
+        /// The id of the message's first submission.
         origin: String,
         /// Its class.
         class: String,
         /// Its destination.
-        dest: u32,
+        #[serde(rename = "dest")]
+        destination: u32,
         /// Its idempotency key.
         key: Option<String>,
-        /// Its key of order.
+        /// Its order key.
         #[serde(default)]
         order: Option<String>,
         /// A digest of its body.
-        body: u64,
+        #[serde(rename = "body")]
+        body_digest: u64,
         /// Until when it may be delivered.
         deadline: Micros,
-        /// Who got it.
+        /// The dispatcher that received it.
         dispatcher: usize,
         /// It is the first request on its connection.
-        fresh: bool,
+        #[serde(rename = "fresh")]
+        new_connection: bool,
     },
-    /// The client has read the answer.
+    /// The client has read the response.
     Answered {
         /// The message.
         id: String,
-        /// The answer's status.
+        /// The status of the response.
         status: u16,
     },
-    /// The client's patience ended; it closed the connection.
-    Left {
+    /// The client timed out and closed the connection.
+    #[serde(rename = "left")]
+    ClientTimedOut {
         /// The message.
         id: String,
     },
-    /// The connection ended with no answer.
-    Dropped {
+    /// The connection ended without a response.
+    #[serde(rename = "dropped")]
+    ConnectionLost {
         /// The message.
         id: String,
     },
-    /// The last byte of a call has come to an endpoint.
+    /// The last byte of a call has arrived at an endpoint.
     Call {
         /// Its number.
         call: u64,
         /// The endpoint.
         endpoint: String,
         /// The endpoint's destination.
-        dest: u32,
-        /// Who called.
+        #[serde(rename = "dest")]
+        destination: u32,
+        /// The dispatcher that made the call.
         dispatcher: usize,
-        /// When the first byte came.
-        first: Micros,
-        /// What it holds.
+        /// When the first byte arrived.
+        #[serde(rename = "first")]
+        first_byte_at: Micros,
+        /// Its messages.
         items: Vec<Item>,
     },
-    /// A probe has come to an endpoint.
+    /// A probe has arrived at an endpoint.
     Probe {
         /// The endpoint.
         endpoint: String,
         /// The endpoint's destination.
-        dest: u32,
-        /// Who probed.
+        #[serde(rename = "dest")]
+        destination: u32,
+        /// The dispatcher that sent it.
         dispatcher: usize,
-        /// It was answered that all is well.
-        well: bool,
+        /// The endpoint reported itself healthy.
+        #[serde(rename = "well")]
+        healthy: bool,
     },
-    /// The endpoint has done the work of a message, whatever comes of its answer.
-    Ran {
+    /// The endpoint has processed a message, whatever becomes of its response.
+    #[serde(rename = "ran")]
+    MessageProcessed {
         /// The call.
         call: u64,
         /// The message.
         id: String,
         /// It took effect: it was not dropped as a repeat.
-        effect: bool,
+        #[serde(rename = "effect")]
+        took_effect: bool,
     },
     /// A call is over at the endpoint.
-    Ended {
+    #[serde(rename = "ended")]
+    CallEnded {
         /// The call.
         call: u64,
-        /// How.
-        how: End,
-        /// What each message was told, where the call held several and the answer was 200.
+        /// How it ended.
+        #[serde(rename = "how")]
+        end: CallEnd,
+        /// The result of each message, where the call was a batch and its status 200.
         #[serde(default)]
-        fates: Vec<Fate>,
-        /// The wait that the answer told.
+        #[serde(rename = "fates")]
+        results: Vec<MessageResult>,
+        /// The Retry-After of the response.
         #[serde(default)]
-        wait: Option<Micros>,
+        #[serde(rename = "wait")]
+        retry_after: Option<Micros>,
     },
-    /// A destination stopped to serve.
-    Out {
+    /// A destination stopped serving.
+    #[serde(rename = "out")]
+    OutageStarted {
         /// The destination.
-        dest: u32,
-        /// New connections are refused, which no endpoint sees.
-        refusing: bool,
+        #[serde(rename = "dest")]
+        destination: u32,
+        /// It refuses new connections, which no endpoint observes.
+        #[serde(rename = "refusing")]
+        refuses_connections: bool,
     },
-    /// It serves again, cold.
-    Back {
+    /// A destination serves again, cold.
+    #[serde(rename = "back")]
+    OutageEnded {
         /// The destination.
-        dest: u32,
+        #[serde(rename = "dest")]
+        destination: u32,
     },
     /// The platform's list has changed.
-    Changed {
+    #[serde(rename = "changed")]
+    EndpointChanged {
         /// The endpoint.
         endpoint: String,
-        /// Its state now.
-        state: Listed,
+        /// Its new state.
+        state: EndpointState,
     },
-    /// The change has been written to a dispatcher in full.
-    Told {
+    /// A change of the list has been written to a dispatcher in full.
+    #[serde(rename = "told")]
+    ChangeDelivered {
         /// The dispatcher.
         dispatcher: usize,
         /// The endpoint.
         endpoint: String,
-        /// The state that it was told.
-        state: Listed,
+        /// The state that was written.
+        state: EndpointState,
     },
-    /// The platform answers nothing from now on, or answers again.
-    Silent {
+    /// The platform stopped or resumed answering requests for the list.
+    #[serde(rename = "silent")]
+    PlatformSilent {
         /// Whether it is silent now.
-        on: bool,
+        #[serde(rename = "on")]
+        silent: bool,
     },
-    /// A notice came.
+    /// A notice arrived.
     Notice {
-        /// From whom.
+        /// The dispatcher that sent it.
         dispatcher: usize,
         /// The message.
         id: String,
-        /// Its end.
+        /// How it ended.
         outcome: Outcome,
-        /// When the client may come again, in milliseconds.
+        /// When the client may submit it again, in milliseconds.
         #[serde(default)]
         retry_ms: Option<u64>,
-        /// What the platform answered.
+        /// The status that the platform answered.
         status: u16,
     },
     /// A dispatcher's process was started.
-    Started {
+    #[serde(rename = "started")]
+    ProcessStarted {
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// It answered that it is ready.
-    Ready {
+    /// A dispatcher reported itself ready.
+    #[serde(rename = "ready")]
+    ProcessReady {
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// It was sent a signal.
-    Signalled {
+    /// A dispatcher was sent a signal.
+    #[serde(rename = "signalled")]
+    SignalSent {
         /// The dispatcher.
         dispatcher: usize,
         /// The signal.
-        signal: Sig,
+        signal: ProcessSignal,
     },
-    /// Its process has ended.
-    Exited {
+    /// A dispatcher's process has ended.
+    #[serde(rename = "exited")]
+    ProcessExited {
         /// The dispatcher.
         dispatcher: usize,
-        /// It had been told to, and its exit code was 0 or it was killed on purpose.
-        asked: bool,
+        /// It had been told to exit, and its exit code was 0 or it was killed on purpose.
+        #[serde(rename = "asked")]
+        expected: bool,
     },
-    /// The run is over: nothing after this was seen.
-    Done,
+    /// The run is over: nothing was observed after this.
+    #[serde(rename = "done")]
+    RunEnded,
 }
 
-/// One entry.
+/// One entry of a record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When.
+    /// When it was observed.
     pub at: Micros,
-    /// What.
+    /// What was observed.
     #[serde(flatten)]
-    pub what: What,
+    pub event: Event,
 }
 
-/// A digest of a body: FNV-1a, which needs no key and is the same in each run.
+/// A digest of a body: FNV-1a, which needs no key and gives the same result in each run.
 pub fn digest(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3))
 }
 
-/// Collects what the stand-ins of one run see. Clones share one record.
+/// Collects the events of one run. Clones share one record.
 #[derive(Clone)]
 pub struct Recorder {
-    began: Instant,
+    started_at: Instant,
     entries: Arc<Mutex<Vec<Entry>>>,
-    most: usize,
+    max_entries: usize,
 }
 
 impl Recorder {
-    /// An empty record that holds at most `most` entries: a run that would pass that says so at its end and is
-    /// judged as cut short.
-    pub fn new(most: usize) -> Recorder {
-        Recorder { began: Instant::now(), entries: Arc::default(), most }
+    /// An empty record that holds at most `max_entries` entries. A run that reaches the limit is reported as an error,
+    /// since its record is incomplete.
+    pub fn new(max_entries: usize) -> Recorder {
+        Recorder { started_at: Instant::now(), entries: Arc::default(), max_entries }
     }
 
-    /// Now, on the record's clock.
+    /// The present time on the record's clock.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// The record's clock at a point of time.
-    pub fn at(&self, at: Instant) -> Micros {
-        at.saturating_duration_since(self.began).as_micros() as Micros
+    /// Converts an instant to the record's clock.
+    pub fn micros_at(&self, at: Instant) -> Micros {
+        at.saturating_duration_since(self.started_at).as_micros() as Micros
     }
 
-    /// The point of time at which the record's clock shows `at`.
+    /// Converts a time on the record's clock to an instant.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.began + std::time::Duration::from_micros(at)
+        self.started_at + std::time::Duration::from_micros(at)
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Entry>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds what happened just now. The time is taken with the record locked, so that times never fall.
-    pub fn add(&self, what: What) -> Micros {
+    /// Adds an event at the present time. The time is taken with the record locked, so that times never decrease.
+    pub fn add(&self, what: Event) -> Micros {
         let mut entries = self.lock();
         let at = self.now();
-        if entries.len() < self.most {
-            entries.push(Entry { at, what });
+        if entries.len() < self.max_entries {
+            entries.push(Entry { at, event: what });
         }
         at
     }
 
-    /// Whether entries were left out for want of room.
-    pub fn full(&self) -> bool {
-        self.lock().len() >= self.most
+    /// Whether the record has reached its maximum size.
+    pub fn is_full(&self) -> bool {
+        self.lock().len() >= self.max_entries
     }
 
     /// The entries so far.
@@ -418,16 +467,16 @@
         self.lock().clone()
     }
 
-    /// Reads the entries so far without a copy.
-    pub fn with<T>(&self, read: impl FnOnce(&[Entry]) -> T) -> T {
+    /// Passes the entries so far to `read`, without copying them.
+    pub fn with_entries<T>(&self, read: impl FnOnce(&[Entry]) -> T) -> T {
         read(&self.lock())
     }
 }
 
-/// Writes a record, a line an entry.
+/// Writes a record to a file, one entry a line.
 ///
 /// # Errors
-/// Those of the file.
+/// The file could not be written.
 pub fn save(path: &Path, entries: &[Entry]) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     for entry in entries {
@@ -437,22 +486,22 @@
     file.flush()
 }
 
-/// Reads a record.
+/// Reads a record from a file.
 ///
 /// # Errors
-/// The file, the line and what is wrong with it.
+/// The file can't be read or holds an invalid entry; the text names the file, the line and the cause.
 pub fn load(path: &Path) -> Result<Vec<Entry>, String> {
-    let told = |line: usize, error: &dyn std::fmt::Display| format!("{}:{line}: {error}", path.display());
+    let describe = |line: usize, error: &dyn std::fmt::Display| format!("{}:{line}: {error}", path.display());
     let file = File::open(path).map_err(|error| format!("{}: {error}", path.display()))?;
     let mut entries = Vec::new();
-    for (i, line) in BufReader::new(file).lines().enumerate() {
-        let line = line.map_err(|error| told(i + 1, &error))?;
+    for (index, line) in BufReader::new(file).lines().enumerate() {
+        let line = line.map_err(|error| describe(index + 1, &error))?;
         if !line.trim().is_empty() {
-            entries.push(serde_json::from_str(&line).map_err(|error| told(i + 1, &error))?);
+            entries.push(serde_json::from_str(&line).map_err(|error| describe(index + 1, &error))?);
         }
     }
-    if !matches!(entries.first(), Some(Entry { what: What::Rules(_), .. })) {
-        return Err(told(1, &"the figures of the rules expected as the first entry"));
+    if !matches!(entries.first(), Some(Entry { event: Event::Rules(_), .. })) {
+        return Err(describe(1, &"the parameters of the rules expected as the first entry"));
     }
     Ok(entries)
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,14 +1,16 @@
 //! Plays a scenario: starts all stand-ins and the dispatchers, carries out the script, and gives the record.
 
 use crate::clients::Crowd;
-use crate::endpoint::{Door as Sockets, Endpoint, Traits};
+use crate::endpoint::{ConnectionLimits, Endpoint, SocketState};
 use crate::killer::{Counter, Kills};
-use crate::ledger::Ledger;
+use crate::ledger::MessageRegistry;
 use crate::mischief::{self, Folder, Relays, Told, Trouble};
-use crate::partner::{Door, Partner, Trouble as Ill};
-use crate::platform::{Host, Platform};
+use crate::partner::{Partner, PartnerEndpoint, PartnerFault};
+use crate::platform::{EndpointEntry, Platform};
 use crate::process::{Process, Program};
-use crate::record::{self, Effect, End, Entry, Listed, Micros, Recorder, Rules, Sig, What};
+use crate::record::{
+    self, CallEnd, Effect, EndpointState, Entry, Event, Micros, ProcessSignal, Recorder, Rules,
+};
 use crate::scenario::{Decay, Kind, Limit, Scenario};
 use crate::script::{Script, Turn, whom};
 use crate::upgrader::{Upgrades, upgrade};
@@ -122,22 +124,22 @@
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
-        window: micros(class.window_s),
-        aim: micros(class.aim_s),
+        key_window: micros(class.window_s),
+        target_latency: micros(class.aim_s),
         ordered: false,
     };
-    let place = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
-        dest: i as u32 + 1,
+    let place = |(i, partner): (usize, &crate::scenario::Partner)| record::DestinationCapacity {
+        destination: i as u32 + 1,
         capacity: partner.capacity,
     };
     Rules {
         classes: scenario.classes.iter().map(class).collect(),
-        places: scenario.partners.iter().enumerate().map(place).collect(),
-        cold: micros(scenario.returning.cold_s),
-        cold_share: scenario.returning.cold_share,
-        multiple: scenario.returning.multiple,
-        fall: micros(scenario.returning.fall_s),
-        slack: scenario.slack_ms * 1000,
+        capacities: scenario.partners.iter().enumerate().map(place).collect(),
+        warm_up: micros(scenario.returning.cold_s),
+        initial_capacity_share: scenario.returning.cold_share,
+        overload_multiple: scenario.returning.multiple,
+        overload_time: micros(scenario.returning.fall_s),
+        tolerance: scenario.slack_ms * 1000,
         ..Rules::default()
     }
 }
@@ -195,7 +197,7 @@
 /// What kept it from being set up; what goes wrong later is in the record.
 pub async fn play(scenario: &Scenario, script: &Script, options: &Options) -> io::Result<Outcome> {
     let recorder = Recorder::new(ENTRIES_MOST);
-    recorder.add(What::Rules(rules(scenario)));
+    recorder.add(Event::Rules(rules(scenario)));
     let stage = set_up(scenario, script, options, recorder.clone()).await?;
     let stage = Arc::new(stage);
     for index in 0..stage.processes.len() {
@@ -268,15 +270,15 @@
     let mut progress = Progress::default();
     loop {
         sleep(Duration::from_millis(100)).await;
-        recorder.with(|entries| progress.follow(entries));
+        recorder.with_entries(|entries| progress.follow(entries));
         if (stage.crowd.active() == 0 && progress.open.is_empty()) || recorder.now() > until {
             break;
         }
     }
-    recorder.add(What::Done);
+    recorder.add(Event::RunEnded);
     watching.abort();
     let entries = recorder.entries();
-    if recorder.full() {
+    if recorder.is_full() {
         return Err(io::Error::other("the record is full: the scenario is too large to be judged"));
     }
     let resident_kb = {
@@ -284,12 +286,12 @@
         (0..stage.processes.len()).map(|i| peaks.get(&i).copied().unwrap_or(0)).collect()
     };
     for process in &stage.processes {
-        process.signal(Sig::Kill);
+        process.signal(ProcessSignal::Kill);
     }
     for process in &stage.processes {
         process.ended(Duration::from_secs(10)).await;
     }
-    let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
+    let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.has_collapsed());
     let fallen = fallen.map(|(_, spec)| spec.name.clone()).collect();
     let kills = counter.kills();
     let mut upgrades = std::mem::take(&mut *upgrades.lock().unwrap_or_else(PoisonError::into_inner));
@@ -306,7 +308,7 @@
 ) -> io::Result<Stage> {
     let network = Network::draw().await?;
     let count = scenario.dispatchers.count;
-    let (ledger, numbers) = (Arc::new(Ledger::default()), Arc::new(AtomicU64::new(1)));
+    let (ledger, numbers) = (Arc::new(MessageRegistry::default()), Arc::new(AtomicU64::new(1)));
     let (mut partners, mut endpoints, mut hosts) = (Vec::new(), Vec::new(), Vec::new());
     for (i, spec) in scenario.partners.iter().enumerate() {
         let dest = i as u32 + 1;
@@ -324,9 +326,11 @@
             // An address for each partner; its endpoints differ by port.
             let at = vec![network.at(20 + (i % 200) as u8, 0); count];
             let name = format!("{}-{n}", spec.name);
-            let traits =
-                Traits { idle: Some(Duration::from_secs_f64(spec.idle_s)), connections: spec.connections };
-            let door = Door(partner.clone(), n);
+            let traits = ConnectionLimits {
+                idle_timeout: Some(Duration::from_secs_f64(spec.idle_s)),
+                max_connections: spec.connections,
+            };
+            let door = PartnerEndpoint(partner.clone(), n);
             let endpoint =
                 Endpoint::start(&name, dest, &at, traits, door, recorder.clone(), numbers.clone()).await?;
             hosts.push(host(scenario, i, &endpoint, count));
@@ -339,7 +343,7 @@
     let (mut processes, mut configs, mut listens) = (Vec::new(), Vec::new(), Vec::new());
     for index in 0..count {
         let host = 1 + index as u8;
-        platform.agent(index, network.at(host, 0)).await?;
+        platform.start_agent(index, network.at(host, 0)).await?;
         // A port that was free just now, in a network that nobody else draws from.
         let listen = TcpListener::bind(network.at(host, 0)).await?.local_addr()?;
         let log = options.folder.join(format!("n{index}.log"));
@@ -373,30 +377,30 @@
     })
 }
 
-fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> Host {
+fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> EndpointEntry {
     let spec = &scenario.partners[partner];
     let share = if spec.limit == Limit::None { spec.capacity } else { spec.limit_per_s.min(spec.capacity) };
-    Host {
+    EndpointEntry {
         name: endpoint.name().into(),
-        dial: (0..count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
-        site: "lab".into(),
-        class: kind_name(spec.batch),
-        block: partner as u32 + 1,
-        state: Listed::Up,
-        share,
+        addresses: (0..count).filter_map(|dispatcher| endpoint.address(dispatcher)).collect(),
+        zone: "lab".into(),
+        destination_kind: kind_name(spec.batch),
+        destination: partner as u32 + 1,
+        state: EndpointState::Up,
+        rate_limit_per_s: share,
     }
 }
 
 impl Stage {
     fn agent(&self, index: usize) -> io::Result<SocketAddr> {
-        self.platform.at(index).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.platform.agent_address(index).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     /// Writes a dispatcher's configuration as the platform would now.
     fn configure(&self, index: usize) -> io::Result<()> {
         let mut config = self.configs[index].clone();
         config["discovery"] = self.agent(index)?.to_string().into();
-        config["known"] = self.platform.known(index);
+        config["known"] = self.platform.known_list(index);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
         config["seed"] = format!("{seed:016x}").into();
         self.processes[index].configure(&config)
@@ -406,9 +410,9 @@
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)[partner].clone()
     }
 
-    async fn doors(&self, partner: usize, door: Sockets) -> io::Result<()> {
+    async fn doors(&self, partner: usize, door: SocketState) -> io::Result<()> {
         for endpoint in self.endpoints(partner) {
-            endpoint.set_door(door).await?;
+            endpoint.set_socket_state(door).await?;
         }
         Ok(())
     }
@@ -434,15 +438,16 @@
         Ok(())
     }
 
-    async fn outage(&self, turn: &Turn, trouble: Ill, door: Sockets) -> io::Result<()> {
+    async fn outage(&self, turn: &Turn, trouble: PartnerFault, door: SocketState) -> io::Result<()> {
         let partner = &self.partners[turn.whom];
-        let refusing = door == Sockets::Refusing;
-        self.recorder.add(What::Out { dest: partner.dest(), refusing });
-        partner.set(trouble);
+        let refusing = door == SocketState::Refusing;
+        self.recorder
+            .add(Event::OutageStarted { destination: partner.destination(), refuses_connections: refusing });
+        partner.set_fault(trouble);
         self.doors(turn.whom, door).await?;
         sleep(Duration::from_micros(turn.span)).await;
-        partner.come_back();
-        self.doors(turn.whom, Sockets::Open).await
+        partner.recover();
+        self.doors(turn.whom, SocketState::Open).await
     }
 
     async fn turn(&self, turn: &Turn) -> io::Result<()> {
@@ -450,7 +455,7 @@
         match turn.kind {
             Kind::Kill => {
                 let process = &self.processes[turn.whom];
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 let [least, most] = self.scenario.clients.notice_ms;
                 let notice = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(least..=most);
                 tokio::join!(self.restart(turn.whom), async {
@@ -464,53 +469,53 @@
             }
             Kind::Term => {
                 let process = &self.processes[turn.whom];
-                process.signal(Sig::Term);
+                process.signal(ProcessSignal::Term);
                 sleep(FRONT_AFTER_TERM).await;
                 self.crowd.believe(turn.whom, false);
                 if !process.ended(KILL_AFTER - FRONT_AFTER_TERM).await {
-                    process.signal(Sig::Kill);
+                    process.signal(ProcessSignal::Kill);
                 }
                 self.restart(turn.whom).await
             }
             Kind::Stop => {
-                self.processes[turn.whom].signal(Sig::Stop);
+                self.processes[turn.whom].signal(ProcessSignal::Stop);
                 sleep(span).await;
-                self.processes[turn.whom].signal(Sig::Cont);
+                self.processes[turn.whom].signal(ProcessSignal::Cont);
                 Ok(())
             }
             Kind::Reload => {
                 let host = 1 + turn.whom as u8;
-                self.platform.agent(turn.whom, self.network.at(host, 0)).await?;
+                self.platform.start_agent(turn.whom, self.network.at(host, 0)).await?;
                 self.configure(turn.whom)?;
-                self.processes[turn.whom].signal(Sig::Hup);
+                self.processes[turn.whom].signal(ProcessSignal::Hup);
                 Ok(())
             }
-            Kind::Down => self.outage(turn, Ill::None, Sockets::Refusing).await,
-            Kind::Silent => self.outage(turn, Ill::None, Sockets::Silent).await,
-            Kind::Hang => self.outage(turn, Ill::Hang, Sockets::Open).await,
-            Kind::Shut => self.outage(turn, Ill::Shut, Sockets::Open).await,
-            Kind::Errors => self.outage(turn, Ill::Errors, Sockets::Open).await,
+            Kind::Down => self.outage(turn, PartnerFault::None, SocketState::Refusing).await,
+            Kind::Silent => self.outage(turn, PartnerFault::None, SocketState::Silent).await,
+            Kind::Hang => self.outage(turn, PartnerFault::Hang, SocketState::Open).await,
+            Kind::Shut => self.outage(turn, PartnerFault::RejectAll, SocketState::Open).await,
+            Kind::Errors => self.outage(turn, PartnerFault::Errors, SocketState::Open).await,
             Kind::Slow | Kind::Cuts | Kind::Spoilt => {
                 let partner = &self.partners[turn.whom];
-                partner.set(match turn.kind {
-                    Kind::Slow => Ill::Slow(turn.factor),
-                    Kind::Cuts => Ill::Cuts,
-                    _ => Ill::Spoilt,
+                partner.set_fault(match turn.kind {
+                    Kind::Slow => PartnerFault::Slow(turn.factor),
+                    Kind::Cuts => PartnerFault::TruncatedResponses,
+                    _ => PartnerFault::MalformedResponses,
                 });
                 sleep(span).await;
-                partner.set(Ill::None);
+                partner.set_fault(PartnerFault::None);
                 Ok(())
             }
             Kind::Drain => {
                 let Some(endpoint) = self.endpoints(turn.whom).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(mut host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                host.state = Listed::Draining;
-                self.platform.list(host.clone());
+                let Some(mut host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                host.state = EndpointState::Draining;
+                self.platform.update_entry(host.clone());
                 sleep(span).await;
-                host.state = Listed::Removed;
-                self.platform.list(host);
+                host.state = EndpointState::Removed;
+                self.platform.update_entry(host);
                 // Gone from the list, it still stands for the rule's grace; then a new one comes.
                 sleep(Duration::from_millis(1500)).await;
                 self.newcomer(turn, endpoint).await
@@ -519,26 +524,26 @@
                 let Some(endpoint) = self.endpoints(turn.whom).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                self.platform.list(Host { state: Listed::Removed, ..host });
+                let Some(host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                self.platform.update_entry(EndpointEntry { state: EndpointState::Removed, ..host });
                 self.newcomer(turn, endpoint).await
             }
             Kind::PlatformSilent => {
-                self.platform.set(|mood| mood.silent = true);
+                self.platform.set_behavior(|mood| mood.silent = true);
                 sleep(span).await;
-                self.platform.set(|mood| mood.silent = false);
+                self.platform.set_behavior(|mood| mood.silent = false);
                 Ok(())
             }
             Kind::PlatformTorn => {
-                self.platform.set(|mood| mood.torn = true);
+                self.platform.set_behavior(|mood| mood.truncate_updates = true);
                 sleep(span).await;
-                self.platform.set(|mood| mood.torn = false);
+                self.platform.set_behavior(|mood| mood.truncate_updates = false);
                 Ok(())
             }
             Kind::PlatformLate => {
-                self.platform.set(|mood| mood.late = Duration::from_secs_f64(turn.factor));
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::from_secs_f64(turn.factor));
                 sleep(span).await;
-                self.platform.set(|mood| mood.late = Duration::ZERO);
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::ZERO);
                 Ok(())
             }
         }
@@ -586,7 +591,7 @@
                 if process.id().is_none() {
                     return;
                 }
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 process.ended(Duration::from_secs(10)).await;
                 mischief::turn_back(process, folder);
                 if let Err(error) = self.restart(one).await {
@@ -628,19 +633,22 @@
 
     /// A new endpoint under a new name, at the address of one that is gone.
     async fn newcomer(&self, turn: &Turn, old: Arc<Endpoint>) -> io::Result<()> {
-        old.set_door(Sockets::Refusing).await?;
+        old.set_socket_state(SocketState::Refusing).await?;
         let spec = &self.scenario.partners[turn.whom];
         let count = self.scenario.dispatchers.count;
-        let at: Vec<_> = (0..count).filter_map(|dispatcher| old.at(dispatcher)).collect();
+        let at: Vec<_> = (0..count).filter_map(|dispatcher| old.address(dispatcher)).collect();
         let number = self.renamed.fetch_add(1, Ordering::SeqCst);
         let name = format!("{}-{}-new{number}", spec.name, turn.endpoint);
         let partner = &self.partners[turn.whom];
-        let traits =
-            Traits { idle: Some(Duration::from_secs_f64(spec.idle_s)), connections: spec.connections };
-        let door = Door(partner.clone(), turn.endpoint);
+        let traits = ConnectionLimits {
+            idle_timeout: Some(Duration::from_secs_f64(spec.idle_s)),
+            max_connections: spec.connections,
+        };
+        let door = PartnerEndpoint(partner.clone(), turn.endpoint);
         let (recorder, numbers) = (self.recorder.clone(), self.numbers.clone());
-        let endpoint = Endpoint::start(&name, partner.dest(), &at, traits, door, recorder, numbers).await?;
-        self.platform.list(host(&self.scenario, turn.whom, &endpoint, count));
+        let endpoint =
+            Endpoint::start(&name, partner.destination(), &at, traits, door, recorder, numbers).await?;
+        self.platform.update_entry(host(&self.scenario, turn.whom, &endpoint, count));
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(place) = endpoints[turn.whom].get_mut(turn.endpoint) {
             *place = Arc::new(endpoint);
@@ -667,27 +675,30 @@
 impl Progress {
     fn follow(&mut self, entries: &[Entry]) {
         for entry in &entries[self.seen.min(entries.len())..] {
-            match &entry.what {
-                What::Answered { id, status: 200 | 202 } => {
+            match &entry.event {
+                Event::Answered { id, status: 200 | 202 } => {
                     self.taken += 1;
                     if self.early.remove(id).is_none() {
                         self.open.insert(id.clone(), ());
                     }
                 }
-                What::Answered { status: 429 | 503, .. } => self.refused += 1,
-                What::Call { call, items, .. } => {
+                Event::Answered { status: 429 | 503, .. } => self.refused += 1,
+                Event::Call { call, items, .. } => {
                     self.calls.insert(*call, items.iter().map(|item| item.id.clone()).collect());
                 }
-                What::Ended { call, how, fates, .. } => {
+                Event::CallEnded { call, end, results, .. } => {
                     let ids = self.calls.remove(call).unwrap_or_default();
                     for (i, id) in ids.iter().enumerate() {
                         let alone = ids.len() == 1;
-                        let over = match (how, fates.get(i)) {
-                            (End::Answered(200) | End::Cut(200), _) if alone => true,
-                            (End::Answered(200), Some(fate)) => {
-                                matches!(fate, record::Fate::Delivered | record::Fate::Over)
+                        let over = match (end, results.get(i)) {
+                            (CallEnd::Answered(200) | CallEnd::Truncated(200), _) if alone => true,
+                            (CallEnd::Answered(200), Some(result)) => {
+                                matches!(
+                                    result,
+                                    record::MessageResult::Delivered | record::MessageResult::Expired
+                                )
                             }
-                            (End::Answered(410), _) => true,
+                            (CallEnd::Answered(410), _) => true,
                             _ => false,
                         };
                         if over {
@@ -696,7 +707,7 @@
                         }
                     }
                 }
-                What::Notice { id, status: 204, .. } => {
+                Event::Notice { id, status: 204, .. } => {
                     self.noticed += 1;
                     self.close(id);
                 }
@@ -728,7 +739,7 @@
         }
         turns += 1;
         if progress && turns % 4 == 0 {
-            stage.recorder.with(|entries| state.follow(entries));
+            stage.recorder.with_entries(|entries| state.follow(entries));
             let seconds = (stage.recorder.now() - began) as f64 / 1e6;
             let up = stage.processes.iter().filter(|process| process.id().is_some()).count();
             eprintln!(
--- a/crates/lab/src/stage.rs
+++ b/crates/lab/src/stage.rs
@@ -1,10 +1,10 @@
 //! The stand-ins for tests that are not asynchronous themselves: scripted endpoints, a platform, clients, and a
 //! dispatcher as a process. They run on one thread of their own, however many tests use them.
 
-use crate::endpoint::{self, Call, How, Traits};
-use crate::http::Wire;
-use crate::platform::{self, Mood};
-use crate::record::{End, Recorder};
+use crate::endpoint::{self, Call, ConnectionLimits, EndpointResponse};
+use crate::http::HttpConnection;
+use crate::platform::{self, PlatformBehavior};
+use crate::record::{CallEnd, Recorder};
 use fawnspoke_control::protocol::{Request as DoorCall, Response as DoorReply};
 use serde_json::{Value, json};
 use std::fs;
@@ -19,7 +19,7 @@
 use tokio::runtime::Handle;
 use tokio::time::timeout;
 
-pub use crate::http::Http;
+pub use crate::http::HttpMessage;
 
 /// Far longer than anything takes that is waited for.
 const PATIENCE: Duration = Duration::from_secs(30);
@@ -81,14 +81,16 @@
     fn carried_out(self) -> endpoint::Reply {
         use endpoint::Reply as Out;
         match self {
-            Reply::Answer(status, headers, body) => Out::now(How::Answer(status, headers, body.into_bytes())),
-            Reply::Late(after, status) => Out::status(status).late(after),
-            Reply::AnswerAndClose(status) => Out::now(How::AnswerAndClose(status)),
+            Reply::Answer(status, headers, body) => {
+                Out::immediate(EndpointResponse::Complete(status, headers, body.into_bytes()))
+            }
+            Reply::Late(after, status) => Out::status(status).delayed(after),
+            Reply::AnswerAndClose(status) => Out::immediate(EndpointResponse::CompleteAndClose(status)),
             // How it counts is of no concern: tests look at what follows.
-            Reply::Raw(bytes) => Out::now(How::Raw(bytes, End::Broken)),
-            Reply::Endless(first, more) => Out::now(How::Endless(first, more)),
-            Reply::Break => Out::now(How::Break),
-            Reply::Hang => Out::now(How::Hang),
+            Reply::Raw(bytes) => Out::immediate(EndpointResponse::Raw(bytes, CallEnd::Broken)),
+            Reply::Endless(first, more) => Out::immediate(EndpointResponse::Endless(first, more)),
+            Reply::Break => Out::immediate(EndpointResponse::Disconnect),
+            Reply::Hang => Out::immediate(EndpointResponse::Hang),
         }
     }
 }
@@ -97,7 +99,7 @@
 #[derive(Clone, Debug)]
 pub struct Seen {
     /// The request.
-    pub request: Http,
+    pub request: HttpMessage,
     /// The connection it came on, counted from 0.
     pub connection: usize,
     /// When it was there in full.
@@ -111,21 +113,21 @@
     }
 }
 
-type Decide = dyn Fn(usize, &Http) -> Reply + Send + Sync;
+type Decide = dyn Fn(usize, &HttpMessage) -> Reply + Send + Sync;
 
 struct Scripted {
     decide: Box<Decide>,
     seen: Arc<Mutex<Vec<Seen>>>,
 }
 
-impl endpoint::Script for Scripted {
-    fn begin(&self, call: &Call) -> endpoint::Reply {
+impl endpoint::CallHandler for Scripted {
+    fn handle(&self, call: &Call) -> endpoint::Reply {
         let number = {
             let mut seen = lock(&self.seen);
             seen.push(Seen {
                 request: call.request.clone(),
                 connection: call.connection,
-                at: call.request.whole,
+                at: call.request.last_byte_at,
             });
             seen.len() - 1
         };
@@ -147,7 +149,7 @@
     ///
     /// # Panics
     /// Where there is none.
-    pub fn start(script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static) -> Endpoint {
+    pub fn start(script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static) -> Endpoint {
         Endpoint::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), script)
     }
 
@@ -156,17 +158,25 @@
     /// # Panics
     /// Where it can't listen there.
     pub fn start_at(
-        at: SocketAddr, script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
+        at: SocketAddr, script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
     ) -> Endpoint {
         let seen = Arc::new(Mutex::new(Vec::new()));
         let script = Scripted { decide: Box::new(script), seen: seen.clone() };
         let recorder = Recorder::new(ENTRIES_MOST);
         let started = async {
-            endpoint::Endpoint::start("e", 0, &[at], Traits::default(), script, recorder, Arc::default())
-                .await
+            endpoint::Endpoint::start(
+                "e",
+                0,
+                &[at],
+                ConnectionLimits::default(),
+                script,
+                recorder,
+                Arc::default(),
+            )
+            .await
         };
         let endpoint = handle().block_on(started).expect("an endpoint that listens");
-        Endpoint { at: endpoint.at(0).expect("its address"), seen, endpoint: Arc::new(endpoint) }
+        Endpoint { at: endpoint.address(0).expect("its address"), seen, endpoint: Arc::new(endpoint) }
     }
 
     /// What it has seen.
@@ -182,12 +192,13 @@
     /// Connections that are open.
     pub fn open(&self) -> usize {
         let counters = self.endpoint.counters();
-        counters.connections.load(Ordering::SeqCst) - counters.ended.load(Ordering::SeqCst)
+        counters.accepted_connections.load(Ordering::SeqCst)
+            - counters.closed_connections.load(Ordering::SeqCst)
     }
 
     /// Calls that the other side gave up.
     pub fn given_up(&self) -> usize {
-        self.endpoint.counters().given_up.load(Ordering::SeqCst)
+        self.endpoint.counters().abandoned_calls.load(Ordering::SeqCst)
     }
 
     /// Its line in discovery's list.
@@ -221,15 +232,15 @@
     /// Where it can't listen.
     pub fn start() -> Platform {
         let (platform, _) = platform::Platform::new(Vec::new(), Recorder::new(ENTRIES_MOST));
-        platform.set(|mood| mood.heartbeats = false);
+        platform.set_behavior(|mood| mood.heartbeats = false);
         let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let at = handle().block_on(platform.agent(0, at)).expect("a platform that listens");
+        let at = handle().block_on(platform.start_agent(0, at)).expect("a platform that listens");
         Platform { at, platform }
     }
 
     /// Changes its mood.
-    pub fn set(&self, change: impl FnOnce(&mut Mood)) {
-        self.platform.set(change);
+    pub fn set(&self, change: impl FnOnce(&mut PlatformBehavior)) {
+        self.platform.set_behavior(change);
     }
 
     /// Connections are taken and nothing but notices is answered.
@@ -259,13 +270,13 @@
     }
 
     fn say(&self, seq: Option<u64>, line: &str) {
-        let said = async { timeout(PATIENCE, self.platform.say(seq, line)).await };
+        let said = async { timeout(PATIENCE, self.platform.push_line(seq, line)).await };
         handle().block_on(said).expect("a watch");
     }
 
     /// The paths of the watches that were asked for.
     pub fn watched_from(&self) -> Vec<String> {
-        self.platform.watched().into_iter().map(|(_, path)| path).collect()
+        self.platform.watch_requests().into_iter().map(|(_, path)| path).collect()
     }
 
     /// The outcomes told for a message.
@@ -516,7 +527,7 @@
     /// Where it doesn't come up.
     pub fn connect(&self) -> Client {
         let at = self.at.expect("a process that listens");
-        let wire = handle().block_on(async { Wire::connect(at, PATIENCE).await });
+        let wire = handle().block_on(async { HttpConnection::connect(at, PATIENCE).await });
         Client(wire.expect("a connection"))
     }
 
@@ -550,7 +561,7 @@
 }
 
 /// A client's connection.
-pub struct Client(Wire);
+pub struct Client(HttpConnection);
 
 impl Client {
     /// Writes bytes.
@@ -566,7 +577,7 @@
     /// # Panics
     /// Where the connection has ended.
     pub fn end_sending(&mut self) {
-        handle().block_on(self.0.end_sending()).expect("an open connection");
+        handle().block_on(self.0.shutdown_write()).expect("an open connection");
     }
 
     /// Sends a message and doesn't wait.
@@ -584,14 +595,14 @@
     ///
     /// # Panics
     /// Where none comes in 30 s.
-    pub fn answer(&mut self) -> Http {
-        let answered = async { timeout(PATIENCE, self.0.answer()).await };
+    pub fn answer(&mut self) -> HttpMessage {
+        let answered = async { timeout(PATIENCE, self.0.read_response()).await };
         handle().block_on(answered).expect("an answer in time").expect("an answer")
     }
 
     /// The next answer; none where the connection ends without one.
-    pub fn try_answer(&mut self) -> Option<Http> {
-        let answered = async { timeout(PATIENCE, self.0.answer()).await };
+    pub fn try_answer(&mut self) -> Option<HttpMessage> {
+        let answered = async { timeout(PATIENCE, self.0.read_response()).await };
         handle().block_on(answered).ok()?.ok()
     }
 
@@ -599,7 +610,7 @@
     pub fn closes(&mut self) -> bool {
         let closed = async {
             loop {
-                match self.0.piece().await {
+                match self.0.read_available().await {
                     Ok(piece) if piece.is_empty() => return true,
                     Ok(_) => {}
                     Err(error) => return error.kind() == io::ErrorKind::ConnectionReset,
@@ -610,7 +621,7 @@
     }
 
     /// Sends a message and waits for its answer.
-    pub fn hand_in(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) -> Http {
+    pub fn hand_in(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) -> HttpMessage {
         self.send(class, id, dest, timeout_ms, body);
         self.answer()
     }
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -1,6 +1,6 @@
 //! What came of a run, as text.
 
-use crate::auditor::{Tally, Verdict};
+use crate::auditor::{ClassCounts, Verdict};
 use std::fmt::Write;
 
 /// Breaches that are printed; the rest is counted.
@@ -30,20 +30,20 @@
         "p99.9 ms",
     ];
     let mut rows = vec![heads.map(String::from).to_vec()];
-    let mut all = Tally::default();
+    let mut all = ClassCounts::default();
     for (name, tally) in &verdict.classes {
         rows.push(row(name, tally));
         all.messages += tally.messages;
-        all.taken += tally.taken;
+        all.accepted += tally.accepted;
         all.delivered += tally.delivered;
-        all.in_aim += tally.in_aim;
+        all.within_target += tally.within_target;
         all.given_up += tally.given_up;
         all.handed_back += tally.handed_back;
-        all.refused += tally.refused;
-        all.unheard += tally.unheard;
+        all.rejected += tally.rejected;
+        all.unanswered += tally.unanswered;
         all.lost += tally.lost;
-        all.doubled += tally.doubled;
-        all.doubled_by_clients += tally.doubled_by_clients;
+        all.duplicated += tally.duplicated;
+        all.duplicated_by_clients += tally.duplicated_by_clients;
         all.latencies.extend(&tally.latencies);
     }
     rows.push(row("all", &all));
@@ -64,34 +64,36 @@
         text.push_str(cells.join("  ").trim_end());
         text.push('\n');
     }
-    if all.doubled_by_clients > 0 {
-        let count = all.doubled_by_clients;
+    if all.duplicated_by_clients > 0 {
+        let count = all.duplicated_by_clients;
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{count} took effect under two ids: their clients had handed them in twice");
     }
-    for (name, Tally { found, untried, .. }) in verdict.classes.iter().filter(|(_, tally)| tally.found > 0) {
+    for (name, ClassCounts { recovered, never_called, .. }) in
+        verdict.classes.iter().filter(|(_, tally)| tally.recovered > 0)
+    {
         let _ = writeln!(
             text,
-            "restarts found {found} of {name} untried with time left; never called: {untried}"
+            "restarts found {recovered} of {name} untried with time left; never called: {never_called}"
         );
     }
     text
 }
 
-fn row(name: &str, tally: &Tally) -> Vec<String> {
+fn row(name: &str, tally: &ClassCounts) -> Vec<String> {
     let mut sorted = tally.latencies.clone();
     sorted.sort_unstable();
     let counts = [
         tally.messages,
-        tally.taken,
+        tally.accepted,
         tally.delivered,
-        tally.in_aim,
+        tally.within_target,
         tally.given_up,
         tally.handed_back,
-        tally.refused,
-        tally.unheard,
+        tally.rejected,
+        tally.unanswered,
         tally.lost,
-        tally.doubled,
+        tally.duplicated,
     ];
     let quantiles = [0.5, 0.99, 0.999].map(|share| format!("{:.1}", quantile(&sorted, share)));
     std::iter::once(name.to_string()).chain(counts.map(|n| n.to_string())).chain(quantiles).collect()
@@ -99,17 +101,17 @@
 
 /// The auditor's word: clean, or each rule that was broken with its first breaches.
 pub fn verdict(verdict: &Verdict) -> String {
-    if verdict.clean() {
+    if verdict.is_clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
     }
     let mut text = String::from("verdict: BROKEN\n");
-    for (rule, count) in &verdict.counts {
+    for (rule, count) in &verdict.breach_counts {
         let _ = writeln!(text, "  {rule}: {count}");
     }
     for breach in verdict.breaches.iter().take(PRINTED) {
         let _ = writeln!(text, "{breach}");
     }
-    let left = verdict.counts.values().sum::<u64>() as usize;
+    let left = verdict.breach_counts.values().sum::<u64>() as usize;
     if left > PRINTED {
         let _ = writeln!(text, "... and {} more", left - PRINTED);
     }
--- a/crates/lab/src/upgrader.rs
+++ b/crates/lab/src/upgrader.rs
@@ -2,7 +2,7 @@
 //! in some of them a kill of the old one, the new one or both at a moment that a seed draws.
 
 use crate::process::{Process, Second, serves};
-use crate::record::{Recorder, Sig, What};
+use crate::record::{Event, ProcessSignal, Recorder};
 use crate::scenario::Upgrader;
 use hdrhistogram::Histogram;
 use std::fmt;
@@ -175,7 +175,7 @@
 ) -> bool {
     let dispatcher = process.index();
     // On record first, as any kill: whoever is left may be late with its notices, and clients of the dead one try again.
-    recorder.add(What::Signalled { dispatcher, signal: Sig::Kill });
+    recorder.add(Event::SignalSent { dispatcher, signal: ProcessSignal::Kill });
     process.may_end();
     if victim != Victim::New {
         signal(first, rustix::process::Signal::KILL);
@@ -210,7 +210,7 @@
             } else {
                 to.lock().unwrap_or_else(PoisonError::into_inner).served_on += 1;
             }
-            recorder.add(What::Ready { dispatcher });
+            recorder.add(Event::ProcessReady { dispatcher });
             return true;
         }
         sleep(LOOK).await;
