--- a/crates/fawnspoke/tests/sockets/support.rs
+++ b/crates/fawnspoke/tests/sockets/support.rs
@@ -1,7 +1,7 @@
 //! The lab's stand-ins, with this program as the dispatcher.
 
 pub use fawnspoke_lab::blocking::{
-    Client, Endpoint, Http, Platform, Reply, draining_endpoint, eventually, list_entry,
+    Client, Endpoint, HttpMessage, Platform, Reply, draining_endpoint, eventually, list_entry,
 };
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,14 +1,16 @@
 //! Plays a scenario: starts all stand-ins and the dispatchers, carries out the script, and gives the record.
 
 use crate::clients::SimulatedClients;
-use crate::endpoint::{Door as Sockets, Endpoint, Traits};
+use crate::endpoint::{ConnectionLimits, Endpoint, SocketState};
 use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
 use crate::message_registry::Ledger;
-use crate::partner::{Door, Partner, Trouble as Ill};
-use crate::platform::{Host, Platform};
+use crate::partner::{Partner, PartnerEndpoint, PartnerFault};
+use crate::platform::{EndpointEntry, Platform};
 use crate::process::{Process, Program};
-use crate::record::{self, Effect, End, Entry, Listed, Micros, Recorder, Rules, Sig, What};
+use crate::record::{
+    self, CallEnd, Effect, EndpointState, Entry, Event, Micros, ProcessSignal, Recorder, Rules,
+};
 use crate::scenario::{FaultKind, RateLimit, Scenario, ValueDecay};
 use crate::script::{FaultEvent, Script, target_name};
 use crate::upgrader::{Upgrades, upgrade};
@@ -122,22 +124,22 @@
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
-        window: micros(class.key_window_s),
-        aim: micros(class.target_latency_s),
+        key_window: micros(class.key_window_s),
+        target_latency: micros(class.target_latency_s),
         ordered: false,
     };
-    let place = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
-        dest: i as u32 + 1,
+    let place = |(i, partner): (usize, &crate::scenario::Partner)| record::DestinationCapacity {
+        destination: i as u32 + 1,
         capacity: partner.capacity_per_s,
     };
     Rules {
         classes: scenario.classes.iter().map(class).collect(),
-        places: scenario.partners.iter().enumerate().map(place).collect(),
-        cold: micros(scenario.recovery.warm_up_s),
-        cold_share: scenario.recovery.initial_capacity_share,
-        multiple: scenario.recovery.overload_multiple,
-        fall: micros(scenario.recovery.overload_s),
-        slack: scenario.slack_ms * 1000,
+        capacities: scenario.partners.iter().enumerate().map(place).collect(),
+        warm_up: micros(scenario.recovery.warm_up_s),
+        initial_capacity_share: scenario.recovery.initial_capacity_share,
+        overload_multiple: scenario.recovery.overload_multiple,
+        overload_time: micros(scenario.recovery.overload_s),
+        tolerance: scenario.slack_ms * 1000,
         ..Rules::default()
     }
 }
@@ -197,7 +199,7 @@
     scenario: &Scenario, script: &Script, options: &RunOptions,
 ) -> io::Result<RunOutcome> {
     let recorder = Recorder::new(ENTRIES_MOST);
-    recorder.add(What::Rules(rules(scenario)));
+    recorder.add(Event::Rules(rules(scenario)));
     let stage = set_up(scenario, script, options, recorder.clone()).await?;
     let stage = Arc::new(stage);
     for index in 0..stage.processes.len() {
@@ -270,15 +272,15 @@
     let mut progress = Progress::default();
     loop {
         sleep(Duration::from_millis(100)).await;
-        recorder.with(|entries| progress.follow(entries));
+        recorder.with_entries(|entries| progress.follow(entries));
         if (stage.clients.active_submissions() == 0 && progress.open.is_empty()) || recorder.now() > until {
             break;
         }
     }
-    recorder.add(What::Done);
+    recorder.add(Event::RunEnded);
     watching.abort();
     let entries = recorder.entries();
-    if recorder.full() {
+    if recorder.is_full() {
         return Err(io::Error::other("the record is full: the scenario is too large to be judged"));
     }
     let resident_kb = {
@@ -286,12 +288,12 @@
         (0..stage.processes.len()).map(|i| peaks.get(&i).copied().unwrap_or(0)).collect()
     };
     for process in &stage.processes {
-        process.signal(Sig::Kill);
+        process.signal(ProcessSignal::Kill);
     }
     for process in &stage.processes {
         process.wait_for_exit(Duration::from_secs(10)).await;
     }
-    let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
+    let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.has_collapsed());
     let fallen = fallen.map(|(_, spec)| spec.name.clone()).collect();
     let kills = counter.kills();
     let mut upgrades = std::mem::take(&mut *upgrades.lock().unwrap_or_else(PoisonError::into_inner));
@@ -316,7 +318,7 @@
 ) -> io::Result<Stage> {
     let network = Network::draw().await?;
     let count = scenario.dispatchers.count;
-    let (ledger, numbers) = (Arc::new(Ledger::default()), Arc::new(AtomicU64::new(1)));
+    let (ledger, numbers) = (Arc::new(MessageRegistry::default()), Arc::new(AtomicU64::new(1)));
     let (mut partners, mut endpoints, mut hosts) = (Vec::new(), Vec::new(), Vec::new());
     for (i, spec) in scenario.partners.iter().enumerate() {
         let dest = i as u32 + 1;
@@ -334,11 +336,11 @@
             // An address for each partner; its endpoints differ by port.
             let at = vec![network.at(20 + (i % 200) as u8, 0); count];
             let name = format!("{}-{n}", spec.name);
-            let traits = Traits {
-                idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
-                connections: spec.max_connections,
+            let traits = ConnectionLimits {
+                idle_timeout: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
+                max_connections: spec.max_connections,
             };
-            let door = Door(partner.clone(), n);
+            let door = PartnerEndpoint(partner.clone(), n);
             let endpoint =
                 Endpoint::start(&name, dest, &at, traits, door, recorder.clone(), numbers.clone()).await?;
             hosts.push(host(scenario, i, &endpoint, count));
@@ -351,7 +353,7 @@
     let (mut processes, mut configs, mut listens) = (Vec::new(), Vec::new(), Vec::new());
     for index in 0..count {
         let host = 1 + index as u8;
-        platform.agent(index, network.at(host, 0)).await?;
+        platform.start_agent(index, network.at(host, 0)).await?;
         // A port that was free just now, in a network that nobody else draws from.
         let listen = TcpListener::bind(network.at(host, 0)).await?.local_addr()?;
         let log = options.folder.join(format!("n{index}.log"));
@@ -387,34 +389,34 @@
     })
 }
 
-fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> Host {
+fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> EndpointEntry {
     let spec = &scenario.partners[partner];
     let share = if spec.rate_limit == RateLimit::None {
         spec.capacity_per_s
     } else {
         spec.limit_per_s.min(spec.capacity_per_s)
     };
-    Host {
+    EndpointEntry {
         name: endpoint.name().into(),
-        dial: (0..count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
-        site: "lab".into(),
-        class: kind_name(spec.max_batch),
-        block: partner as u32 + 1,
-        state: Listed::Up,
-        share,
+        addresses: (0..count).filter_map(|dispatcher| endpoint.address(dispatcher)).collect(),
+        zone: "lab".into(),
+        destination_kind: kind_name(spec.max_batch),
+        destination: partner as u32 + 1,
+        state: EndpointState::Up,
+        rate_limit_per_s: share,
     }
 }
 
 impl Stage {
     fn agent(&self, index: usize) -> io::Result<SocketAddr> {
-        self.platform.at(index).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.platform.agent_address(index).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     /// Writes a dispatcher's configuration as the platform would now.
     fn configure(&self, index: usize) -> io::Result<()> {
         let mut config = self.configs[index].clone();
         config["discovery"] = self.agent(index)?.to_string().into();
-        config["known"] = self.platform.known(index);
+        config["known"] = self.platform.known_list(index);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
         config["seed"] = format!("{seed:016x}").into();
         self.processes[index].write_config(&config)
@@ -424,9 +426,9 @@
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)[partner].clone()
     }
 
-    async fn doors(&self, partner: usize, door: Sockets) -> io::Result<()> {
+    async fn doors(&self, partner: usize, door: SocketState) -> io::Result<()> {
         for endpoint in self.endpoints(partner) {
-            endpoint.set_door(door).await?;
+            endpoint.set_socket_state(door).await?;
         }
         Ok(())
     }
@@ -452,15 +454,16 @@
         Ok(())
     }
 
-    async fn outage(&self, turn: &FaultEvent, trouble: Ill, door: Sockets) -> io::Result<()> {
+    async fn outage(&self, turn: &FaultEvent, trouble: PartnerFault, door: SocketState) -> io::Result<()> {
         let partner = &self.partners[turn.target];
-        let refusing = door == Sockets::Refusing;
-        self.recorder.add(What::Out { dest: partner.dest(), refusing });
-        partner.set(trouble);
+        let refusing = door == SocketState::Refusing;
+        self.recorder
+            .add(Event::OutageStarted { destination: partner.destination(), refuses_connections: refusing });
+        partner.set_fault(trouble);
         self.doors(turn.target, door).await?;
         sleep(Duration::from_micros(turn.duration)).await;
-        partner.come_back();
-        self.doors(turn.target, Sockets::Open).await
+        partner.recover();
+        self.doors(turn.target, SocketState::Open).await
     }
 
     async fn turn(&self, turn: &FaultEvent) -> io::Result<()> {
@@ -468,7 +471,7 @@
         match turn.kind {
             FaultKind::Kill => {
                 let process = &self.processes[turn.target];
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 let [least, most] = self.scenario.clients.failure_detection_ms;
                 let notice = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(least..=most);
                 tokio::join!(self.restart(turn.target), async {
@@ -482,53 +485,53 @@
             }
             FaultKind::Term => {
                 let process = &self.processes[turn.target];
-                process.signal(Sig::Term);
+                process.signal(ProcessSignal::Term);
                 sleep(FRONT_AFTER_TERM).await;
                 self.clients.set_alive(turn.target, false);
                 if !process.wait_for_exit(KILL_AFTER - FRONT_AFTER_TERM).await {
-                    process.signal(Sig::Kill);
+                    process.signal(ProcessSignal::Kill);
                 }
                 self.restart(turn.target).await
             }
             FaultKind::Stop => {
-                self.processes[turn.target].signal(Sig::Stop);
+                self.processes[turn.target].signal(ProcessSignal::Stop);
                 sleep(span).await;
-                self.processes[turn.target].signal(Sig::Cont);
+                self.processes[turn.target].signal(ProcessSignal::Cont);
                 Ok(())
             }
             FaultKind::Reload => {
                 let host = 1 + turn.target as u8;
-                self.platform.agent(turn.target, self.network.at(host, 0)).await?;
+                self.platform.start_agent(turn.target, self.network.at(host, 0)).await?;
                 self.configure(turn.target)?;
-                self.processes[turn.target].signal(Sig::Hup);
+                self.processes[turn.target].signal(ProcessSignal::Hup);
                 Ok(())
             }
-            FaultKind::Down => self.outage(turn, Ill::None, Sockets::Refusing).await,
-            FaultKind::Silent => self.outage(turn, Ill::None, Sockets::Silent).await,
-            FaultKind::Hang => self.outage(turn, Ill::Hang, Sockets::Open).await,
-            FaultKind::Shut => self.outage(turn, Ill::Shut, Sockets::Open).await,
-            FaultKind::Errors => self.outage(turn, Ill::Errors, Sockets::Open).await,
+            FaultKind::Down => self.outage(turn, PartnerFault::None, SocketState::Refusing).await,
+            FaultKind::Silent => self.outage(turn, PartnerFault::None, SocketState::Silent).await,
+            FaultKind::Hang => self.outage(turn, PartnerFault::Hang, SocketState::Open).await,
+            FaultKind::Shut => self.outage(turn, PartnerFault::RejectAll, SocketState::Open).await,
+            FaultKind::Errors => self.outage(turn, PartnerFault::Errors, SocketState::Open).await,
             FaultKind::Slow | FaultKind::Cuts | FaultKind::Spoilt => {
                 let partner = &self.partners[turn.target];
-                partner.set(match turn.kind {
-                    FaultKind::Slow => Ill::Slow(turn.factor),
-                    FaultKind::Cuts => Ill::Cuts,
-                    _ => Ill::Spoilt,
+                partner.set_fault(match turn.kind {
+                    FaultKind::Slow => PartnerFault::Slow(turn.factor),
+                    FaultKind::Cuts => PartnerFault::TruncatedResponses,
+                    _ => PartnerFault::MalformedResponses,
                 });
                 sleep(span).await;
-                partner.set(Ill::None);
+                partner.set_fault(PartnerFault::None);
                 Ok(())
             }
             FaultKind::Drain => {
                 let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(mut host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                host.state = Listed::Draining;
-                self.platform.list(host.clone());
+                let Some(mut host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                host.state = EndpointState::Draining;
+                self.platform.update_entry(host.clone());
                 sleep(span).await;
-                host.state = Listed::Removed;
-                self.platform.list(host);
+                host.state = EndpointState::Removed;
+                self.platform.update_entry(host);
                 // Gone from the list, it still stands for the rule's grace; then a new one comes.
                 sleep(Duration::from_millis(1500)).await;
                 self.newcomer(turn, endpoint).await
@@ -537,26 +540,26 @@
                 let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                self.platform.list(Host { state: Listed::Removed, ..host });
+                let Some(host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                self.platform.update_entry(EndpointEntry { state: EndpointState::Removed, ..host });
                 self.newcomer(turn, endpoint).await
             }
             FaultKind::PlatformSilent => {
-                self.platform.set(|mood| mood.silent = true);
+                self.platform.set_behavior(|mood| mood.silent = true);
                 sleep(span).await;
-                self.platform.set(|mood| mood.silent = false);
+                self.platform.set_behavior(|mood| mood.silent = false);
                 Ok(())
             }
             FaultKind::PlatformTorn => {
-                self.platform.set(|mood| mood.torn = true);
+                self.platform.set_behavior(|mood| mood.truncate_updates = true);
                 sleep(span).await;
-                self.platform.set(|mood| mood.torn = false);
+                self.platform.set_behavior(|mood| mood.truncate_updates = false);
                 Ok(())
             }
             FaultKind::PlatformLate => {
-                self.platform.set(|mood| mood.late = Duration::from_secs_f64(turn.factor));
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::from_secs_f64(turn.factor));
                 sleep(span).await;
-                self.platform.set(|mood| mood.late = Duration::ZERO);
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::ZERO);
                 Ok(())
             }
         }
@@ -605,7 +608,7 @@
                 if process.pid().is_none() {
                     return;
                 }
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 process.wait_for_exit(Duration::from_secs(10)).await;
                 fleet_faults::turn_back(process, folder);
                 if let Err(error) = self.restart(one).await {
@@ -647,21 +650,22 @@
 
     /// A new endpoint under a new name, at the address of one that is gone.
     async fn newcomer(&self, turn: &FaultEvent, old: Arc<Endpoint>) -> io::Result<()> {
-        old.set_door(Sockets::Refusing).await?;
+        old.set_socket_state(SocketState::Refusing).await?;
         let spec = &self.scenario.partners[turn.target];
         let count = self.scenario.dispatchers.count;
-        let at: Vec<_> = (0..count).filter_map(|dispatcher| old.at(dispatcher)).collect();
+        let at: Vec<_> = (0..count).filter_map(|dispatcher| old.address(dispatcher)).collect();
         let number = self.renamed.fetch_add(1, Ordering::SeqCst);
         let name = format!("{}-{}-new{number}", spec.name, turn.endpoint);
         let partner = &self.partners[turn.target];
-        let traits = Traits {
-            idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
-            connections: spec.max_connections,
+        let traits = ConnectionLimits {
+            idle_timeout: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
+            max_connections: spec.max_connections,
         };
-        let door = Door(partner.clone(), turn.endpoint);
+        let door = PartnerEndpoint(partner.clone(), turn.endpoint);
         let (recorder, numbers) = (self.recorder.clone(), self.numbers.clone());
-        let endpoint = Endpoint::start(&name, partner.dest(), &at, traits, door, recorder, numbers).await?;
-        self.platform.list(host(&self.scenario, turn.target, &endpoint, count));
+        let endpoint =
+            Endpoint::start(&name, partner.destination(), &at, traits, door, recorder, numbers).await?;
+        self.platform.update_entry(host(&self.scenario, turn.target, &endpoint, count));
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(place) = endpoints[turn.target].get_mut(turn.endpoint) {
             *place = Arc::new(endpoint);
@@ -688,27 +692,30 @@
 impl Progress {
     fn follow(&mut self, entries: &[Entry]) {
         for entry in &entries[self.seen.min(entries.len())..] {
-            match &entry.what {
-                What::Answered { id, status: 200 | 202 } => {
+            match &entry.event {
+                Event::Answered { id, status: 200 | 202 } => {
                     self.taken += 1;
                     if self.early.remove(id).is_none() {
                         self.open.insert(id.clone(), ());
                     }
                 }
-                What::Answered { status: 429 | 503, .. } => self.refused += 1,
-                What::Call { call, items, .. } => {
+                Event::Answered { status: 429 | 503, .. } => self.refused += 1,
+                Event::Call { call, items, .. } => {
                     self.calls.insert(*call, items.iter().map(|item| item.id.clone()).collect());
                 }
-                What::Ended { call, how, fates, .. } => {
+                Event::CallEnded { call, end, results, .. } => {
                     let ids = self.calls.remove(call).unwrap_or_default();
                     for (i, id) in ids.iter().enumerate() {
                         let alone = ids.len() == 1;
-                        let over = match (how, fates.get(i)) {
-                            (End::Answered(200) | End::Cut(200), _) if alone => true,
-                            (End::Answered(200), Some(fate)) => {
-                                matches!(fate, record::Fate::Delivered | record::Fate::Over)
+                        let over = match (end, results.get(i)) {
+                            (CallEnd::Answered(200) | CallEnd::Truncated(200), _) if alone => true,
+                            (CallEnd::Answered(200), Some(result)) => {
+                                matches!(
+                                    result,
+                                    record::MessageResult::Delivered | record::MessageResult::Expired
+                                )
                             }
-                            (End::Answered(410), _) => true,
+                            (CallEnd::Answered(410), _) => true,
                             _ => false,
                         };
                         if over {
@@ -717,7 +724,7 @@
                         }
                     }
                 }
-                What::Notice { id, status: 204, .. } => {
+                Event::Notice { id, status: 204, .. } => {
                     self.noticed += 1;
                     self.close(id);
                 }
@@ -749,7 +756,7 @@
         }
         turns += 1;
         if progress && turns % 4 == 0 {
-            stage.recorder.with(|entries| state.follow(entries));
+            stage.recorder.with_entries(|entries| state.follow(entries));
             let seconds = (stage.recorder.now() - began) as f64 / 1e6;
             let up = stage.processes.iter().filter(|process| process.pid().is_some()).count();
             eprintln!(
