--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -1,7 +1,7 @@
 //! The lab's subcommands.
 
 use crate::auditor::audit as judge;
-use crate::fleet_measurements::{self, Fault};
+use crate::fleet_measurements::{self, HolderFault};
 use crate::killer::Kills;
 use crate::process::Program;
 use crate::record;
--- a/crates/lab/src/fleet_faults.rs
+++ b/crates/lab/src/fleet_faults.rs
@@ -3,7 +3,7 @@
 
 use crate::history;
 use crate::process::Process;
-use crate::record::Sig;
+use crate::record::ProcessSignal;
 use crate::relay::Relay;
 use crate::scenario::FleetSettings;
 use crate::topology::Topology;
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -4,7 +4,7 @@
 use crate::endpoint::{ConnectionLimits, Endpoint, SocketState};
 use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
-use crate::message_registry::Ledger;
+use crate::message_registry::MessageRegistry;
 use crate::partner::{Partner, PartnerEndpoint, PartnerFault};
 use crate::platform::{EndpointEntry, Platform};
 use crate::process::{Process, Program};
--- a/crates/lab/src/test_fleet.rs
+++ b/crates/lab/src/test_fleet.rs
@@ -2,7 +2,7 @@
 //! not asynchronous themselves.
 
 use crate::blocking::{Dispatcher, Platform, eventually};
-use crate::history::{self, Line};
+use crate::history::{self, LogLine};
 use crate::relay::{LinkState, Relay};
 use crate::topology::Topology;
 use fawnspoke_control::protocol::{Request, Response};
