--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -1,118 +1,119 @@
-//! The bytes of the journal, as `docs/journal-format.md` describes them. Nothing here does I/O, and no bytes make
-//! it panic.
+//! The on-disk format of the journal, as `docs/journal-format.md` describes it. This module does no I/O, and no
+//! input makes it panic.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// Microseconds of Unix time: the only clock that means the same to the next process.
+/// Microseconds of Unix time. A monotonic clock would mean nothing to the next process.
 pub type UnixMicros = u64;
 
-/// The first bytes of every segment.
+/// The magic number at the start of every segment.
 pub const MAGIC: [u8; 8] = *b"FSPKJRNL";
-/// The version of the format that this program writes. Segments of version 1 are read, too.
+/// The format version that this program writes. It also reads segments of version 1.
 pub const VERSION: u16 = 2;
-/// Length of a segment's header in bytes.
-pub const HEADER: usize = 48;
-/// Bytes before a record's payload: marker, length, checksum.
-pub const FRAME: usize = 8;
-/// First byte of each frame: after damage, readers look for the next one.
-const MARKER: u8 = 0xA7;
-/// No payload is longer, in bytes: the longest body is 64 KiB, and an opening lists up to 100,000 segments.
-pub const RECORD_MOST: usize = 4 * 1024 * 1024;
+/// Length of a segment header in bytes.
+pub const HEADER_BYTES: usize = 48;
+/// Bytes in front of a record's payload: marker, payload length and checksum.
+pub const FRAME_BYTES: usize = 8;
+/// First byte of each record frame. After damage, readers search for the next one.
+const RECORD_MARKER: u8 = 0xA7;
+/// Maximum payload length of a record. A message body has up to 64 KiB, but a [`Record::SegmentOpened`] lists up to
+/// 100,000 segments.
+pub const MAX_RECORD_BYTES: usize = 4 * 1024 * 1024;
 
-/// The zone of a call of which the record is lost.
+/// The zone of an attempt whose record is lost.
 pub const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// When and where a call was started.
+/// When and where an attempt was started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptStart {
-    /// When.
+    /// Time of the start.
     pub at: UnixMicros,
     /// The zone of the endpoint, or [`UNKNOWN_ZONE`].
     pub zone: u16,
 }
 
-/// How a message ended that was not delivered.
+/// How an undelivered message ended, as reported to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-    /// It may have run.
+    /// Delivery was given up: an attempt may have run.
     GivenUp,
-    /// It surely did not run, or running it again is harmless.
+    /// The message was handed back: no attempt ran, or running it again is harmless.
     HandedBack {
-        /// When to come again, in milliseconds.
+        /// Suggested delay before the client submits the message again, in milliseconds.
         retry_in_ms: u64,
     },
 }
 
-/// How a message stood with its customer's share when it was taken.
+/// A tenant's quota at the time when one of its messages was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaStatus {
-    /// It came beyond it.
+    /// Whether the message exceeded the quota.
     pub exceeded: bool,
-    /// What the customer could still hand in within it from then on, in thousandths of a message.
+    /// What remained of the quota after this message, in thousandths of a message.
     pub remaining_thousandths: u32,
 }
 
-/// What a customer could still hand in within its share, and when that was.
+/// What remained of a tenant's quota at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaLevel {
-    /// The customer's name.
+    /// The tenant's name.
     pub tenant: String,
-    /// In thousandths of a message.
+    /// What remained of the quota, in thousandths of a message.
     pub remaining_thousandths: u32,
-    /// When.
+    /// Time at which this was the level.
     pub at: UnixMicros,
 }
 
-/// A message as it was handed in.
+/// A message as the client submitted it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcceptedMessage {
-    /// The client's id of it.
+    /// The id that the client gave it.
     pub id: String,
-    /// Its class by name.
+    /// Name of its class.
     pub class: String,
-    /// The number of its destination.
+    /// Number of its destination.
     pub destination: u32,
-    /// When it was taken.
+    /// When it was accepted.
     pub accepted_at: UnixMicros,
-    /// When its time is up.
+    /// When its delivery deadline passes.
     pub deadline: UnixMicros,
     /// The idempotency key.
     pub key: Option<String>,
-    /// Its customer by name, where that one has a share.
+    /// Its tenant's name and quota, where the tenant has a quota.
     pub tenant: Option<(String, QuotaStatus)>,
-    /// The body; empty once a notice is owed.
+    /// The body; empty once a notice is due, as no further attempt needs it.
     pub body: Bytes,
 }
 
-/// How far a message has come: all that later records have added to its first one.
+/// The delivery state of a message: what later records have added to its first one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Calls that were started.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// The first call that may have run.
+    /// The first attempt that may have run.
     pub may_have_run: Option<AttemptStart>,
-    /// The call that is out.
+    /// The attempt in flight.
     pub in_flight: Option<AttemptStart>,
-    /// The notice that is owed to the platform.
+    /// The notice that the platform has yet to receive.
     pub notice: Option<Notice>,
 }
 
-/// A segment that was sealed, as its successors list it.
+/// A sealed segment, as later segments list it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sealed {
+pub struct SealedSegment {
     /// Its sequence number.
     pub segment: u64,
-    /// How many of its bytes count, its header among them.
+    /// Its valid length in bytes, including the header. Bytes beyond it are ignored.
     pub length: u64,
 }
 
-/// One fact.
+/// A journal record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record<'a> {
-    /// A message was taken on, as version 1 has it. Read as [`Record::Taken`], never written.
-    Taken1 {
-        /// See [`Record::Taken`].
+    /// Version 1 of [`Record::Accepted`]: read as that, never written.
+    AcceptedV1 {
+        /// See [`Record::Accepted`].
         number: u64,
         /// See [`AcceptedMessage`].
         id: &'a str,
@@ -128,68 +129,68 @@
         key: Option<&'a str>,
         /// See [`AcceptedMessage`].
         body: &'a [u8],
-        /// How far it had come when this copy was made; a first record has none.
+        /// Delivery state at the time of this copy; `None` in a message's first record.
         progress: Option<Progress>,
     },
-    /// A call is about to go out.
-    Started {
-        /// The message.
+    /// An attempt is about to be sent.
+    AttemptStarted {
+        /// Number of the message.
         number: u64,
-        /// When and where.
+        /// When and where it was started.
         start: AttemptStart,
     },
-    /// A call ended, the message did not.
-    Ended {
-        /// The message.
+    /// An attempt ended without delivering the message.
+    AttemptEnded {
+        /// Number of the message.
         number: u64,
-        /// Whether the call may have run.
+        /// Whether the attempt may have run.
         may_have_run: bool,
     },
-    /// The message ended undelivered; the platform has yet to hear.
-    Owed {
-        /// The message.
+    /// The message ended undelivered, and the platform has to be notified.
+    NoticeDue {
+        /// Number of the message.
         number: u64,
-        /// What the platform is to hear.
+        /// The notice to send.
         notice: Notice,
     },
-    /// Nothing more is owed for the message.
-    Over {
-        /// The message.
+    /// The message is finished: it needs neither an attempt nor a notice any more.
+    Closed {
+        /// Number of the message.
         number: u64,
-        /// The segment with its last [`Record::Taken`]: this record counts as long as that segment is there.
-        base: u64,
+        /// The segment with the message's last [`Record::Accepted`]: this record stays live while that segment exists.
+        base_segment: u64,
     },
-    /// A copy of how far a message has come, in place of the records before.
+    /// A copy of a message's delivery state, which replaces the earlier records of it.
     Progress {
-        /// The message.
+        /// Number of the message.
         number: u64,
-        /// How far.
+        /// The delivery state.
         progress: Progress,
     },
-    /// A destination is out or comes back cold; or it is as usual again.
+    /// A destination became unavailable or is still recovering, or its outage is over.
     Outage {
-        /// Its number.
+        /// Number of the destination.
         destination: u32,
-        /// Whether it is out or cold.
+        /// Whether it is unavailable or still recovering.
         ongoing: bool,
     },
-    /// The first record of a segment, as version 1 has it. Read as [`Record::Opening`], never written.
-    Opening1 {
-        /// All earlier segments that are there.
-        sealed: Vec<Sealed>,
-        /// Destinations that are out or cold.
+    /// Version 1 of [`Record::SegmentOpened`]: read as that, never written.
+    SegmentOpenedV1 {
+        /// All earlier segments that still exist.
+        sealed: Vec<SealedSegment>,
+        /// Destinations that are unavailable or recovering.
         outages: Vec<u32>,
         /// The next message's number.
-        next: u64,
+        next_number: u64,
     },
-    /// A segment's facts all stand in later ones; its file goes.
-    Removed {
-        /// Its sequence number.
+    /// All live records of a segment have been copied to later ones; its file is about to be deleted.
+    SegmentRemoved {
+        /// Sequence number of that segment.
         segment: u64,
     },
-    /// A message was taken on.
-    Taken {
-        /// The journal's number of it, never used again.
+    /// A message was accepted.
+    Accepted {
+        /// The number that the journal gave it, which is never reused.
         number: u64,
         /// See [`AcceptedMessage`].
         id: &'a str,
@@ -207,29 +208,39 @@
         tenant: Option<(&'a str, QuotaStatus)>,
         /// See [`AcceptedMessage`].
         body: &'a [u8],
-        /// How far it had come when this copy was made; a first record has none.
+        /// Delivery state at the time of this copy; `None` in a message's first record.
         progress: Option<Progress>,
     },
-    /// The first record of a segment: what stood when it was begun.
-    Opening {
-        /// All earlier segments that are there.
-        sealed: Vec<Sealed>,
-        /// Destinations that are out or cold.
+    /// The first record of a segment: the state at the time when the segment was started.
+    SegmentOpened {
+        /// All earlier segments that still exist.
+        sealed: Vec<SealedSegment>,
+        /// Destinations that are unavailable or recovering.
         outages: Vec<u32>,
         /// The next message's number.
-        next: u64,
-        /// Where customers stood with their shares.
+        next_number: u64,
+        /// The last known quota levels of the tenants.
         quota_levels: Vec<QuotaLevel>,
     },
 }
 
 impl Record<'_> {
-    /// The record as this version has it.
-    fn current(self) -> Self {
+    /// Converts a record of an older version to the current one.
+    fn upgrade(self) -> Self {
         match self {
-            Record::Taken1 { number, id, class, destination, accepted_at, deadline, key, body, progress } => {
+            Record::AcceptedV1 {
+                number,
+                id,
+                class,
+                destination,
+                accepted_at,
+                deadline,
+                key,
+                body,
+                progress,
+            } => {
                 let tenant = None;
-                Record::Taken {
+                Record::Accepted {
                     number,
                     id,
                     class,
@@ -242,65 +253,65 @@
                     progress,
                 }
             }
-            Record::Opening1 { sealed, outages, next } => {
-                Record::Opening { sealed, outages, next, quota_levels: Vec::new() }
+            Record::SegmentOpenedV1 { sealed, outages, next_number } => {
+                Record::SegmentOpened { sealed, outages, next_number, quota_levels: Vec::new() }
             }
             other => other,
         }
     }
 }
 
-/// The head of a segment.
+/// The header of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Which journal the segment is of: drawn at random when the journal was begun.
+    /// Identifies the journal that the segment belongs to: a random number drawn when the journal was created.
     pub identity: u128,
-    /// The segment's number in it, from 1.
+    /// The segment's sequence number, from 1.
     pub segment: u64,
-    /// When it was begun.
-    pub created: UnixMicros,
+    /// When the segment was started.
+    pub created_at: UnixMicros,
 }
 
-/// What is wrong with a segment's header.
+/// Why a segment header is not valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeaderError {
-    /// Fewer bytes than a header has.
-    #[error("its header is cut short")]
-    Short,
-    /// Another kind of file.
-    #[error("it is no segment of a journal")]
-    Foreign,
-    /// Of a later program.
-    #[error("its format has version {0}, this program knows {VERSION}")]
+    /// There are fewer bytes than a header has.
+    #[error("the header is incomplete")]
+    Truncated,
+    /// The magic number is missing: this is another kind of file.
+    #[error("not a journal segment")]
+    WrongMagic,
+    /// A newer program wrote it.
+    #[error("format version {0} is newer than the supported version {VERSION}")]
     Newer(u16),
-    /// The checksum does not fit.
-    #[error("its header is damaged")]
-    Damaged,
+    /// The checksum does not match.
+    #[error("the header checksum does not match")]
+    ChecksumMismatch,
 }
 
 impl Header {
-    /// The header's bytes.
-    pub fn bytes(&self) -> [u8; HEADER] {
-        let mut bytes = [0; HEADER];
+    /// Encodes the header.
+    pub fn to_bytes(&self) -> [u8; HEADER_BYTES] {
+        let mut bytes = [0; HEADER_BYTES];
         bytes[..8].copy_from_slice(&MAGIC);
         bytes[8..10].copy_from_slice(&VERSION.to_le_bytes());
-        bytes[10..12].copy_from_slice(&(HEADER as u16).to_le_bytes());
+        bytes[10..12].copy_from_slice(&(HEADER_BYTES as u16).to_le_bytes());
         bytes[12..28].copy_from_slice(&self.identity.to_le_bytes());
         bytes[28..36].copy_from_slice(&self.segment.to_le_bytes());
-        bytes[36..44].copy_from_slice(&self.created.to_le_bytes());
-        let sum = crc32fast::hash(&bytes[..44]);
-        bytes[44..].copy_from_slice(&sum.to_le_bytes());
+        bytes[36..44].copy_from_slice(&self.created_at.to_le_bytes());
+        let checksum = crc32fast::hash(&bytes[..44]);
+        bytes[44..].copy_from_slice(&checksum.to_le_bytes());
         bytes
     }
 
-    /// Reads a header.
+    /// Decodes a header.
     ///
     /// # Errors
-    /// See [`HeaderError`]. A newer version is told before its checksum is looked at: its header may differ.
-    pub fn read(bytes: &[u8]) -> Result<Header, HeaderError> {
-        let known = bytes.len().min(8);
-        if bytes[..known] != MAGIC[..known] {
-            return Err(HeaderError::Foreign);
+    /// See [`HeaderError`]. A newer version is reported before the checksum is verified, as its header layout may differ.
+    pub fn parse(bytes: &[u8]) -> Result<Header, HeaderError> {
+        let magic_length = bytes.len().min(8);
+        if bytes[..magic_length] != MAGIC[..magic_length] {
+            return Err(HeaderError::WrongMagic);
         }
         if let Some(version) = bytes.get(8..10) {
             let version = u16::from_le_bytes([version[0], version[1]]);
@@ -308,73 +319,76 @@
                 return Err(HeaderError::Newer(version));
             }
         }
-        let bytes: &[u8; HEADER] = bytes.first_chunk().ok_or(HeaderError::Short)?;
+        let bytes: &[u8; HEADER_BYTES] = bytes.first_chunk().ok_or(HeaderError::Truncated)?;
         if crc32fast::hash(&bytes[..44]).to_le_bytes() != bytes[44..] {
-            return Err(HeaderError::Damaged);
+            return Err(HeaderError::ChecksumMismatch);
         }
-        let eight = |at: usize| u64::from_le_bytes(std::array::from_fn(|i| bytes[at + i]));
+        let read_u64 = |offset: usize| u64::from_le_bytes(std::array::from_fn(|i| bytes[offset + i]));
         let identity = u128::from_le_bytes(std::array::from_fn(|i| bytes[12 + i]));
-        Ok(Header { identity, segment: eight(28), created: eight(36) })
+        Ok(Header { identity, segment: read_u64(28), created_at: read_u64(36) })
     }
 }
 
-/// The checksum of a payload. It holds for one segment only: bytes that strayed from another one do not pass.
-fn sum(segment: u64, payload: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&segment.to_le_bytes());
-    sum.update(&(payload.len() as u32).to_le_bytes());
-    sum.update(payload);
-    sum.finalize()
+/// The checksum of a payload. It covers the segment number, so a record that was copied bytewise from another segment
+/// does not verify.
+fn checksum(segment: u64, payload: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&segment.to_le_bytes());
+    hasher.update(&(payload.len() as u32).to_le_bytes());
+    hasher.update(payload);
+    hasher.finalize()
 }
 
-/// Appends a record's frame and payload to `bytes`; returns how long they are.
+/// Appends a framed record to `bytes` and returns the length of the frame and payload.
 ///
 /// # Errors
-/// Where the record is longer than [`RECORD_MOST`]; `bytes` is as before.
-pub fn frame(bytes: &mut Vec<u8>, segment: u64, record: &Record) -> std::io::Result<usize> {
+/// If the payload is longer than [`MAX_RECORD_BYTES`]; `bytes` is unchanged then.
+pub fn append_record(bytes: &mut Vec<u8>, segment: u64, record: &Record) -> std::io::Result<usize> {
     let start = bytes.len();
-    bytes.extend_from_slice(&[0; FRAME]);
+    bytes.extend_from_slice(&[0; FRAME_BYTES]);
     *bytes = postcard::to_extend(record, std::mem::take(bytes)).map_err(std::io::Error::other)?;
-    let length = bytes.len() - start - FRAME;
-    if length > RECORD_MOST {
+    let length = bytes.len() - start - FRAME_BYTES;
+    if length > MAX_RECORD_BYTES {
         bytes.truncate(start);
-        return Err(std::io::Error::other("the record is too long"));
+        return Err(std::io::Error::other("record exceeds the maximum payload length"));
     }
-    let sum = sum(segment, &bytes[start + FRAME..]);
-    let head = &mut bytes[start..start + FRAME];
-    head[..4].copy_from_slice(&((length as u32) << 8 | u32::from(MARKER)).to_le_bytes());
-    head[4..].copy_from_slice(&sum.to_le_bytes());
-    Ok(FRAME + length)
+    let checksum = checksum(segment, &bytes[start + FRAME_BYTES..]);
+    let head = &mut bytes[start..start + FRAME_BYTES];
+    head[..4].copy_from_slice(&((length as u32) << 8 | u32::from(RECORD_MARKER)).to_le_bytes());
+    head[4..].copy_from_slice(&checksum.to_le_bytes());
+    Ok(FRAME_BYTES + length)
 }
 
-/// The record at the start of `bytes` and its length with its frame; none where there is no whole sound one.
-pub fn unframe(segment: u64, bytes: &[u8]) -> Option<(Record<'_>, usize)> {
+/// Decodes the record at the start of `bytes`. Returns it with its framed length, or `None` if it is incomplete or
+/// does not verify.
+pub fn decode_record(segment: u64, bytes: &[u8]) -> Option<(Record<'_>, usize)> {
     let (head, rest) = bytes.split_first_chunk::<4>()?;
-    let (told, rest) = rest.split_first_chunk::<4>()?;
+    let (stored_checksum, rest) = rest.split_first_chunk::<4>()?;
     let head = u32::from_le_bytes(*head);
     let length = (head >> 8) as usize;
-    if head as u8 != MARKER || length > RECORD_MOST {
+    if head as u8 != RECORD_MARKER || length > MAX_RECORD_BYTES {
         return None;
     }
     let payload = rest.get(..length)?;
-    if sum(segment, payload) != u32::from_le_bytes(*told) {
+    if checksum(segment, payload) != u32::from_le_bytes(*stored_checksum) {
         return None;
     }
     match postcard::take_from_bytes(payload) {
-        Ok((record, [])) => Some((Record::current(record), FRAME + length)),
+        Ok((record, [])) => Some((Record::upgrade(record), FRAME_BYTES + length)),
         _ => None,
     }
 }
 
-/// Where the next sound record begins at or after `from`, looking at `bytes` byte by byte.
-pub fn next_sound(segment: u64, bytes: &[u8], from: usize) -> Option<usize> {
-    (from..bytes.len()).find(|at| bytes[*at] == MARKER && unframe(segment, &bytes[*at..]).is_some())
+/// Finds the next valid record at or after offset `from` by trying each byte.
+pub fn find_next_record(segment: u64, bytes: &[u8], from: usize) -> Option<usize> {
+    (from..bytes.len())
+        .find(|offset| bytes[*offset] == RECORD_MARKER && decode_record(segment, &bytes[*offset..]).is_some())
 }
 
-/// Whether `bytes` end within their first record, or before it.
-pub fn cut_short(bytes: &[u8]) -> bool {
+/// Whether `bytes` end before their first record is complete.
+pub fn is_truncated(bytes: &[u8]) -> bool {
     match bytes.first_chunk::<4>().map(|head| u32::from_le_bytes(*head)) {
-        Some(head) if head as u8 == MARKER => FRAME + (head >> 8) as usize > bytes.len(),
+        Some(head) if head as u8 == RECORD_MARKER => FRAME_BYTES + (head >> 8) as usize > bytes.len(),
         Some(_) => false,
         None => true,
     }
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -1,56 +1,58 @@
-//! What the records say: the messages that are not over, and for each segment which of its facts still count. No
-//! I/O: records go in, sums come out.
+//! The in-memory state that the journal's records describe: all open messages, and for each segment which of its
+//! records are still live. No I/O: records go in, state and sizes come out.
 
 use crate::format::{
-    AcceptedMessage, AttemptStart, Notice, Progress, QuotaLevel, Record, Sealed, UNKNOWN_ZONE, UnixMicros,
+    AcceptedMessage, AttemptStart, Notice, Progress, QuotaLevel, Record, SealedSegment, UNKNOWN_ZONE,
+    UnixMicros,
 };
 use crate::recent_outcomes::{FinalOutcome, RecentOutcomes};
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// What a message takes at most besides the bytes of its id, class, key and body: numbers and times of its first
-/// record with its frame, a copy of its progress, and the record of its end.
-pub const OVERHEAD: u64 = 192;
-/// What a copy of a message takes besides those bytes.
-const COPY: u64 = 72;
-/// What a record that ends a message takes at most.
-const TOMB: u64 = 32;
-/// What a copy of a message's progress takes.
-const PROGRESS: u64 = 48;
-
-/// Customers whose shares are remembered: names come from settings, which change; the oldest goes.
-const LEVELS: usize = 1024;
-
-/// A message that is not over.
+/// Upper bound on the bytes of a message on disk besides its id, class, key and body: the fixed fields and frame of
+/// its first record, a copy of its progress, and its closing record.
+pub const MAX_MESSAGE_OVERHEAD_BYTES: u64 = 192;
+/// Upper bound on the bytes of a message's copy besides its id, class, key and body.
+const COPY_OVERHEAD_BYTES: u64 = 72;
+/// Upper bound on the bytes of a record that closes a message.
+const TOMBSTONE_BYTES: u64 = 32;
+/// Upper bound on the bytes of a progress record.
+const PROGRESS_RECORD_BYTES: u64 = 48;
+
+/// Maximum number of tenants whose quota levels are stored. Tenant names come from the settings and change over time;
+/// the level with the oldest time is evicted.
+const MAX_QUOTA_LEVELS: usize = 1024;
+
+/// An open message with its delivery state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JournaledMessage {
-    /// As it was handed in.
+    /// The message as it was accepted.
     pub message: AcceptedMessage,
-    /// Calls that were started.
+    /// Number of attempts started.
     pub attempts: u32,
-    /// The first call that may have run.
+    /// The first attempt that may have run.
     pub may_have_run: Option<AttemptStart>,
-    /// The call that is out.
+    /// The attempt in flight.
     pub in_flight: Option<AttemptStart>,
-    /// The notice that is owed to the platform.
+    /// The notice that the platform has yet to receive.
     pub notice: Option<Notice>,
 }
 
 impl JournaledMessage {
-    /// Whether this is what is handed in once more; the body is gone once a notice is owed.
+    /// Whether `message` is a resubmission of this one. Once a notice is due the body is gone and is not compared.
     pub fn matches(&self, message: &AcceptedMessage) -> bool {
         let AcceptedMessage { class, destination, key, body, .. } = &self.message;
         (class, destination, key) == (&message.class, &message.destination, &message.key)
             && (self.notice.is_some() || *body == message.body)
     }
 
-    /// How far it has come.
+    /// The delivery state.
     pub fn progress(&self) -> Progress {
         let JournaledMessage { attempts, may_have_run, in_flight, notice, .. } = *self;
         Progress { attempts, may_have_run, in_flight, notice }
     }
 
-    fn set(&mut self, progress: Progress) {
+    fn set_progress(&mut self, progress: Progress) {
         let Progress { attempts, may_have_run, in_flight, notice } = progress;
         (self.attempts, self.may_have_run, self.in_flight, self.notice) =
             (attempts, may_have_run, in_flight, notice);
@@ -59,32 +61,33 @@
         }
     }
 
-    /// What it takes at most, in bytes, with all that is still to be written of it.
-    pub fn size(&self) -> u64 {
-        size(&self.message)
+    /// Upper bound on its bytes on disk, including the records that are still to be written for it.
+    pub fn max_size(&self) -> u64 {
+        max_message_size(&self.message)
     }
 
-    /// What a copy of it takes, in bytes.
-    fn copy(&self) -> u64 {
-        self.size() - OVERHEAD + COPY
+    /// Bytes of a copy of its first record.
+    fn copy_size(&self) -> u64 {
+        self.max_size() - MAX_MESSAGE_OVERHEAD_BYTES + COPY_OVERHEAD_BYTES
     }
 
-    /// The first record of the message, or a copy of it.
-    pub fn record(&self, number: u64, progress: Option<Progress>) -> Record<'_> {
+    /// The first record of the message, or a copy of it with its delivery state.
+    pub fn to_record(&self, number: u64, progress: Option<Progress>) -> Record<'_> {
         accepted_record(number, &self.message, progress)
     }
 }
 
-/// See [`JournaledMessage::size`].
-pub fn size(message: &AcceptedMessage) -> u64 {
+/// See [`JournaledMessage::max_size`].
+pub fn max_message_size(message: &AcceptedMessage) -> u64 {
     let key = message.key.as_ref().map_or(0, String::len);
     let tenant = message.tenant.as_ref().map_or(0, |(name, _)| name.len());
-    (message.id.len() + message.class.len() + key + tenant + message.body.len()) as u64 + OVERHEAD
+    (message.id.len() + message.class.len() + key + tenant + message.body.len()) as u64
+        + MAX_MESSAGE_OVERHEAD_BYTES
 }
 
-/// The first record of a message, or a copy of it with how far it has come.
+/// The first record of a message, or a copy of it with its delivery state.
 pub fn accepted_record(number: u64, message: &AcceptedMessage, progress: Option<Progress>) -> Record<'_> {
-    Record::Taken {
+    Record::Accepted {
         number,
         id: &message.id,
         class: &message.class,
@@ -92,7 +95,7 @@
         accepted_at: message.accepted_at,
         deadline: message.deadline,
         key: message.key.as_deref(),
-        tenant: message.tenant.as_ref().map(|(name, share)| (name.as_str(), *share)),
+        tenant: message.tenant.as_ref().map(|(name, quota)| (name.as_str(), *quota)),
         body: &message.body,
         progress,
     }
@@ -101,161 +104,169 @@
 #[derive(Clone, Debug)]
 struct Entry {
     journaled: JournaledMessage,
-    /// The segment with its last `Taken` record.
-    base: u64,
-    /// The segment with later records of it, where that is another one. The first of them there is a copy of all
-    /// its progress, so those before count no more.
-    touched: Option<u64>,
+    /// The segment with its last `Accepted` record.
+    base_segment: u64,
+    /// The segment with its latest progress records, if that is another one. The first of them there holds the full
+    /// progress, so earlier ones are dead.
+    progress_segment: Option<u64>,
 }
 
-/// A segment's facts that count.
+/// The live records of a segment.
 #[derive(Clone, Debug, Default)]
-struct Facts {
-    /// Messages whose last `Taken` record it holds.
-    bases: BTreeSet<u64>,
-    /// Messages of other segments of whose progress it holds records.
-    touched: BTreeSet<u64>,
-    /// Messages that are over, by the segment with their last `Taken` record while that is there.
-    tombs: BTreeMap<u64, Vec<u64>>,
-    /// What copies of all that would take at most, in bytes.
-    weight: u64,
+struct SegmentContents {
+    /// Messages whose last `Accepted` record is in it.
+    base_messages: BTreeSet<u64>,
+    /// Messages based in other segments whose latest progress records are in it.
+    progress_messages: BTreeSet<u64>,
+    /// Closed messages by their base segment, the one with their last `Accepted` record, while that exists.
+    tombstones: BTreeMap<u64, Vec<u64>>,
+    /// Upper bound on the bytes that copies of all these records would take.
+    live_bytes: u64,
 }
 
-/// A fact that has to stand in a later segment before the one it stands in can go.
+/// A live record, which has to be copied to a later segment before its own can be deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fact {
-    /// A message: its `Taken` record with its progress.
+pub enum LiveRecord {
+    /// The `Accepted` record of the message with this number, with its progress.
     Message(u64),
-    /// How far a message has come.
+    /// The progress of the message with this number.
     Progress(u64),
-    /// That a message is over.
-    Over {
-        /// The message.
+    /// The record that closes a message.
+    Tombstone {
+        /// Number of the message.
         number: u64,
-        /// The segment with its last `Taken` record.
-        base: u64,
+        /// The segment with the message's last `Accepted` record.
+        base_segment: u64,
     },
 }
 
-/// All that is owed, and where it stands.
+/// Index of all open messages and of the segments that hold their live records.
 #[derive(Clone, Debug, Default)]
 pub struct MessageIndex {
     entries: BTreeMap<u64, Entry>,
-    numbers: HashMap<String, u64>,
-    owed: BTreeSet<u64>,
+    numbers_by_id: HashMap<String, u64>,
+    pending_notices: BTreeSet<u64>,
     outages: BTreeSet<u32>,
-    /// What customers had left of their shares, and when: one for each name.
+    /// Remaining quota in thousandths of a message, and the time of that level, by tenant name.
     quota_levels: BTreeMap<String, (u32, UnixMicros)>,
-    segments: BTreeMap<u64, Facts>,
-    /// Segments of which copies were begun and not ended.
-    unfinished: BTreeSet<u64>,
+    segments: BTreeMap<u64, SegmentContents>,
+    /// Segments whose compaction was started and not completed.
+    partly_compacted: BTreeSet<u64>,
     assumed_run: BTreeSet<u64>,
-    ended: RecentOutcomes,
-    next: u64,
-    size: u64,
+    recent_outcomes: RecentOutcomes,
+    next_number: u64,
+    max_bytes: u64,
     latest_timestamp: UnixMicros,
 }
 
 impl MessageIndex {
-    /// A ledger that knows of nothing, and will remember so many ends.
-    pub fn new(ends: usize) -> MessageIndex {
-        MessageIndex { next: 1, ended: RecentOutcomes::new(ends), ..MessageIndex::default() }
+    /// An empty index that remembers up to `max_outcomes` final outcomes.
+    pub fn new(max_outcomes: usize) -> MessageIndex {
+        MessageIndex {
+            next_number: 1,
+            recent_outcomes: RecentOutcomes::new(max_outcomes),
+            ..MessageIndex::default()
+        }
     }
 
-    /// How a message ended that is handed in again, where that is remembered.
+    /// The final outcome of a message that is submitted again, if it is still remembered.
     pub fn final_outcome_of(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
-        self.ended.get(message)
+        self.recent_outcomes.get(message)
     }
 
-    /// The ends that are remembered.
-    pub fn ended(&self) -> &RecentOutcomes {
-        &self.ended
+    /// The remembered final outcomes.
+    pub fn recent_outcomes(&self) -> &RecentOutcomes {
+        &self.recent_outcomes
     }
 
-    /// Remembers what another process remembered, in place of what is on file: that is less.
-    pub fn restore_recent_outcomes(&mut self, ended: RecentOutcomes) {
-        self.ended = ended;
+    /// Replaces the outcomes that were rebuilt from the records by those of the previous process, which are more
+    /// complete.
+    pub fn restore_recent_outcomes(&mut self, recent_outcomes: RecentOutcomes) {
+        self.recent_outcomes = recent_outcomes;
     }
 
-    /// A message that is not over.
+    /// An open message by its number.
     pub fn get(&self, number: u64) -> Option<&JournaledMessage> {
         self.entries.get(&number).map(|entry| &entry.journaled)
     }
 
-    /// The number of the message with an id.
-    pub fn number(&self, id: &str) -> Option<u64> {
-        self.numbers.get(id).copied()
+    /// The number of the open message with this id.
+    pub fn number_by_id(&self, id: &str) -> Option<u64> {
+        self.numbers_by_id.get(id).copied()
     }
 
-    /// All messages that are not over, in the order taken.
+    /// All open messages in the order of acceptance.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &JournaledMessage)> {
         self.entries.iter().map(|(number, entry)| (*number, &entry.journaled))
     }
 
-    /// How many messages are not over.
+    /// Number of open messages.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether all messages are over.
+    /// Whether there are no open messages.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Messages that are over but for a notice, in the order taken.
-    pub fn owed(&self) -> &BTreeSet<u64> {
-        &self.owed
+    /// Messages that only wait for their notice to be delivered, in the order of acceptance.
+    pub fn pending_notices(&self) -> &BTreeSet<u64> {
+        &self.pending_notices
     }
 
-    /// Destinations that are out or cold.
+    /// Destinations that are unavailable or recovering.
     pub fn outages(&self) -> &BTreeSet<u32> {
         &self.outages
     }
 
-    /// The number of the next message.
-    pub fn next(&self) -> u64 {
-        self.next
+    /// The number that the next message gets.
+    pub fn next_number(&self) -> u64 {
+        self.next_number
     }
 
-    /// What copies of all messages take at most, in bytes.
-    pub fn size(&self) -> u64 {
-        self.size
+    /// Upper bound on the bytes of all open messages on disk.
+    pub fn max_bytes(&self) -> u64 {
+        self.max_bytes
     }
 
-    /// The latest time that any record tells: no later life begins before it.
+    /// The latest timestamp of any record. The next process's clock must not start before it.
     pub fn latest_timestamp(&self) -> UnixMicros {
         self.latest_timestamp
     }
 
-    /// What the facts of a segment take in a copy at most, in bytes. A segment that weighs nothing may go.
-    pub fn weight(&self, segment: u64) -> u64 {
-        self.segments.get(&segment).map_or(0, |facts| facts.weight)
+    /// Upper bound on the bytes that copies of a segment's live records take. At zero the segment can be deleted.
+    pub fn live_bytes(&self, segment: u64) -> u64 {
+        self.segments.get(&segment).map_or(0, |contents| contents.live_bytes)
     }
 
-    /// The facts of a segment that count; none where the segment may go.
-    pub fn facts(&self, segment: u64) -> impl Iterator<Item = Fact> {
-        self.segments.get(&segment).into_iter().flat_map(|facts| {
-            let bases = facts.bases.iter().map(|number| Fact::Message(*number));
-            let touched = facts.touched.iter().map(|number| Fact::Progress(*number));
-            let tombs = facts.tombs.iter().flat_map(|(base, numbers)| {
-                numbers.iter().map(|number| Fact::Over { number: *number, base: *base })
+    /// The live records of a segment; none once it can be deleted.
+    pub fn live_records(&self, segment: u64) -> impl Iterator<Item = LiveRecord> {
+        self.segments.get(&segment).into_iter().flat_map(|contents| {
+            let base_messages = contents.base_messages.iter().map(|number| LiveRecord::Message(*number));
+            let progress_messages =
+                contents.progress_messages.iter().map(|number| LiveRecord::Progress(*number));
+            let tombstones = contents.tombstones.iter().flat_map(|(base_segment, numbers)| {
+                numbers
+                    .iter()
+                    .map(|number| LiveRecord::Tombstone { number: *number, base_segment: *base_segment })
             });
-            bases.chain(touched).chain(tombs)
+            base_messages.chain(progress_messages).chain(tombstones)
         })
     }
 
-    /// A segment that an earlier life had begun to empty. It goes before any other: the end of a message would
-    /// not outlast a stale copy of it.
-    pub fn unfinished(&self) -> Option<u64> {
-        self.unfinished.first().copied()
+    /// A segment whose compaction was interrupted. It must be completed before any other segment is compacted:
+    /// otherwise a message's closing record could be dropped while a stale copy of the message still exists.
+    pub fn partly_compacted(&self) -> Option<u64> {
+        self.partly_compacted.first().copied()
     }
 
-    /// Takes note of a record that was read from a segment. What tells of unknown messages changes nothing.
+    /// Applies a record that was read from a segment. Records about unknown messages have no effect.
     ///
-    /// The writer empties one segment at a time to its end and removes it before it empties another: so a record
-    /// that ends a message has to outlast only the segment with the last copy of it.
+    /// The writer compacts and deletes one segment completely before it starts on another. So the record that closes a
+    /// message only has to outlive the segment with the last copy of that message.
     pub fn replay(&mut self, segment: u64, record: &Record) {
-        if let Record::Taken {
+        if let Record::Accepted {
             number,
             id,
             class,
@@ -275,124 +286,128 @@
                 accepted_at: *accepted_at,
                 deadline: *deadline,
                 key: key.map(Into::into),
-                tenant: tenant.map(|(name, share)| (name.into(), share)),
+                tenant: tenant.map(|(name, quota)| (name.into(), quota)),
                 body: Bytes::copy_from_slice(body),
             };
-            if let Some(stale) = self.base(*number).filter(|base| *base != segment) {
-                self.unfinished.insert(stale);
+            if let Some(stale) = self.base_segment(*number).filter(|base| *base != segment) {
+                self.partly_compacted.insert(stale);
             }
             self.insert(segment, *number, message, *progress);
             return;
         }
-        self.happened(record);
-        self.stands(segment, record);
+        self.apply(record);
+        self.track_location(segment, record);
     }
 
-    /// Takes note of what a record tells, wherever it stands.
-    pub fn happened(&mut self, record: &Record) {
+    /// Applies the effect of a record, whichever segment it is in.
+    pub fn apply(&mut self, record: &Record) {
         match record {
-            Record::Started { number, start } => {
+            Record::AttemptStarted { number, start } => {
                 self.latest_timestamp = self.latest_timestamp.max(start.at);
-                self.change(*number, |journaled| {
-                    // The end of one that was out before is not on record: its life ended first.
+                self.update(*number, |journaled| {
+                    // An earlier attempt that is still in flight never got an end record: its process stopped first.
                     journaled.may_have_run = journaled.may_have_run.or(journaled.in_flight);
                     (journaled.attempts, journaled.in_flight) =
                         (journaled.attempts.saturating_add(1), Some(*start));
                 });
             }
-            Record::Ended { number, may_have_run } => self.change(*number, |journaled| {
+            Record::AttemptEnded { number, may_have_run } => self.update(*number, |journaled| {
                 let in_flight = journaled.in_flight.take().filter(|_| *may_have_run);
                 journaled.may_have_run = journaled.may_have_run.or(in_flight);
             }),
-            Record::Owed { number, notice } => self.change(*number, |journaled| {
-                journaled.set(Progress { notice: Some(*notice), ..journaled.progress() });
+            Record::NoticeDue { number, notice } => self.update(*number, |journaled| {
+                journaled.set_progress(Progress { notice: Some(*notice), ..journaled.progress() });
             }),
             Record::Progress { number, progress } => {
-                self.change(*number, |journaled| journaled.set(*progress))
+                self.update(*number, |journaled| journaled.set_progress(*progress))
             }
-            Record::Over { number, .. } => {
+            Record::Closed { number, .. } => {
                 if let Some(journaled) = self.entries.get(number).map(|entry| &entry.journaled)
-                    && let Some(end) = FinalOutcome::of(journaled)
+                    && let Some(outcome) = FinalOutcome::of(journaled)
                 {
-                    self.ended.remember(&journaled.message, end);
+                    self.recent_outcomes.record(&journaled.message, outcome);
                 }
-                self.forget(*number);
+                self.remove(*number);
             }
             Record::Outage { destination, ongoing: true } => _ = self.outages.insert(*destination),
             Record::Outage { destination, ongoing: false } => _ = self.outages.remove(destination),
-            Record::Opening { outages, next, quota_levels, .. } => {
+            Record::SegmentOpened { outages, next_number, quota_levels, .. } => {
                 self.outages = outages.iter().copied().collect();
-                self.next = self.next.max(*next);
+                self.next_number = self.next_number.max(*next_number);
                 for QuotaLevel { tenant, remaining_thousandths, at } in quota_levels {
-                    self.level(tenant, *remaining_thousandths, *at);
+                    self.update_quota_level(tenant, *remaining_thousandths, *at);
                 }
             }
-            Record::Removed { segment } => {
-                // What it held that was not copied was over: the record of that may be gone already.
-                let stale = self.segments.get(segment).map(|facts| facts.bases.clone());
-                stale.into_iter().flatten().for_each(|number| self.forget(number));
+            Record::SegmentRemoved { segment } => {
+                // Messages of the segment that were not copied are closed; their closing records may be gone.
+                let stale = self.segments.get(segment).map(|contents| contents.base_messages.clone());
+                stale.into_iter().flatten().for_each(|number| self.remove(number));
                 self.remove_segment(*segment);
             }
-            Record::Taken { .. } | Record::Taken1 { .. } | Record::Opening1 { .. } => {}
+            Record::Accepted { .. } | Record::AcceptedV1 { .. } | Record::SegmentOpenedV1 { .. } => {}
         }
     }
 
-    /// Takes note that a record stands in a segment: what of it has to outlast the segment.
-    pub fn stands(&mut self, segment: u64, record: &Record) {
+    /// Registers that a record is stored in a segment, and what of it has to outlive the segment.
+    pub fn track_location(&mut self, segment: u64, record: &Record) {
         match record {
-            Record::Started { number, .. } | Record::Ended { number, .. } | Record::Owed { number, .. } => {
-                self.touch(segment, *number);
+            Record::AttemptStarted { number, .. }
+            | Record::AttemptEnded { number, .. }
+            | Record::NoticeDue { number, .. } => {
+                self.track_progress(segment, *number);
             }
             Record::Progress { number, .. } => {
-                // It stands for all records of progress before it.
-                self.untouch(*number);
-                self.touch(segment, *number);
+                // It replaces all earlier progress records of the message.
+                self.untrack_progress(*number);
+                self.track_progress(segment, *number);
             }
-            // Nothing of the message outlasts the segment that it begins in, or that one is gone.
-            Record::Over { number, base } if *base != segment && self.segments.contains_key(base) => {
-                let facts = self.segments.entry(segment).or_default();
-                facts.tombs.entry(*base).or_default().push(*number);
-                facts.weight += TOMB;
+            // A closing record is needed no longer than the message's base segment exists.
+            Record::Closed { number, base_segment }
+                if *base_segment != segment && self.segments.contains_key(base_segment) =>
+            {
+                let contents = self.segments.entry(segment).or_default();
+                contents.tombstones.entry(*base_segment).or_default().push(*number);
+                contents.live_bytes += TOMBSTONE_BYTES;
             }
             _ => {}
         }
     }
 
-    /// Takes note of a message whose first record, or a copy of it with how far it had come, stands in a segment.
+    /// Adds a message whose first record, or a copy of it with its progress, is stored in a segment.
     pub fn insert(
         &mut self, segment: u64, number: u64, message: AcceptedMessage, progress: Option<Progress>,
     ) {
-        self.next = self.next.max(number.saturating_add(1));
+        self.next_number = self.next_number.max(number.saturating_add(1));
         self.latest_timestamp = self.latest_timestamp.max(message.accepted_at);
-        self.forget(number);
+        self.remove(number);
         self.segments.entry(segment).or_default();
-        // A copy tells what stood long ago.
-        if let (Some((tenant, share)), None) = (&message.tenant, progress) {
-            self.level(tenant, share.remaining_thousandths, message.accepted_at);
+        // A copy repeats the quota level from the time of acceptance, which is outdated.
+        if let (Some((tenant, quota)), None) = (&message.tenant, progress) {
+            self.update_quota_level(tenant, quota.remaining_thousandths, message.accepted_at);
         }
         let mut journaled =
             JournaledMessage { message, attempts: 0, may_have_run: None, in_flight: None, notice: None };
-        journaled.set(progress.unwrap_or_default());
+        journaled.set_progress(progress.unwrap_or_default());
         if journaled.notice.is_some() {
-            self.owed.insert(number);
+            self.pending_notices.insert(number);
         }
-        // Of two messages with one id, which nobody hands in, the first keeps it.
-        self.numbers.entry(journaled.message.id.clone()).or_insert(number);
-        let facts = self.segments.entry(segment).or_default();
-        facts.bases.insert(number);
-        facts.weight += journaled.copy();
-        self.size += journaled.size();
-        self.entries.insert(number, Entry { journaled, base: segment, touched: None });
+        // Should two messages have the same id, which no client is expected to cause, the first one keeps it.
+        self.numbers_by_id.entry(journaled.message.id.clone()).or_insert(number);
+        let contents = self.segments.entry(segment).or_default();
+        contents.base_messages.insert(number);
+        contents.live_bytes += journaled.copy_size();
+        self.max_bytes += journaled.max_size();
+        self.entries.insert(number, Entry { journaled, base_segment: segment, progress_segment: None });
     }
 
-    /// Takes note of what a customer had left of its share.
-    fn level(&mut self, tenant: &str, remaining_thousandths: u32, at: UnixMicros) {
+    /// Stores a tenant's quota level, unless a later one is known.
+    fn update_quota_level(&mut self, tenant: &str, remaining_thousandths: u32, at: UnixMicros) {
         match self.quota_levels.get_mut(tenant) {
             Some(level) if at >= level.1 => *level = (remaining_thousandths, at),
             Some(_) => {}
             None => _ = self.quota_levels.insert(tenant.into(), (remaining_thousandths, at)),
         }
-        if self.quota_levels.len() > LEVELS
+        if self.quota_levels.len() > MAX_QUOTA_LEVELS
             && let Some(oldest) =
                 self.quota_levels.iter().min_by_key(|(_, (_, at))| *at).map(|(name, _)| name.clone())
         {
@@ -400,7 +415,7 @@
         }
     }
 
-    /// Where customers stood with their shares when they last handed something in.
+    /// The latest known quota level of each tenant.
     pub fn quota_levels(&self) -> impl Iterator<Item = QuotaLevel> {
         self.quota_levels.iter().map(|(name, (remaining_thousandths, at))| QuotaLevel {
             tenant: name.clone(),
@@ -409,159 +424,162 @@
         })
     }
 
-    /// Moves a message to the copy that was made of it. Its body is not touched.
-    pub fn moved(&mut self, segment: u64, number: u64) {
-        self.untouch(number);
+    /// Makes the copy in `segment` the message's base record. The message itself is unchanged.
+    pub fn relocate(&mut self, segment: u64, number: u64) {
+        self.untrack_progress(number);
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        let size = entry.journaled.copy();
-        let old = std::mem::replace(&mut entry.base, segment);
-        if let Some(facts) = self.segments.get_mut(&old) {
-            facts.bases.remove(&number);
-            facts.weight -= size;
+        let copy_size = entry.journaled.copy_size();
+        let previous = std::mem::replace(&mut entry.base_segment, segment);
+        if let Some(contents) = self.segments.get_mut(&previous) {
+            contents.base_messages.remove(&number);
+            contents.live_bytes -= copy_size;
         }
-        let facts = self.segments.entry(segment).or_default();
-        facts.bases.insert(number);
-        facts.weight += size;
+        let contents = self.segments.entry(segment).or_default();
+        contents.base_messages.insert(number);
+        contents.live_bytes += copy_size;
     }
 
-    /// The last `Taken` record of a message stands there.
-    pub fn base(&self, number: u64) -> Option<u64> {
-        self.entries.get(&number).map(|entry| entry.base)
+    /// The segment with the last `Accepted` record of a message.
+    pub fn base_segment(&self, number: u64) -> Option<u64> {
+        self.entries.get(&number).map(|entry| entry.base_segment)
     }
 
-    /// Whether a record of the message's progress in a segment must tell all of it: none there tells what came
-    /// before.
-    pub fn needs_copy(&self, segment: u64, number: u64) -> bool {
+    /// Whether the next progress record of a message in this segment must hold its full progress, because the segment
+    /// has no earlier record of the message.
+    pub fn needs_full_progress(&self, segment: u64, number: u64) -> bool {
         let entry = self.entries.get(&number);
-        entry.is_some_and(|entry| entry.base != segment && entry.touched != Some(segment))
+        entry.is_some_and(|entry| entry.base_segment != segment && entry.progress_segment != Some(segment))
     }
 
-    /// Drops what is known of a segment: its file is gone, and with it all need to outlast it.
+    /// Removes a segment whose file is deleted, and all tombstones that were only needed because of it.
     pub fn remove_segment(&mut self, segment: u64) {
         self.segments.remove(&segment);
-        self.unfinished.remove(&segment);
-        for facts in self.segments.values_mut() {
-            if let Some(numbers) = facts.tombs.remove(&segment) {
-                facts.weight -= numbers.len() as u64 * TOMB;
+        self.partly_compacted.remove(&segment);
+        for contents in self.segments.values_mut() {
+            if let Some(numbers) = contents.tombstones.remove(&segment) {
+                contents.live_bytes -= numbers.len() as u64 * TOMBSTONE_BYTES;
             }
         }
     }
 
-    /// Every message whose last copy stands at or before a damage may have run: the record that tells so may be
-    /// what was lost. It has to be written down, too: [`assumed_run`](Ledger::doubted).
+    /// Marks every message based in this segment or an earlier one as possibly run: a damaged or missing record may have
+    /// been the one that said so. The change has to be written to the journal as well, see
+    /// [`take_assumed_run`](MessageIndex::take_assumed_run).
     pub fn assume_run(&mut self, segment: u64) {
-        for (number, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.base <= segment) {
+        for (number, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.base_segment <= segment) {
             let JournaledMessage { message, may_have_run, .. } = &mut entry.journaled;
-            // The earliest time at which it can have been sent; nobody knows where to.
-            let first = AttemptStart { at: message.accepted_at, zone: UNKNOWN_ZONE };
-            may_have_run.get_or_insert(first);
+            // The earliest possible start; the zone is unknown.
+            let earliest = AttemptStart { at: message.accepted_at, zone: UNKNOWN_ZONE };
+            may_have_run.get_or_insert(earliest);
             self.assumed_run.insert(*number);
         }
     }
 
-    /// Messages that were doubted; forgets which they were.
-    pub fn assumed_run(&mut self) -> Vec<u64> {
+    /// Returns and clears the open messages that [`assume_run`](MessageIndex::assume_run) marked.
+    pub fn take_assumed_run(&mut self) -> Vec<u64> {
         let assumed_run = std::mem::take(&mut self.assumed_run);
         assumed_run.into_iter().filter(|number| self.entries.contains_key(number)).collect()
     }
 
-    /// A call whose end was not recorded may have run: at the start of a life.
-    pub fn settle(&mut self) {
+    /// Marks attempts without an end record as possibly run. Called when a new process starts on the journal.
+    pub fn resolve_in_flight(&mut self) {
         for entry in self.entries.values_mut() {
             let in_flight = entry.journaled.in_flight.take();
             entry.journaled.may_have_run = entry.journaled.may_have_run.or(in_flight);
         }
     }
 
-    /// A segment is to be emptied before any other.
-    pub fn rewrite(&mut self, segment: u64) {
-        self.unfinished.insert(segment);
+    /// Schedules a segment to be compacted before any other.
+    pub fn compact_first(&mut self, segment: u64) {
+        self.partly_compacted.insert(segment);
     }
 
-    /// Makes segments known that hold no fact.
-    pub fn open(&mut self, segment: u64) {
+    /// Adds a segment without live records.
+    pub fn add_segment(&mut self, segment: u64) {
         self.segments.entry(segment).or_default();
     }
 
-    fn change(&mut self, number: u64, with: impl FnOnce(&mut JournaledMessage)) {
+    fn update(&mut self, number: u64, change: impl FnOnce(&mut JournaledMessage)) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        let before = entry.journaled.size();
-        with(&mut entry.journaled);
-        let after = entry.journaled.size();
-        if let Some(facts) = self.segments.get_mut(&entry.base) {
-            facts.weight = facts.weight + after - before;
+        let before = entry.journaled.max_size();
+        change(&mut entry.journaled);
+        let after = entry.journaled.max_size();
+        if let Some(contents) = self.segments.get_mut(&entry.base_segment) {
+            contents.live_bytes = contents.live_bytes + after - before;
         }
-        self.size = self.size + after - before;
+        self.max_bytes = self.max_bytes + after - before;
         if entry.journaled.notice.is_some() {
-            self.owed.insert(number);
+            self.pending_notices.insert(number);
         }
     }
 
-    fn touch(&mut self, segment: u64, number: u64) {
+    fn track_progress(&mut self, segment: u64, number: u64) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        if entry.base != segment && entry.touched != Some(segment) {
-            let before = entry.touched.replace(segment);
-            if let Some(facts) = before.and_then(|before| self.segments.get_mut(&before))
-                && facts.touched.remove(&number)
+        if entry.base_segment != segment && entry.progress_segment != Some(segment) {
+            let previous = entry.progress_segment.replace(segment);
+            if let Some(contents) = previous.and_then(|previous| self.segments.get_mut(&previous))
+                && contents.progress_messages.remove(&number)
             {
-                facts.weight -= PROGRESS;
+                contents.live_bytes -= PROGRESS_RECORD_BYTES;
             }
-            let facts = self.segments.entry(segment).or_default();
-            facts.touched.insert(number);
-            facts.weight += PROGRESS;
+            let contents = self.segments.entry(segment).or_default();
+            contents.progress_messages.insert(number);
+            contents.live_bytes += PROGRESS_RECORD_BYTES;
         }
     }
 
-    /// No earlier record of the message's progress counts any more.
-    fn untouch(&mut self, number: u64) {
+    /// Marks the earlier progress records of the message as dead.
+    fn untrack_progress(&mut self, number: u64) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
-        if let Some(facts) = entry.touched.take().and_then(|segment| self.segments.get_mut(&segment))
-            && facts.touched.remove(&number)
+        if let Some(contents) =
+            entry.progress_segment.take().and_then(|segment| self.segments.get_mut(&segment))
+            && contents.progress_messages.remove(&number)
         {
-            facts.weight -= PROGRESS;
+            contents.live_bytes -= PROGRESS_RECORD_BYTES;
         }
     }
 
-    /// Drops a message from memory; none of its records count.
-    fn forget(&mut self, number: u64) {
-        self.untouch(number);
+    /// Removes a message; all of its records are dead then.
+    fn remove(&mut self, number: u64) {
+        self.untrack_progress(number);
         let Some(entry) = self.entries.remove(&number) else { return };
-        self.size -= entry.journaled.size();
-        if let Some(facts) = self.segments.get_mut(&entry.base) {
-            facts.bases.remove(&number);
-            facts.weight -= entry.journaled.copy();
+        self.max_bytes -= entry.journaled.max_size();
+        if let Some(contents) = self.segments.get_mut(&entry.base_segment) {
+            contents.base_messages.remove(&number);
+            contents.live_bytes -= entry.journaled.copy_size();
         }
-        self.owed.remove(&number);
-        if self.numbers.get(&entry.journaled.message.id) == Some(&number) {
-            self.numbers.remove(&entry.journaled.message.id);
+        self.pending_notices.remove(&number);
+        if self.numbers_by_id.get(&entry.journaled.message.id) == Some(&number) {
+            self.numbers_by_id.remove(&entry.journaled.message.id);
         }
     }
 
-    /// A copy was made of the record that ends a message, out of a segment.
-    pub fn tomb_moved(&mut self, from: u64, number: u64, base: u64) {
-        let Some(facts) = self.segments.get_mut(&from) else { return };
-        let Some(numbers) = facts.tombs.get_mut(&base) else { return };
-        let Some(at) = numbers.iter().rposition(|other| *other == number) else { return };
-        numbers.swap_remove(at);
-        facts.weight -= TOMB;
+    /// Removes a tombstone from segment `from` after it was copied to another one.
+    pub fn relocate_tombstone(&mut self, from: u64, number: u64, base_segment: u64) {
+        let Some(contents) = self.segments.get_mut(&from) else { return };
+        let Some(numbers) = contents.tombstones.get_mut(&base_segment) else { return };
+        let Some(position) = numbers.iter().rposition(|other| *other == number) else { return };
+        numbers.swap_remove(position);
+        contents.live_bytes -= TOMBSTONE_BYTES;
         if numbers.is_empty() {
-            facts.tombs.remove(&base);
+            contents.tombstones.remove(&base_segment);
         }
     }
 }
 
-/// What a record takes with its frame, in bytes, more or less.
-pub fn record_size(record: &Record) -> u64 {
+/// Approximate size of a record with its frame, in bytes.
+pub fn estimated_record_size(record: &Record) -> u64 {
     match record {
-        Record::Taken { id, class, key, tenant, body, .. } => {
+        Record::Accepted { id, class, key, tenant, body, .. } => {
             let tenant = tenant.map_or(0, |(name, _)| name.len());
-            (id.len() + class.len() + key.map_or(0, str::len) + tenant + body.len()) as u64 + COPY
+            (id.len() + class.len() + key.map_or(0, str::len) + tenant + body.len()) as u64
+                + COPY_OVERHEAD_BYTES
         }
-        _ => PROGRESS,
+        _ => PROGRESS_RECORD_BYTES,
     }
 }
 
-/// What an opening record lists of the segments that are there.
-pub fn sealed(segments: impl Iterator<Item = (u64, u64)>) -> Vec<Sealed> {
-    segments.map(|(segment, length)| Sealed { segment, length }).collect()
+/// The list of sealed segments for a [`Record::SegmentOpened`], from their numbers and lengths.
+pub fn sealed_segments(segments: impl Iterator<Item = (u64, u64)>) -> Vec<SealedSegment> {
+    segments.map(|(segment, length)| SealedSegment { segment, length }).collect()
 }
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -2,7 +2,7 @@
 //!
 //! All but [`repair`] only read, also beside a dispatcher that is running; `repair` writes to a new folder alone.
 
-use crate::compaction::{Limits, blocks};
+use crate::compaction::{Limits, round_up_to_block};
 use crate::files::{Disk, Files};
 use crate::format::{AttemptStart, Notice, Record, UnixMicros};
 use crate::index::JournaledMessage;
@@ -20,7 +20,7 @@
 /// Begins each line about something that no crash leaves behind.
 pub const DAMAGE_PREFIX: &str = "damaged: ";
 /// A segment may go while it is read: a dispatcher that runs wins room back. Then the folder is read again, so often.
-const TRIES: u32 = 5;
+const MAX_READ_ATTEMPTS: u32 = 5;
 
 /// Why an operators' command failed.
 #[derive(Debug, thiserror::Error)]
@@ -35,58 +35,60 @@
     },
     /// There is no journal.
     #[error("{0}: no journal there")]
-    Nothing(String),
+    NoJournal(String),
     /// It is of the format before: the dispatcher carries it over when it starts.
     #[error("{0}: a journal of the format before; the dispatcher carries it over at its next start")]
-    Old(String),
+    LegacyFormat(String),
     /// The folder to write to is not empty.
     #[error("{0}: not empty; a repaired journal is written to a new folder")]
-    Occupied(String),
+    TargetNotEmpty(String),
     /// What was asked for can't be written.
     #[error(transparent)]
     Write(#[from] io::Error),
 }
 
 /// A time of a record as people read it (RFC 3339, microseconds, UTC).
-fn when(at: UnixMicros) -> String {
+fn format_time(at: UnixMicros) -> String {
     // Times beyond the year 9999 are no times; they are told as they stand.
-    const MOST: UnixMicros = 253_402_300_799_000_000;
-    if at > MOST {
+    const MAX_FORMATTABLE: UnixMicros = 253_402_300_799_000_000;
+    if at > MAX_FORMATTABLE {
         return at.to_string();
     }
     humantime::format_rfc3339_micros(UNIX_EPOCH + Duration::from_micros(at)).to_string()
 }
 
-fn is_gone(error: &OpenError) -> bool {
+fn is_not_found(error: &OpenError) -> bool {
     matches!(error, OpenError::Io(error) if error.kind() == io::ErrorKind::NotFound)
 }
 
 /// Reads a folder that a dispatcher may be writing to.
-fn read(folder: &Path, seen: &mut dyn FnMut(u64, u64, &Record)) -> Result<ScanResult, InspectError> {
+fn scan_directory(
+    folder: &Path, on_record: &mut dyn FnMut(u64, u64, &Record),
+) -> Result<ScanResult, InspectError> {
     let files = Disk::new(folder);
-    let told = || folder.display().to_string();
-    let failed = |error| InspectError::Open { folder: told(), error };
+    let display = || folder.display().to_string();
+    let open_error = |error| InspectError::Open { folder: display(), error };
     // The folder itself must be there: that error is final.
-    files.list().map_err(|error| failed(error.into()))?;
-    let mut tries = 1;
+    files.list().map_err(|error| open_error(error.into()))?;
+    let mut attempts = 1;
     let scan = loop {
-        match scan_records(&files, 0, seen) {
-            Err(error) if is_gone(&error) && tries < TRIES => tries += 1,
-            other => break other.map_err(failed)?,
+        match scan_records(&files, 0, on_record) {
+            Err(error) if is_not_found(&error) && attempts < MAX_READ_ATTEMPTS => attempts += 1,
+            other => break other.map_err(open_error)?,
         }
     };
-    if scan.old.is_some() {
-        return Err(InspectError::Old(told()));
+    if scan.legacy.is_some() {
+        return Err(InspectError::LegacyFormat(display()));
     }
     if scan.identity.is_none() && scan.recovery.damage.is_empty() {
-        return Err(InspectError::Nothing(told()));
+        return Err(InspectError::NoJournal(display()));
     }
     Ok(scan)
 }
 
 /// What is owed to one destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Owed {
+struct DestinationSummary {
     messages: u64,
     may_have_run: u64,
     notices: u64,
@@ -95,26 +97,26 @@
     first_deadline: UnixMicros,
 }
 
-fn by_destination(scan: &ScanResult) -> BTreeMap<u32, Owed> {
-    let mut all: BTreeMap<u32, Owed> = BTreeMap::new();
+fn summarize_by_destination(scan: &ScanResult) -> BTreeMap<u32, DestinationSummary> {
+    let mut summaries: BTreeMap<u32, DestinationSummary> = BTreeMap::new();
     for (_, journaled) in scan.index.iter() {
-        let at = all.entry(journaled.message.destination).or_insert(Owed {
+        let summary = summaries.entry(journaled.message.destination).or_insert(DestinationSummary {
             oldest: UnixMicros::MAX,
             first_deadline: UnixMicros::MAX,
-            ..Owed::default()
+            ..DestinationSummary::default()
         });
-        at.messages += u64::from(journaled.notice.is_none());
-        at.notices += u64::from(journaled.notice.is_some());
-        at.may_have_run += u64::from(journaled.may_have_run.or(journaled.in_flight).is_some());
-        at.bytes += journaled.size();
-        at.oldest = at.oldest.min(journaled.message.accepted_at);
-        at.first_deadline = at.first_deadline.min(journaled.message.deadline);
+        summary.messages += u64::from(journaled.notice.is_none());
+        summary.notices += u64::from(journaled.notice.is_some());
+        summary.may_have_run += u64::from(journaled.may_have_run.or(journaled.in_flight).is_some());
+        summary.bytes += journaled.max_size();
+        summary.oldest = summary.oldest.min(journaled.message.accepted_at);
+        summary.first_deadline = summary.first_deadline.min(journaled.message.deadline);
     }
-    all
+    summaries
 }
 
 /// Lines about damage, the torn tail and files that are not the journal's.
-fn problems(scan: &ScanResult) -> Vec<String> {
+fn describe_problems(scan: &ScanResult) -> Vec<String> {
     let mut lines: Vec<String> =
         scan.recovery.damage.iter().map(|damage| format!("{DAMAGE_PREFIX}{damage}")).collect();
     if scan.recovery.torn_bytes > 0 {
@@ -131,12 +133,12 @@
 /// # Errors
 /// Where the folder holds no journal that can be read.
 pub fn show(folder: &Path, now: UnixMicros) -> Result<String, InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+    let scan = scan_directory(folder, &mut |_, _, _| ())?;
     let mut text = String::new();
-    let owed = by_destination(&scan);
-    let sum = |of: fn(&Owed) -> u64| owed.values().map(of).sum::<u64>();
-    let bytes: u64 = scan.segments.values().map(|segment| blocks(segment.bytes_on_disk)).sum();
-    let live: u64 = scan.segments.keys().map(|segment| scan.index.weight(*segment)).sum();
+    let summaries = summarize_by_destination(&scan);
+    let sum = |of: fn(&DestinationSummary) -> u64| summaries.values().map(of).sum::<u64>();
+    let bytes: u64 = scan.segments.values().map(|segment| round_up_to_block(segment.bytes_on_disk)).sum();
+    let live: u64 = scan.segments.keys().map(|segment| scan.index.live_bytes(*segment)).sum();
     // Writing to a string does not fail.
     let _ = writeln!(
         text,
@@ -147,28 +149,28 @@
     let _ = writeln!(
         text,
         "owed: {} messages and {} notices at {} destinations; {} may have run",
-        sum(|owed| owed.messages),
-        sum(|owed| owed.notices),
-        owed.len(),
-        sum(|owed| owed.may_have_run)
+        sum(|summary| summary.messages),
+        sum(|summary| summary.notices),
+        summaries.len(),
+        sum(|summary| summary.may_have_run)
     );
-    if !owed.is_empty() {
+    if !summaries.is_empty() {
         let _ = writeln!(
             text,
             "\ndestination  messages  notices  may have run       bytes  oldest taken                 age s  first deadline"
         );
     }
-    for (destination, owed) in &owed {
-        let age = now.saturating_sub(owed.oldest) as f64 / 1e6;
+    for (destination, summary) in &summaries {
+        let age = now.saturating_sub(summary.oldest) as f64 / 1e6;
         let _ = writeln!(
             text,
             "{destination:>11}  {:>8}  {:>7}  {:>12}  {:>10}  {:<27}  {age:>8.1}  {}",
-            owed.messages,
-            owed.notices,
-            owed.may_have_run,
-            owed.bytes,
-            when(owed.oldest),
-            when(owed.first_deadline)
+            summary.messages,
+            summary.notices,
+            summary.may_have_run,
+            summary.bytes,
+            format_time(summary.oldest),
+            format_time(summary.first_deadline)
         );
     }
     let out: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
@@ -177,21 +179,21 @@
     }
     let _ = writeln!(text, "\n         segment       bytes        live  share  records  begun");
     for (number, segment) in &scan.segments {
-        let live = scan.index.weight(*number);
+        let live = scan.index.live_bytes(*number);
         let share = live as f64 / segment.length.max(1) as f64;
         let _ = writeln!(
             text,
             "{number:016x}  {:>10}  {live:>10}  {share:>5.2}  {:>7}  {}",
             segment.bytes_on_disk,
             segment.records,
-            when(segment.created)
+            format_time(segment.created_at)
         );
     }
-    for line in problems(&scan) {
+    for line in describe_problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
-    if scan.foreign > 0 {
-        let _ = writeln!(text, "other files: {} bytes, which count against the budget", scan.foreign);
+    if scan.foreign_bytes > 0 {
+        let _ = writeln!(text, "other files: {} bytes, which count against the budget", scan.foreign_bytes);
     }
     Ok(text)
 }
@@ -201,9 +203,9 @@
 /// # Errors
 /// Where the folder holds no journal that can be read.
 pub fn verify(folder: &Path) -> Result<(bool, String), InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+    let scan = scan_directory(folder, &mut |_, _, _| ())?;
     let mut text = String::new();
-    for line in problems(&scan) {
+    for line in describe_problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
     let records: u64 = scan.segments.values().map(|segment| segment.records).sum();
@@ -218,11 +220,11 @@
     Ok((sound, text))
 }
 
-fn start(start: Option<AttemptStart>) -> Value {
-    start.map_or(Value::Null, |start| json!({"at": when(start.at), "zone": start.zone}))
+fn attempt_start_json(start: Option<AttemptStart>) -> Value {
+    start.map_or(Value::Null, |start| json!({"at": format_time(start.at), "zone": start.zone}))
 }
 
-fn notice(notice: Option<Notice>) -> Value {
+fn notice_json(notice: Option<Notice>) -> Value {
     match notice {
         None => Value::Null,
         Some(Notice::GivenUp) => json!({"outcome": "given_up"}),
@@ -232,16 +234,16 @@
     }
 }
 
-fn message(number: u64, journaled: &JournaledMessage, bodies: bool) -> Value {
+fn message_json(number: u64, journaled: &JournaledMessage, bodies: bool) -> Value {
     let message = &journaled.message;
     let mut value = json!({
         "number": number, "id": message.id, "class": message.class, "dest": message.destination,
-        "taken": when(message.accepted_at), "deadline": when(message.deadline), "key": message.key,
-        "attempts": journaled.attempts, "may_have_run": start(journaled.may_have_run), "out": start(journaled.in_flight),
-        "notice": notice(journaled.notice), "body_bytes": message.body.len(),
+        "taken": format_time(message.accepted_at), "deadline": format_time(message.deadline), "key": message.key,
+        "attempts": journaled.attempts, "may_have_run": attempt_start_json(journaled.may_have_run), "out": attempt_start_json(journaled.in_flight),
+        "notice": notice_json(journaled.notice), "body_bytes": message.body.len(),
     });
-    if let Some((name, share)) = &message.tenant {
-        (value["customer"], value["over_share"]) = (name.as_str().into(), share.exceeded.into());
+    if let Some((name, quota)) = &message.tenant {
+        (value["customer"], value["over_share"]) = (name.as_str().into(), quota.exceeded.into());
     }
     if bodies {
         value["body_base64"] = STANDARD.encode(&message.body).into();
@@ -249,9 +251,9 @@
     value
 }
 
-fn record(segment: u64, offset: u64, record: &Record, bodies: bool) -> Value {
+fn record_json(segment: u64, offset: u64, record: &Record, bodies: bool) -> Value {
     let mut value = match record {
-        Record::Taken {
+        Record::Accepted {
             number,
             id,
             class,
@@ -264,48 +266,50 @@
             progress,
         } => {
             let mut value = json!({"record": "taken", "number": number, "id": id, "class": class, "dest": destination,
-                "taken": when(*accepted_at), "deadline": when(*deadline), "key": key, "body_bytes": body.len()});
-            if let Some((name, share)) = tenant {
-                (value["customer"], value["over_share"]) = ((*name).into(), share.exceeded.into());
-                value["share_left"] = (f64::from(share.remaining_thousandths) / 1000.0).into();
+                "taken": format_time(*accepted_at), "deadline": format_time(*deadline), "key": key, "body_bytes": body.len()});
+            if let Some((name, quota)) = tenant {
+                (value["customer"], value["over_share"]) = ((*name).into(), quota.exceeded.into());
+                value["share_left"] = (f64::from(quota.remaining_thousandths) / 1000.0).into();
             }
             if let Some(progress) = progress {
                 value["attempts"] = progress.attempts.into();
-                value["may_have_run"] = start(progress.may_have_run);
-                value["out"] = start(progress.in_flight);
-                value["notice"] = notice(progress.notice);
+                value["may_have_run"] = attempt_start_json(progress.may_have_run);
+                value["out"] = attempt_start_json(progress.in_flight);
+                value["notice"] = notice_json(progress.notice);
             }
             if bodies {
                 value["body_base64"] = STANDARD.encode(body).into();
             }
             value
         }
-        Record::Started { number, start: at } => {
-            json!({"record": "started", "number": number, "start": start(Some(*at))})
+        Record::AttemptStarted { number, start: at } => {
+            json!({"record": "started", "number": number, "start": attempt_start_json(Some(*at))})
         }
-        Record::Ended { number, may_have_run } => {
+        Record::AttemptEnded { number, may_have_run } => {
             json!({"record": "ended", "number": number, "may_have_run": may_have_run})
         }
-        Record::Owed { number, notice: told } => {
-            json!({"record": "owed", "number": number, "notice": notice(Some(*told))})
+        Record::NoticeDue { number, notice: due } => {
+            json!({"record": "owed", "number": number, "notice": notice_json(Some(*due))})
+        }
+        Record::Closed { number, base_segment } => {
+            json!({"record": "over", "number": number, "base": base_segment})
         }
-        Record::Over { number, base } => json!({"record": "over", "number": number, "base": base}),
         Record::Progress { number, progress } => json!({"record": "progress", "number": number,
-            "attempts": progress.attempts, "may_have_run": start(progress.may_have_run),
-            "out": start(progress.in_flight), "notice": notice(progress.notice)}),
+            "attempts": progress.attempts, "may_have_run": attempt_start_json(progress.may_have_run),
+            "out": attempt_start_json(progress.in_flight), "notice": notice_json(progress.notice)}),
         Record::Outage { destination, ongoing } => {
             json!({"record": "outage", "dest": destination, "out": ongoing})
         }
-        Record::Opening { sealed, outages, next, quota_levels } => {
+        Record::SegmentOpened { sealed, outages, next_number, quota_levels } => {
             let sealed: Vec<Value> = sealed.iter().map(|s| json!([s.segment, s.length])).collect();
             let quota_levels = quota_levels
                 .iter()
-                .map(|l| json!([l.tenant, f64::from(l.remaining_thousandths) / 1000.0, when(l.at)]));
+                .map(|l| json!([l.tenant, f64::from(l.remaining_thousandths) / 1000.0, format_time(l.at)]));
             let quota_levels: Vec<Value> = quota_levels.collect();
-            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next, "levels": quota_levels})
+            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next_number, "levels": quota_levels})
         }
-        Record::Taken1 { .. } | Record::Opening1 { .. } => json!({"record": "of version 1"}),
-        Record::Removed { segment } => json!({"record": "removed", "removed": segment}),
+        Record::AcceptedV1 { .. } | Record::SegmentOpenedV1 { .. } => json!({"record": "of version 1"}),
+        Record::SegmentRemoved { segment } => json!({"record": "removed", "removed": segment}),
     };
     value["segment"] = segment.into();
     value["offset"] = offset.into();
@@ -317,9 +321,9 @@
 /// # Errors
 /// Where the folder holds no journal that can be read, or `out` can't be written.
 pub fn dump(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+    let scan = scan_directory(folder, &mut |_, _, _| ())?;
     for (number, journaled) in scan.index.iter() {
-        writeln!(out, "{}", message(number, journaled, bodies))?;
+        writeln!(out, "{}", message_json(number, journaled, bodies))?;
     }
     Ok(())
 }
@@ -331,9 +335,9 @@
 /// records stand twice then.
 pub fn dump_records(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
     let mut written = Ok(());
-    read(folder, &mut |segment, offset, seen| {
+    scan_directory(folder, &mut |segment, offset, on_record| {
         if written.is_ok() {
-            written = writeln!(out, "{}", record(segment, offset, seen, bodies));
+            written = writeln!(out, "{}", record_json(segment, offset, on_record, bodies));
         }
     })?;
     Ok(written?)
@@ -358,22 +362,22 @@
 pub fn repair(folder: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
     let mut found = {
         let files = Disk::new(folder);
-        let failed = |error| InspectError::Open { folder: folder.display().to_string(), error };
-        scan(&files, 0).map_err(failed)?
+        let open_error = |error| InspectError::Open { folder: folder.display().to_string(), error };
+        scan(&files, 0).map_err(open_error)?
     };
-    if found.old.is_some() {
-        return Err(InspectError::Old(folder.display().to_string()));
+    if found.legacy.is_some() {
+        return Err(InspectError::LegacyFormat(folder.display().to_string()));
     }
     let Some(identity) = found.identity else {
-        return Err(InspectError::Nothing(folder.display().to_string()));
+        return Err(InspectError::NoJournal(folder.display().to_string()));
     };
     std::fs::create_dir_all(to)?;
     let files = Disk::new(to);
     if !files.list()?.is_empty() {
-        return Err(InspectError::Occupied(to.display().to_string()));
+        return Err(InspectError::TargetNotEmpty(to.display().to_string()));
     }
-    let assumed_run = found.index.assumed_run().len();
-    found.index.settle();
+    let assumed_run = found.index.take_assumed_run().len();
+    found.index.resolve_in_flight();
     let options = Options {
         limits: Limits::for_budget(u64::MAX),
         durability: Durability::Always,
@@ -381,12 +385,12 @@
         identity,
         remembered_outcomes: 0,
     };
-    let failed = |error| InspectError::Open { folder: to.display().to_string(), error };
-    let (mut journal, _) = Journal::recover(files, options).map_err(failed)?;
+    let open_error = |error| InspectError::Open { folder: to.display().to_string(), error };
+    let (mut journal, _) = Journal::recover(files, options).map_err(open_error)?;
     let messages = found
         .index
         .iter()
         .map(|(number, journaled)| (number, journaled.message.clone(), journaled.progress()));
-    journal.adopt(found.index.outages().iter().copied(), messages)?;
-    Ok(RepairReport { messages: found.index.len(), assumed_run, problems: problems(&found) })
+    journal.import(found.index.outages().iter().copied(), messages)?;
+    Ok(RepairReport { messages: found.index.len(), assumed_run, problems: describe_problems(&found) })
 }
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,12 +1,12 @@
 //! The thin shell: segments on a file system, a ledger in memory, and steps that keep the two together.
 
-use crate::compaction::{self, Admission, Limits, Usage, blocks};
+use crate::compaction::{self, Admission, Limits, Usage, round_up_to_block};
 use crate::files::{Disk, Files};
 use crate::format::{self, AcceptedMessage, AttemptStart, Header, Notice, Progress, Record, UnixMicros};
-use crate::index::{self, Fact, JournaledMessage, MessageIndex};
-use crate::old;
+use crate::index::{self, JournaledMessage, LiveRecord, MessageIndex};
+use crate::legacy;
 use crate::recent_outcomes::{FinalOutcome, RecentOutcomes};
-use crate::scan::{ScanResult, Segment, scan};
+use crate::scan::{ScanResult, ScannedSegment, scan};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::path::Path;
@@ -51,8 +51,11 @@
         version: u16,
     },
     /// A journal of the old format beside one of this: an older program ran here since. Both may hold messages.
-    #[error("{}: a journal of an older program beside this one's; one of them must be moved away", old::FILE)]
-    Both,
+    #[error(
+        "{}: a journal of an older program beside this one's; one of them must be moved away",
+        legacy::FILE_NAME
+    )]
+    TwoFormats,
     /// The file system.
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -63,7 +66,7 @@
 pub enum Damage {
     /// Bytes that are no record, with sound ones after them.
     #[error("segment {segment}: {length} bytes at {offset} are no record")]
-    Bad {
+    InvalidBytes {
         /// The segment.
         segment: u64,
         /// Where they begin.
@@ -72,24 +75,24 @@
         length: u64,
     },
     /// A segment is shorter than its successor says.
-    #[error("segment {segment}: {length} bytes, {listed} are listed")]
-    Cut {
+    #[error("segment {segment}: {length} bytes, {listed_length} are listed")]
+    Truncated {
         /// The segment.
         segment: u64,
         /// Its length in bytes.
         length: u64,
         /// The length that is listed.
-        listed: u64,
+        listed_length: u64,
     },
     /// A segment that is listed is not there.
     #[error("segment {segment} is missing")]
-    Missing {
+    MissingSegment {
         /// The segment.
         segment: u64,
     },
     /// A file that is no segment of this journal in its place. It is left as it is.
     #[error("{file}: {problem}")]
-    Foreign {
+    ForeignFile {
         /// The file.
         file: String,
         /// What is wrong with it.
@@ -125,11 +128,11 @@
     pub failed_calls: u64,
 }
 
-struct Head<H> {
+struct ActiveSegment<H> {
     segment: u64,
     handle: H,
     /// Bytes of its header and its first record.
-    first: u64,
+    preamble_length: u64,
     /// Bytes that count.
     length: u64,
     /// Bytes on file.
@@ -141,25 +144,25 @@
 }
 
 #[derive(Clone, Copy)]
-struct Sealed {
+struct SealedFile {
     length: u64,
     bytes_on_disk: u64,
 }
 
 /// What happened and could not be written so far: it is all in the ledger.
 #[derive(Default)]
-struct Unwritten {
+struct PendingRecords {
     /// Messages that have come further.
     messages: BTreeSet<u64>,
     /// Messages that are over, and the segments with their last `Taken` records.
-    overs: Vec<(u64, u64)>,
+    closed: Vec<(u64, u64)>,
     /// Destinations that went out or came back.
     outages: BTreeSet<u32>,
 }
 
-impl Unwritten {
+impl PendingRecords {
     fn is_empty(&self) -> bool {
-        self.messages.is_empty() && self.overs.is_empty() && self.outages.is_empty()
+        self.messages.is_empty() && self.closed.is_empty() && self.outages.is_empty()
     }
 }
 
@@ -170,16 +173,16 @@
     durability: Durability,
     identity: u128,
     index: MessageIndex,
-    sealed: BTreeMap<u64, Sealed>,
-    head: Option<Head<F::Handle>>,
+    sealed: BTreeMap<u64, SealedFile>,
+    active: Option<ActiveSegment<F::Handle>>,
     /// The next segment's number.
-    next: u64,
+    next_segment: u64,
     /// The segment that is being emptied, and whether its removal stands on record.
-    emptying: Option<(u64, bool)>,
-    unwritten: Unwritten,
+    compacting: Option<(u64, bool)>,
+    pending: PendingRecords,
     /// Files that are not ours, in bytes.
-    foreign: u64,
-    started: UnixMicros,
+    foreign_bytes: u64,
+    opened_at: UnixMicros,
     counters: Counters,
     buffer: Vec<u8>,
 }
@@ -189,7 +192,7 @@
     format!("{segment:016x}.journal")
 }
 
-pub(crate) fn file_number(name: &str) -> Option<u64> {
+pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(".journal").filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok().filter(|number| file_name(*number) == name)
 }
@@ -219,70 +222,81 @@
             identity,
             index: MessageIndex::new(remembered_outcomes),
             sealed: BTreeMap::new(),
-            head: None,
-            next: 1,
-            emptying: None,
-            unwritten: Unwritten::default(),
-            foreign: 0,
-            started: now,
+            active: None,
+            next_segment: 1,
+            compacting: None,
+            pending: PendingRecords::default(),
+            foreign_bytes: 0,
+            opened_at: now,
             counters: Counters::default(),
             buffer: Vec::new(),
         };
         let scan = scan(&journal.files, remembered_outcomes)?;
-        let ScanResult { identity, segments, index, recovery, foreign, remove, next, old } = scan;
-        (journal.identity, journal.foreign, journal.next) =
-            (identity.unwrap_or(journal.identity), foreign, next);
+        let ScanResult {
+            identity,
+            segments,
+            index,
+            recovery,
+            foreign_bytes,
+            obsolete_files,
+            next_segment,
+            legacy,
+        } = scan;
+        (journal.identity, journal.foreign_bytes, journal.next_segment) =
+            (identity.unwrap_or(journal.identity), foreign_bytes, next_segment);
         let mut recovery = recovery;
-        for name in remove {
+        for name in obsolete_files {
             journal.files.remove(&name)?;
         }
-        if let Some(old) = old {
-            journal.carry_over(old)?;
+        if let Some(legacy) = legacy {
+            journal.migrate_legacy(legacy)?;
             recovery.latest_timestamp = journal.index.latest_timestamp();
             return Ok((journal, recovery));
         }
         journal.index = index;
         journal.sealed = segments
             .into_iter()
-            .map(|(number, Segment { length, bytes_on_disk, .. })| (number, Sealed { length, bytes_on_disk }))
+            .map(|(number, ScannedSegment { length, bytes_on_disk, .. })| {
+                (number, SealedFile { length, bytes_on_disk })
+            })
             .collect();
-        journal.index.settle();
-        journal.begin_segment()?;
-        for number in journal.index.assumed_run() {
+        journal.index.resolve_in_flight();
+        journal.start_segment()?;
+        for number in journal.index.take_assumed_run() {
             let Some(progress) = journal.index.get(number).map(JournaledMessage::progress) else { continue };
-            journal.append_noted(&[Record::Progress { number, progress }])?;
+            journal.append_tracked(&[Record::Progress { number, progress }])?;
         }
         Ok((journal, recovery))
     }
 
     /// Takes over what a file of the old format tells.
-    fn carry_over(&mut self, old: old::Old) -> io::Result<()> {
-        self.begin_segment()?;
+    fn migrate_legacy(&mut self, legacy: legacy::LegacyJournal) -> io::Result<()> {
+        self.start_segment()?;
         let messages =
-            old.messages.into_iter().map(|(number, (message, progress))| (number, message, progress));
-        self.adopt(old.outages.into_iter(), messages)?;
-        self.files.remove(old::NEXT_FILE)?;
-        self.files.remove(old::FILE)?;
-        self.index.settle();
+            legacy.messages.into_iter().map(|(number, (message, progress))| (number, message, progress));
+        self.import(legacy.outages.into_iter(), messages)?;
+        self.files.remove(legacy::TEMP_FILE_NAME)?;
+        self.files.remove(legacy::FILE_NAME)?;
+        self.index.resolve_in_flight();
         Ok(())
     }
 
     /// Writes down what another journal told; when this returns it outlasts the machine.
-    pub(crate) fn adopt(
+    pub(crate) fn import(
         &mut self, outages: impl Iterator<Item = u32>,
         messages: impl Iterator<Item = (u64, AcceptedMessage, Progress)>,
     ) -> io::Result<()> {
         for destination in outages {
             let record = Record::Outage { destination, ongoing: true };
             self.append(std::slice::from_ref(&record))?;
-            self.index.happened(&record);
+            self.index.apply(&record);
         }
         for (number, message, progress) in messages {
             let segment = self.append(&[index::accepted_record(number, &message, Some(progress))])?;
             self.index.insert(segment, number, message, Some(progress));
         }
-        if let Some(head) = &self.head {
-            self.files.sync(&head.handle)?;
+        if let Some(active) = &self.active {
+            self.files.sync(&active.handle)?;
         }
         self.files.sync_folder()
     }
@@ -294,12 +308,12 @@
 
     /// The number of the message with an id.
     pub fn number_by_id(&self, id: &str) -> Option<u64> {
-        self.index.number(id)
+        self.index.number_by_id(id)
     }
 
     /// The ends that are remembered, for the process that takes over.
     pub fn recent_outcomes(&self) -> &RecentOutcomes {
-        self.index.ended()
+        self.index.recent_outcomes()
     }
 
     /// Remembers what the process remembered that handed this journal over.
@@ -329,26 +343,29 @@
 
     /// Messages that are neither delivered nor ended.
     pub fn open_messages(&self) -> usize {
-        self.index.len() - self.index.owed().len()
+        self.index.len() - self.index.pending_notices().len()
     }
 
     /// The first notices that are owed.
-    pub fn pending_notices(&self, most: usize) -> Vec<(u64, String, Notice)> {
-        self.due_notices(UnixMicros::MAX, most)
+    pub fn pending_notices(&self, max_bytes: usize) -> Vec<(u64, String, Notice)> {
+        self.due_notices(UnixMicros::MAX, max_bytes)
     }
 
     /// The notices that may go out now: those on record, and those of messages whose time is up, which no later life
     /// would send any more.
-    pub fn due_notices(&self, now: UnixMicros, most: usize) -> Vec<(u64, String, Notice)> {
-        let journaled =
-            self.index.owed().iter().filter_map(|number| Some((*number, self.index.get(*number)?)));
+    pub fn due_notices(&self, now: UnixMicros, max_bytes: usize) -> Vec<(u64, String, Notice)> {
+        let journaled = self
+            .index
+            .pending_notices()
+            .iter()
+            .filter_map(|number| Some((*number, self.index.get(*number)?)));
         let due = journaled.filter(|(number, journaled)| {
-            journaled.message.deadline <= now || !self.unwritten.messages.contains(number)
+            journaled.message.deadline <= now || !self.pending.messages.contains(number)
         });
-        let owed = due.filter_map(|(number, journaled)| {
+        let notices = due.filter_map(|(number, journaled)| {
             Some((number, journaled.message.id.clone(), journaled.notice?))
         });
-        owed.take(most).collect()
+        notices.take(max_bytes).collect()
     }
 
     /// Sums since the journal was opened.
@@ -359,23 +376,31 @@
     /// Segments that are there, with the one that is written to: number, bytes, and bytes of those that count.
     pub fn segments(&self) -> Vec<(u64, u64, u64)> {
         let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length));
-        let head = self.head.iter().map(|head| (head.segment, head.length));
-        sealed.chain(head).map(|(segment, length)| (segment, length, self.index.weight(segment))).collect()
+        let active = self.active.iter().map(|active| (active.segment, active.length));
+        sealed
+            .chain(active)
+            .map(|(segment, length)| (segment, length, self.index.live_bytes(segment)))
+            .collect()
     }
 
     /// Bytes of all files, in whole blocks.
     pub fn bytes_on_disk(&self) -> u64 {
-        let sealed: u64 = self.sealed.values().map(|s| blocks(s.bytes_on_disk)).sum();
-        sealed + self.head.iter().map(|head| blocks(head.bytes_on_disk)).sum::<u64>() + self.foreign
+        let sealed: u64 = self.sealed.values().map(|s| round_up_to_block(s.bytes_on_disk)).sum();
+        sealed
+            + self.active.iter().map(|active| round_up_to_block(active.bytes_on_disk)).sum::<u64>()
+            + self.foreign_bytes
     }
 
     /// Whether all that happened is on file.
     pub fn is_fully_written(&self) -> bool {
-        self.unwritten.is_empty()
+        self.pending.is_empty()
     }
 
-    fn stock(&self) -> Usage {
-        Usage { bytes_on_disk: self.bytes_on_disk(), owed: self.index.size() + self.foreign }
+    fn usage(&self) -> Usage {
+        Usage {
+            bytes_on_disk: self.bytes_on_disk(),
+            max_live_bytes: self.index.max_bytes() + self.foreign_bytes,
+        }
     }
 
     /// Takes a message on; none where there is no room for it.
@@ -384,13 +409,13 @@
     /// Where its record is not on file: it was not taken.
     pub fn accept(&mut self, message: &AcceptedMessage) -> io::Result<Option<u64>> {
         self.flush_pending()?;
-        let size = index::size(message);
-        let fits = match compaction::admit(&self.limits, self.stock(), size, size) {
+        let max_size = index::max_message_size(message);
+        let fits = match compaction::admit(&self.limits, self.usage(), max_size, max_size) {
             Admission::Fits => true,
             // A step may win enough; more than one would hold up everybody else.
-            Admission::Later => {
+            Admission::AfterCompaction => {
                 self.compact_step()?;
-                compaction::admit(&self.limits, self.stock(), size, size) == Admission::Fits
+                compaction::admit(&self.limits, self.usage(), max_size, max_size) == Admission::Fits
             }
             Admission::Full => false,
         };
@@ -398,7 +423,7 @@
             self.counters.rejected_messages += 1;
             return Ok(None);
         }
-        let number = self.index.next();
+        let number = self.index.next_number();
         let segment = self.append(&[index::accepted_record(number, message, None)])?;
         self.index.insert(segment, number, message.clone(), None);
         Ok(Some(number))
@@ -409,15 +434,15 @@
     /// # Errors
     /// Where the record is not on file: the call must not go out, and counts as never begun.
     pub fn attempt_started(&mut self, number: u64, start: AttemptStart) -> io::Result<()> {
-        self.reclaim_reserve();
+        self.compact_if_reserve_used();
         // First: it would write this message's progress as if the call had begun.
         self.flush_pending()?;
         let before = self.index.get(number).map(JournaledMessage::progress);
-        let record = Record::Started { number, start };
-        self.index.happened(&record);
-        let written = self.write_progress(&record);
+        let record = Record::AttemptStarted { number, start };
+        self.index.apply(&record);
+        let written = self.append_event(&record);
         if let Some(before) = before.filter(|_| written.is_err()) {
-            self.index.happened(&Record::Progress { number, progress: before });
+            self.index.apply(&Record::Progress { number, progress: before });
         }
         written
     }
@@ -425,8 +450,8 @@
     /// A call goes out though its record could not be written: that it is made once more does no harm. The record is
     /// written before any other.
     pub fn attempt_started_unrecorded(&mut self, number: u64, start: AttemptStart) {
-        self.index.happened(&Record::Started { number, start });
-        self.unwritten.messages.insert(number);
+        self.index.apply(&Record::AttemptStarted { number, start });
+        self.pending.messages.insert(number);
     }
 
     /// A call has ended and the message is not delivered.
@@ -434,7 +459,7 @@
     /// # Errors
     /// Where the record is not on file yet; it will be before any other.
     pub fn attempt_ended(&mut self, number: u64, may_have_run: bool) -> io::Result<()> {
-        self.write(Record::Ended { number, may_have_run })
+        self.record_event(Record::AttemptEnded { number, may_have_run })
     }
 
     /// The message ends undelivered; the platform has yet to hear.
@@ -442,7 +467,7 @@
     /// # Errors
     /// As for [`ended`](Journal::ended).
     pub fn notice_due(&mut self, number: u64, notice: Notice) -> io::Result<()> {
-        self.write(Record::Owed { number, notice })
+        self.record_event(Record::NoticeDue { number, notice })
     }
 
     /// Nothing more is owed for the message.
@@ -450,8 +475,8 @@
     /// # Errors
     /// As for [`ended`](Journal::ended).
     pub fn close(&mut self, number: u64) -> io::Result<()> {
-        let Some(base) = self.index.base(number) else { return Ok(()) };
-        self.write(Record::Over { number, base })
+        let Some(base_segment) = self.index.base_segment(number) else { return Ok(()) };
+        self.record_event(Record::Closed { number, base_segment })
     }
 
     /// A destination is out or comes back cold; or it is as usual again.
@@ -459,23 +484,23 @@
     /// # Errors
     /// As for [`ended`](Journal::ended).
     pub fn set_outage(&mut self, destination: u32, ongoing: bool) -> io::Result<()> {
-        self.write(Record::Outage { destination, ongoing })
+        self.record_event(Record::Outage { destination, ongoing })
     }
 
     /// What happened is true even where it can't be written: memory follows in any case, and what it tells is
     /// written before anything else.
-    fn write(&mut self, record: Record<'static>) -> io::Result<()> {
-        self.reclaim_reserve();
-        self.index.happened(&record);
-        let written = self.flush_pending().and_then(|()| self.write_progress(&record));
+    fn record_event(&mut self, record: Record<'static>) -> io::Result<()> {
+        self.compact_if_reserve_used();
+        self.index.apply(&record);
+        let written = self.flush_pending().and_then(|()| self.append_event(&record));
         if written.is_err() {
             match record {
-                Record::Over { number, base } => self.unwritten.overs.push((number, base)),
-                Record::Outage { destination, .. } => _ = self.unwritten.outages.insert(destination),
-                Record::Started { number, .. }
-                | Record::Ended { number, .. }
-                | Record::Owed { number, .. } => {
-                    self.unwritten.messages.insert(number);
+                Record::Closed { number, base_segment } => self.pending.closed.push((number, base_segment)),
+                Record::Outage { destination, .. } => _ = self.pending.outages.insert(destination),
+                Record::AttemptStarted { number, .. }
+                | Record::AttemptEnded { number, .. }
+                | Record::NoticeDue { number, .. } => {
+                    self.pending.messages.insert(number);
                 }
                 _ => {}
             }
@@ -485,30 +510,31 @@
 
     /// Where the reserve is in use, what ends messages pays for room as it goes. Two segments are left then: one that
     /// is being emptied costs another one's room until it goes.
-    fn reclaim_reserve(&mut self) {
+    fn compact_if_reserve_used(&mut self) {
         if self.bytes_on_disk() + 2 * self.limits.segment_bytes > self.limits.budget_bytes {
             let _ = self.compact_step();
         }
     }
 
-    fn write_progress(&mut self, record: &Record) -> io::Result<()> {
-        let segment = self.room_for(index::record_size(record))?;
-        let (Record::Started { number, .. } | Record::Ended { number, .. } | Record::Owed { number, .. }) =
-            *record
+    fn append_event(&mut self, record: &Record) -> io::Result<()> {
+        let segment = self.segment_for(index::estimated_record_size(record))?;
+        let (Record::AttemptStarted { number, .. }
+        | Record::AttemptEnded { number, .. }
+        | Record::NoticeDue { number, .. }) = *record
         else {
-            return self.append_noted(std::slice::from_ref(record));
+            return self.append_tracked(std::slice::from_ref(record));
         };
         match self.index.get(number).map(JournaledMessage::progress) {
-            Some(progress) if self.index.needs_copy(segment, number) => {
-                self.append_noted(&[Record::Progress { number, progress }])
+            Some(progress) if self.index.needs_full_progress(segment, number) => {
+                self.append_tracked(&[Record::Progress { number, progress }])
             }
-            _ => self.append_noted(std::slice::from_ref(record)),
+            _ => self.append_tracked(std::slice::from_ref(record)),
         }
     }
 
-    fn append_noted(&mut self, records: &[Record]) -> io::Result<()> {
+    fn append_tracked(&mut self, records: &[Record]) -> io::Result<()> {
         let segment = self.append(records)?;
-        records.iter().for_each(|record| self.index.stands(segment, record));
+        records.iter().for_each(|record| self.index.track_location(segment, record));
         Ok(())
     }
 
@@ -517,25 +543,25 @@
     /// # Errors
     /// Where it can't be written still.
     pub fn flush_pending(&mut self) -> io::Result<()> {
-        if self.unwritten.is_empty() {
+        if self.pending.is_empty() {
             return Ok(());
         }
-        let Unwritten { messages, overs, outages } = std::mem::take(&mut self.unwritten);
+        let PendingRecords { messages, closed, outages } = std::mem::take(&mut self.pending);
         let known = |number: &u64| Some((*number, self.index.get(*number)?.progress()));
         let progress = messages.iter().filter_map(known);
         let mut records: Vec<Record> =
             progress.map(|(number, progress)| Record::Progress { number, progress }).collect();
-        records.extend(overs.iter().map(|(number, base)| Record::Over { number: *number, base: *base }));
-        let is_out = |destination: &u32| self.index.outages().contains(destination);
         records.extend(
-            outages.iter().map(|destination| Record::Outage {
-                destination: *destination,
-                ongoing: is_out(destination),
-            }),
+            closed.iter().map(|(number, base)| Record::Closed { number: *number, base_segment: *base }),
         );
-        let written = self.append_noted(&records);
+        let is_ongoing = |destination: &u32| self.index.outages().contains(destination);
+        records.extend(outages.iter().map(|destination| Record::Outage {
+            destination: *destination,
+            ongoing: is_ongoing(destination),
+        }));
+        let written = self.append_tracked(&records);
         if written.is_err() {
-            self.unwritten = Unwritten { messages, overs, outages };
+            self.pending = PendingRecords { messages, closed, outages };
         }
         written
     }
@@ -547,90 +573,95 @@
     /// Where a call of the file system failed; the step may be asked for again.
     pub fn compact_step(&mut self) -> io::Result<bool> {
         self.flush_pending()?;
-        if self.head.as_ref().is_none_or(|head| head.broken) {
-            self.begin_segment()?;
+        if self.active.as_ref().is_none_or(|active| active.broken) {
+            self.start_segment()?;
         }
-        let stock = self.stock();
-        let emptying = match self.emptying {
-            Some(emptying) => emptying,
+        let usage = self.usage();
+        let compacting = match self.compacting {
+            Some(compacting) => compacting,
             None => {
-                let sealed = self.sealed.iter().map(|(segment, s)| compaction::Segment {
+                let sealed = self.sealed.iter().map(|(segment, s)| compaction::SegmentUsage {
                     segment: *segment,
                     length: s.bytes_on_disk,
-                    weight: self.index.weight(*segment),
+                    live_bytes: self.index.live_bytes(*segment),
                 });
-                let next = self.index.unfinished().or_else(|| compaction::next(&self.limits, stock, sealed));
+                let next = self
+                    .index
+                    .partly_compacted()
+                    .or_else(|| compaction::next_segment(&self.limits, usage, sealed));
                 let Some(next) = next else { return Ok(false) };
                 (next, false)
             }
         };
-        let segment = emptying.0;
-        self.emptying = Some(emptying);
-        let most = compaction::step(&self.limits, stock);
-        if self.index.facts(segment).next().is_some() {
-            let target = self.room_for(most)?;
-            let (mut facts, mut buffer) = (Vec::new(), std::mem::take(&mut self.buffer));
+        let segment = compacting.0;
+        self.compacting = Some(compacting);
+        let max_bytes = compaction::step_bytes(&self.limits, usage);
+        if self.index.live_records(segment).next().is_some() {
+            let target = self.segment_for(max_bytes)?;
+            let (mut copied, mut buffer) = (Vec::new(), std::mem::take(&mut self.buffer));
             buffer.clear();
-            for fact in self.index.facts(segment) {
+            for live in self.index.live_records(segment) {
                 let journaled =
                     |number: u64| self.index.get(number).map(|journaled| (journaled, journaled.progress()));
-                let record = match fact {
-                    Fact::Message(number) => {
-                        journaled(number).map(|(k, progress)| k.record(number, Some(progress)))
+                let record = match live {
+                    LiveRecord::Message(number) => {
+                        journaled(number).map(|(k, progress)| k.to_record(number, Some(progress)))
                     }
-                    Fact::Progress(number) => {
+                    LiveRecord::Progress(number) => {
                         journaled(number).map(|(_, progress)| Record::Progress { number, progress })
                     }
-                    Fact::Over { number, base } => Some(Record::Over { number, base }),
+                    LiveRecord::Tombstone { number, base_segment } => {
+                        Some(Record::Closed { number, base_segment })
+                    }
                 };
                 let Some(record) = record else { continue };
-                format::frame(&mut buffer, target, &record)?;
-                facts.push(fact);
-                if buffer.len() as u64 >= most {
+                format::append_record(&mut buffer, target, &record)?;
+                copied.push(live);
+                if buffer.len() as u64 >= max_bytes {
                     break;
                 }
             }
-            let written = self.put(&buffer);
+            let written = self.append_bytes(&buffer);
             self.counters.bytes_copied += buffer.len() as u64 * u64::from(written.is_ok());
             self.buffer = buffer;
             written?;
-            for fact in facts {
-                match fact {
-                    Fact::Message(number) => self.index.moved(target, number),
-                    Fact::Progress(number) => {
+            for live in copied {
+                match live {
+                    LiveRecord::Message(number) => self.index.relocate(target, number),
+                    LiveRecord::Progress(number) => {
                         if let Some(progress) = self.index.get(number).map(JournaledMessage::progress) {
-                            self.index.stands(target, &Record::Progress { number, progress });
+                            self.index.track_location(target, &Record::Progress { number, progress });
                         }
                     }
-                    Fact::Over { number, base } => {
-                        self.index.tomb_moved(segment, number, base);
-                        self.index.stands(target, &Record::Over { number, base });
+                    LiveRecord::Tombstone { number, base_segment } => {
+                        self.index.relocate_tombstone(segment, number, base_segment);
+                        self.index.track_location(target, &Record::Closed { number, base_segment });
                     }
                 }
             }
         }
-        if self.index.facts(segment).next().is_none() {
-            self.finish(emptying)?;
+        if self.index.live_records(segment).next().is_none() {
+            self.remove_compacted(compacting)?;
         }
         Ok(true)
     }
 
     /// Removes a segment whose facts all stand in later ones.
-    fn finish(&mut self, (segment, recorded): (u64, bool)) -> io::Result<()> {
+    fn remove_compacted(&mut self, (segment, recorded): (u64, bool)) -> io::Result<()> {
         if !recorded {
-            self.append(&[Record::Removed { segment }])?;
-            self.emptying = Some((segment, true));
+            self.append(&[Record::SegmentRemoved { segment }])?;
+            self.compacting = Some((segment, true));
         }
         if self.durability != Durability::None {
             // The copies outlast the machine before what they were made of goes.
             self.sync()?;
         }
         let removed = self.files.remove(&file_name(segment));
-        self.note(removed)?;
+        self.count_failure(removed)?;
         self.sealed.remove(&segment);
         self.index.remove_segment(segment);
         self.counters.segments_removed += 1;
-        self.emptying = None;
+        self.compacting = None;
         Ok(())
     }
 
@@ -639,33 +670,33 @@
     /// # Errors
     /// Where that is not sure. The segment is sealed then: a later success would tell nothing of its bytes.
     pub fn sync(&mut self) -> io::Result<()> {
-        let Some(head) = self.head.as_mut().filter(|head| head.unsynced) else { return Ok(()) };
-        let synced = self.files.sync(&head.handle);
-        head.unsynced = false;
+        let Some(active) = self.active.as_mut().filter(|active| active.unsynced) else { return Ok(()) };
+        let synced = self.files.sync(&active.handle);
+        active.unsynced = false;
         if synced.is_err() {
             // Nobody can say which of its bytes are there: all that counts is written once more, elsewhere.
-            head.broken = true;
-            self.index.rewrite(head.segment);
+            active.broken = true;
+            self.index.compact_first(active.segment);
         }
-        self.note(synced)
+        self.count_failure(synced)
     }
 
-    fn note<T>(&mut self, done: io::Result<T>) -> io::Result<T> {
+    fn count_failure<T>(&mut self, done: io::Result<T>) -> io::Result<T> {
         self.counters.failed_calls += u64::from(done.is_err());
         done
     }
 
     /// Appends records in one write; tells which segment they stand in.
     fn append(&mut self, records: &[Record]) -> io::Result<u64> {
-        let size: u64 = records.iter().map(index::record_size).sum();
+        let max_size: u64 = records.iter().map(index::estimated_record_size).sum();
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
         let result = (|| {
-            let segment = self.room_for(size)?;
+            let segment = self.segment_for(max_size)?;
             for record in records {
-                format::frame(&mut buffer, segment, record)?;
+                format::append_record(&mut buffer, segment, record)?;
             }
-            self.put(&buffer)?;
+            self.append_bytes(&buffer)?;
             Ok(segment)
         })();
         self.buffer = buffer;
@@ -673,28 +704,28 @@
     }
 
     /// The segment to write to, after a new one was begun if that is due.
-    fn room_for(&mut self, bytes: u64) -> io::Result<u64> {
-        let most = self.limits.segment_bytes;
-        let due = self.head.as_ref().is_none_or(|head| {
+    fn segment_for(&mut self, bytes: u64) -> io::Result<u64> {
+        let max_bytes = self.limits.segment_bytes;
+        let due = self.active.as_ref().is_none_or(|active| {
             // A record that is longer than a segment gets one of its own.
-            head.broken || (head.length + bytes > most && head.length > head.first)
+            active.broken || (active.length + bytes > max_bytes && active.length > active.preamble_length)
         });
         if due
-            && let Err(error) = self.begin_segment()
-            && self.head.as_ref().is_none_or(|head| head.broken)
+            && let Err(error) = self.start_segment()
+            && self.active.as_ref().is_none_or(|active| active.broken)
         {
             return Err(error);
         }
-        self.head.as_ref().map(|head| head.segment).ok_or_else(|| io::Error::other("no segment"))
+        self.active.as_ref().map(|active| active.segment).ok_or_else(|| io::Error::other("no segment"))
     }
 
     /// Writes bytes at the end of the head, all or none.
-    fn put(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let Some(head) = &mut self.head else { return Err(io::Error::other("no segment")) };
+    fn append_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
+        let Some(active) = &mut self.active else { return Err(io::Error::other("no segment")) };
         let mut written = 0;
         let mut result = Ok(());
         while written < bytes.len() && result.is_ok() {
-            match self.files.append(&mut head.handle, &bytes[written..]) {
+            match self.files.append(&mut active.handle, &bytes[written..]) {
                 Ok(0) => result = Err(io::ErrorKind::WriteZero.into()),
                 Ok(more) => written += more,
                 Err(error) => result = Err(error),
@@ -703,61 +734,71 @@
         if result.is_err() {
             self.counters.failed_calls += 1;
             // Half a record would hide all that comes after it.
-            if self.files.truncate(&mut head.handle, head.length).is_err() {
+            if self.files.truncate(&mut active.handle, active.length).is_err() {
                 self.counters.failed_calls += 1;
-                (head.broken, head.bytes_on_disk) = (true, head.length + written as u64);
+                (active.broken, active.bytes_on_disk) = (true, active.length + written as u64);
             }
             return result;
         }
-        head.length += bytes.len() as u64;
-        head.bytes_on_disk = head.length;
-        head.unsynced = true;
+        active.length += bytes.len() as u64;
+        active.bytes_on_disk = active.length;
+        active.unsynced = true;
         self.counters.bytes_written += bytes.len() as u64;
         Ok(())
     }
 
     /// Seals the head and begins the next segment.
-    fn begin_segment(&mut self) -> io::Result<()> {
+    fn start_segment(&mut self) -> io::Result<()> {
         if self.durability != Durability::None {
             self.sync()?;
         }
-        let segment = self.next;
-        let head = self.head.iter().map(|head| (head.segment, head.length));
-        let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length)).chain(head);
-        let opening = Record::Opening {
-            sealed: index::sealed(sealed),
+        let segment = self.next_segment;
+        let active = self.active.iter().map(|active| (active.segment, active.length));
+        let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length)).chain(active);
+        let opening = Record::SegmentOpened {
+            sealed: index::sealed_segments(sealed),
             outages: self.index.outages().iter().copied().collect(),
-            next: self.index.next(),
+            next_number: self.index.next_number(),
             quota_levels: self.index.quota_levels().collect(),
         };
-        let header = Header { identity: self.identity, segment, created: self.started };
-        let mut bytes = header.bytes().to_vec();
-        format::frame(&mut bytes, segment, &opening)?;
+        let header = Header { identity: self.identity, segment, created_at: self.opened_at };
+        let mut bytes = header.to_bytes().to_vec();
+        format::append_record(&mut bytes, segment, &opening)?;
         let name = file_name(segment);
         let created = self.files.create(&name);
-        let handle = self.note(created)?;
-        self.next = segment + 1;
-        let (first, broken) = (bytes.len() as u64, false);
-        let begun = Head { segment, handle, first, length: 0, bytes_on_disk: 0, broken, unsynced: false };
-        let before = self.head.replace(begun);
-        let whole = self.put(&bytes);
+        let handle = self.count_failure(created)?;
+        self.next_segment = segment + 1;
+        let (preamble_length, broken) = (bytes.len() as u64, false);
+        let active = ActiveSegment {
+            segment,
+            handle,
+            preamble_length,
+            length: 0,
+            bytes_on_disk: 0,
+            broken,
+            unsynced: false,
+        };
+        let before = self.active.replace(active);
+        let whole = self.append_bytes(&bytes);
         if let Err(error) = whole {
-            self.head = before;
+            self.active = before;
             // Without a whole first record it is of no account if it stays.
             let removed = self.files.remove(&name);
-            let _ = self.note(removed);
+            let _ = self.count_failure(removed);
             return Err(error);
         }
         // From here on it counts: what stands in it holds for all before it.
-        if let Some(head) = before {
-            self.sealed
-                .insert(head.segment, Sealed { length: head.length, bytes_on_disk: head.bytes_on_disk });
+        if let Some(active) = before {
+            self.sealed.insert(
+                active.segment,
+                SealedFile { length: active.length, bytes_on_disk: active.bytes_on_disk },
+            );
         }
-        self.index.open(segment);
+        self.index.add_segment(segment);
         if self.durability != Durability::None {
             self.sync()?;
             let synced = self.files.sync_folder();
-            self.note(synced)?;
+            self.count_failure(synced)?;
         }
         Ok(())
     }
--- a/crates/journal/src/old.rs
+++ b/crates/journal/src/legacy.rs
@@ -6,15 +6,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The file.
-pub(crate) const FILE: &str = "journal";
+pub(crate) const FILE_NAME: &str = "journal";
 /// Its successor while it was written anew; no journal yet.
-pub(crate) const NEXT_FILE: &str = "journal.next";
+pub(crate) const TEMP_FILE_NAME: &str = "journal.next";
 /// Length and checksum before each record.
-const FRAME: usize = 8;
+const FRAME_BYTES: usize = 8;
 
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Record<'a> {
-    Taken {
+    Accepted {
         number: u64,
         id: &'a str,
         class: &'a str,
@@ -24,24 +24,24 @@
         key: Option<&'a str>,
         body: &'a [u8],
     },
-    Past {
+    History {
         number: u64,
         attempts: u32,
         may_have_run: Option<AttemptStart>,
     },
-    Started {
+    AttemptStarted {
         number: u64,
         start: AttemptStart,
     },
-    Ended {
+    AttemptEnded {
         number: u64,
         may_have_run: bool,
     },
-    Owed {
+    NoticeDue {
         number: u64,
         notice: Notice,
     },
-    Over {
+    Closed {
         number: u64,
     },
     Outage {
@@ -52,34 +52,34 @@
 
 /// What an old file tells.
 #[derive(Debug, Default, PartialEq)]
-pub(crate) struct Old {
+pub(crate) struct LegacyJournal {
     pub(crate) messages: BTreeMap<u64, (AcceptedMessage, Progress)>,
     pub(crate) outages: BTreeSet<u32>,
     /// Bytes at the end that are no whole record: one that never happened.
     pub(crate) torn_bytes: usize,
 }
 
-fn unframe(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
+fn decode_record(bytes: &[u8]) -> Option<(Record<'_>, usize)> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
-    let (sum, rest) = rest.split_first_chunk::<4>()?;
+    let (checksum, rest) = rest.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*length) as usize;
-    let body = rest.get(..length)?;
-    let whole = crc32fast::hash(body) == u32::from_le_bytes(*sum);
-    Some((postcard::from_bytes(body).ok().filter(|_| whole)?, FRAME + length))
+    let payload = rest.get(..length)?;
+    let is_valid = crc32fast::hash(payload) == u32::from_le_bytes(*checksum);
+    Some((postcard::from_bytes(payload).ok().filter(|_| is_valid)?, FRAME_BYTES + length))
 }
 
 /// The identity of a journal that is carried over from these bytes.
-pub(crate) fn identity(bytes: &[u8]) -> u128 {
+pub(crate) fn derive_identity(bytes: &[u8]) -> u128 {
     u128::from(bytes.len() as u64) << 32 | u128::from(crc32fast::hash(bytes))
 }
 
 /// Reads an old file up to its first record that is not whole, as the program that wrote it did.
-pub(crate) fn read(mut bytes: &[u8]) -> Old {
-    let mut old = Old::default();
-    while let Some((record, length)) = unframe(bytes) {
+pub(crate) fn parse(mut bytes: &[u8]) -> LegacyJournal {
+    let mut journal = LegacyJournal::default();
+    while let Some((record, length)) = decode_record(bytes) {
         bytes = &bytes[length..];
         match record {
-            Record::Taken { number, id, class, destination, accepted_at, deadline, key, body } => {
+            Record::Accepted { number, id, class, destination, accepted_at, deadline, key, body } => {
                 let message = AcceptedMessage {
                     id: id.into(),
                     class: class.into(),
@@ -90,35 +90,35 @@
                     tenant: None,
                     body: Bytes::copy_from_slice(body),
                 };
-                old.messages.insert(number, (message, Progress::default()));
+                journal.messages.insert(number, (message, Progress::default()));
             }
-            Record::Past { number, attempts, may_have_run } => {
-                if let Some((_, progress)) = old.messages.get_mut(&number) {
+            Record::History { number, attempts, may_have_run } => {
+                if let Some((_, progress)) = journal.messages.get_mut(&number) {
                     (progress.attempts, progress.may_have_run) = (attempts, may_have_run);
                 }
             }
-            Record::Started { number, start } => {
-                if let Some((_, progress)) = old.messages.get_mut(&number) {
+            Record::AttemptStarted { number, start } => {
+                if let Some((_, progress)) = journal.messages.get_mut(&number) {
                     (progress.attempts, progress.in_flight) =
                         (progress.attempts.saturating_add(1), Some(start));
                 }
             }
-            Record::Ended { number, may_have_run } => {
-                if let Some((_, progress)) = old.messages.get_mut(&number) {
+            Record::AttemptEnded { number, may_have_run } => {
+                if let Some((_, progress)) = journal.messages.get_mut(&number) {
                     let in_flight = progress.in_flight.take().filter(|_| may_have_run);
                     progress.may_have_run = progress.may_have_run.or(in_flight);
                 }
             }
-            Record::Owed { number, notice } => {
-                if let Some((message, progress)) = old.messages.get_mut(&number) {
+            Record::NoticeDue { number, notice } => {
+                if let Some((message, progress)) = journal.messages.get_mut(&number) {
                     (progress.notice, message.body) = (Some(notice), Bytes::new());
                 }
             }
-            Record::Over { number } => _ = old.messages.remove(&number),
-            Record::Outage { destination, ongoing: true } => _ = old.outages.insert(destination),
-            Record::Outage { destination, ongoing: false } => _ = old.outages.remove(&destination),
+            Record::Closed { number } => _ = journal.messages.remove(&number),
+            Record::Outage { destination, ongoing: true } => _ = journal.outages.insert(destination),
+            Record::Outage { destination, ongoing: false } => _ = journal.outages.remove(&destination),
         }
     }
-    old.torn_bytes = bytes.len();
-    old
+    journal.torn_bytes = bytes.len();
+    journal
 }
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,18 +1,18 @@
-//! The journal: the durable ledger of what a dispatcher owes.
+//! The dispatcher's journal: a durable, append-only log of every message that is not finished yet.
 //!
-//! A log of records in segments, each a file that is only appended to, with an index of what is owed in memory. A
-//! record that is on file before its effect lets the next life of the dispatcher go on where this one ended. What
-//! is over leaves dead bytes behind; they are won back in small steps ([`Journal::step`]), so that no pause grows
-//! with what is held.
+//! Records are appended to segment files, and an in-memory index holds the state of all open messages. A record is
+//! written before the effect that it announces, so the next process can continue where this one stopped. Records of
+//! finished messages become dead bytes; [`Journal::compact_step`] reclaims them in small steps, so that no pause grows
+//! with the number of open messages.
 //!
-//! - [`format`](mod@format): the bytes, described in `docs/journal-format.md`; no I/O.
-//! - [`index`]: what the records say, and which segment each fact stands in; no I/O.
-//! - [`ended`]: messages that are over, for as long as that is remembered; no I/O.
-//! - [`compaction`]: which segment to empty next, how much at a step, what still fits; no I/O.
-//! - [`scan`](mod@survey): reads a folder and changes nothing: what recovery begins with.
-//! - [`inspect`]: what operators ask of a journal.
-//! - [`files`]: the seam to the file system.
-//! - [`journal`]: the thin shell that puts them together.
+//! - [`format`](mod@format): the on-disk format, described in `docs/journal-format.md`; no I/O.
+//! - [`index`]: the state that the records describe, and which segment holds each live record; no I/O.
+//! - [`recent_outcomes`]: a bounded memory of finished messages, for duplicate detection; no I/O.
+//! - [`compaction`]: which segment to compact next, how much per step, and admission of new messages; no I/O.
+//! - [`scan`](mod@scan): reads a journal directory without changing it; the first step of recovery.
+//! - [`inspect`]: the operators' commands on a journal.
+//! - [`files`]: the file-system abstraction.
+//! - [`journal`]: the journal itself, which combines the modules above with I/O.
 
 pub mod compaction;
 pub mod files;
@@ -20,7 +20,7 @@
 pub mod index;
 pub mod inspect;
 pub mod journal;
-mod old;
+mod legacy;
 pub mod recent_outcomes;
 pub mod scan;
 
--- a/crates/journal/src/recent_outcomes.rs
+++ b/crates/journal/src/recent_outcomes.rs
@@ -35,11 +35,11 @@
 /// The last messages that ended, at most so many: some 40 bytes each. It goes to the process that takes over.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecentOutcomes {
-    most: usize,
+    max_entries: usize,
     /// Drawn anew for each: nobody can choose ids that meet.
-    keys: (u64, u64),
+    hash_keys: (u64, u64),
     order: VecDeque<u64>,
-    ends: HashMap<u64, FinalOutcome>,
+    outcomes: HashMap<u64, FinalOutcome>,
 }
 
 impl Default for RecentOutcomes {
@@ -50,36 +50,36 @@
 
 impl RecentOutcomes {
     /// Remembers so many ends.
-    pub fn new(most: usize) -> RecentOutcomes {
-        let keys = (RandomState::new().hash_one(0), RandomState::new().hash_one(1));
-        RecentOutcomes { most, keys, order: VecDeque::new(), ends: HashMap::new() }
+    pub fn new(max_entries: usize) -> RecentOutcomes {
+        let hash_keys = (RandomState::new().hash_one(0), RandomState::new().hash_one(1));
+        RecentOutcomes { max_entries, hash_keys, order: VecDeque::new(), outcomes: HashMap::new() }
     }
 
     /// A message by its id, class, destination and key. The body is not looked at: it is gone once a notice is owed.
     /// Two messages meet by chance in one of 2^64 / `most` cases.
-    fn mark(&self, message: &AcceptedMessage) -> u64 {
-        let mut hasher = SipHasher13::new_with_keys(self.keys.0, self.keys.1);
+    fn fingerprint(&self, message: &AcceptedMessage) -> u64 {
+        let mut hasher = SipHasher13::new_with_keys(self.hash_keys.0, self.hash_keys.1);
         (&message.id, &message.class, message.destination, &message.key).hash(&mut hasher);
         hasher.finish()
     }
 
     /// Remembers an end; the oldest one makes place.
-    pub fn remember(&mut self, message: &AcceptedMessage, end: FinalOutcome) {
-        let mark = self.mark(message);
-        if self.most == 0 || self.ends.insert(mark, end).is_some() {
+    pub fn record(&mut self, message: &AcceptedMessage, outcome: FinalOutcome) {
+        let fingerprint = self.fingerprint(message);
+        if self.max_entries == 0 || self.outcomes.insert(fingerprint, outcome).is_some() {
             return;
         }
-        self.order.push_back(mark);
-        if self.order.len() > self.most
+        self.order.push_back(fingerprint);
+        if self.order.len() > self.max_entries
             && let Some(oldest) = self.order.pop_front()
         {
-            self.ends.remove(&oldest);
+            self.outcomes.remove(&oldest);
         }
     }
 
     /// How the message ended, where that is remembered.
     pub fn get(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
-        self.ends.get(&self.mark(message)).copied()
+        self.outcomes.get(&self.fingerprint(message)).copied()
     }
 
     /// How many ends are remembered.
@@ -113,22 +113,22 @@
 
     #[test]
     fn the_last_ends_are_remembered_and_no_more() {
-        let mut ended = RecentOutcomes::new(100);
+        let mut recent = RecentOutcomes::new(100);
         for id in 0..1000 {
             // Twice: a message that ends again, after it was handed back and taken anew, takes no second place.
-            ended.remember(&message(id), FinalOutcome::HandedBack);
-            ended.remember(&message(id), FinalOutcome::Delivered);
+            recent.record(&message(id), FinalOutcome::HandedBack);
+            recent.record(&message(id), FinalOutcome::Delivered);
         }
-        assert_eq!((ended.len(), ended.ends.len()), (100, 100));
-        assert_eq!(ended.get(&message(900)), Some(FinalOutcome::Delivered));
-        assert_eq!(ended.get(&message(899)), None);
+        assert_eq!((recent.len(), recent.outcomes.len()), (100, 100));
+        assert_eq!(recent.get(&message(900)), Some(FinalOutcome::Delivered));
+        assert_eq!(recent.get(&message(899)), None);
         assert_eq!(
-            ended.get(&AcceptedMessage { destination: 2, ..message(950) }),
+            recent.get(&AcceptedMessage { destination: 2, ..message(950) }),
             None,
             "another message under the id"
         );
-        ended = RecentOutcomes::new(0);
-        ended.remember(&message(1), FinalOutcome::Delivered);
-        assert!(ended.is_empty() && ended.get(&message(1)).is_none());
+        recent = RecentOutcomes::new(0);
+        recent.record(&message(1), FinalOutcome::Delivered);
+        assert!(recent.is_empty() && recent.get(&message(1)).is_none());
     }
 }
--- a/crates/journal/tests/damage.rs
+++ b/crates/journal/tests/damage.rs
@@ -4,7 +4,7 @@
 
 use common::model::*;
 use common::*;
-use fawnspoke_journal::format::{self, HEADER, Header, Record};
+use fawnspoke_journal::format::{self, HEADER_BYTES, Header, Record};
 use fawnspoke_journal::{Damage, Durability, Journal, OpenError, UNKNOWN_ZONE};
 use proptest::prelude::*;
 
@@ -30,9 +30,9 @@
 /// Where a segment's records begin.
 fn records(files: &Memory, name: &str) -> Vec<(usize, usize)> {
     let bytes = files.bytes(name);
-    let segment = Header::read(&bytes).unwrap().segment;
-    let (mut at, mut all) = (HEADER, Vec::new());
-    while let Some((_, length)) = format::unframe(segment, &bytes[at..]) {
+    let segment = Header::parse(&bytes).unwrap().segment;
+    let (mut at, mut all) = (HEADER_BYTES, Vec::new());
+    while let Some((_, length)) = format::decode_record(segment, &bytes[at..]) {
         all.push((at, length));
         at += length;
     }
@@ -47,12 +47,12 @@
             let all = records(&files, &name);
             let (at, length) = all[all.len() / 2];
             let mut bytes = files.bytes(&name);
-            let segment = Header::read(&bytes).unwrap().segment;
+            let segment = Header::parse(&bytes).unwrap().segment;
             bytes[at + length - 1] ^= 0x40;
             let hurt = files.revived();
             hurt.put(&name, bytes.clone());
             let (journal, recovery) = Journal::recover(hurt, options(Durability::None)).unwrap();
-            let bad = Damage::Bad { segment, offset: at as u64, length: length as u64 };
+            let bad = Damage::InvalidBytes { segment, offset: at as u64, length: length as u64 };
             assert_eq!(recovery.damage, [bad], "seed {seed}, {name}");
             // At most the message of the bad record is another one than before; what may have run is doubted.
             let found = Model::of(&journal);
@@ -72,11 +72,11 @@
     let mut bytes = files.bytes(name);
     let (at, length) = all[all.len() - 1];
     bytes[at + length - 1] ^= 1;
-    let segment = Header::read(&bytes).unwrap().segment;
+    let segment = Header::parse(&bytes).unwrap().segment;
     // Sound bytes after it, or it would be taken for torn: a sealed one has none torn.
     files.put(name, bytes);
     let (journal, recovery) = Journal::recover(files, options(Durability::None)).unwrap();
-    assert!(matches!(recovery.damage[..], [Damage::Bad { segment: s, .. }] if s == segment));
+    assert!(matches!(recovery.damage[..], [Damage::InvalidBytes { segment: s, .. }] if s == segment));
     let older = journal.iter().filter(|(number, _)| model.messages.contains_key(number));
     let (mut doubted, mut all) = (0, 0);
     for (_, kept) in older {
@@ -97,19 +97,19 @@
     let hurt = files.revived();
     hurt.drop_file(gone);
     let (_, recovery) = Journal::recover(hurt, options(Durability::None)).unwrap();
-    assert_eq!(recovery.damage, [Damage::Missing { segment: number(gone) }]);
+    assert_eq!(recovery.damage, [Damage::MissingSegment { segment: number(gone) }]);
     // A copy under another's name: it is not read twice, and what it replaced is missing.
     let hurt = files.revived();
     hurt.put(gone, files.bytes(other));
     let (_, recovery) = Journal::recover(hurt, options(Durability::None)).unwrap();
-    assert!(recovery.damage.contains(&Damage::Missing { segment: number(gone) }), "{recovery:?}");
-    assert!(recovery.damage.iter().any(|d| matches!(d, Damage::Foreign { file, .. } if file == gone)));
+    assert!(recovery.damage.contains(&Damage::MissingSegment { segment: number(gone) }), "{recovery:?}");
+    assert!(recovery.damage.iter().any(|d| matches!(d, Damage::ForeignFile { file, .. } if file == gone)));
     // Cut to half: the part that is there is read.
     let hurt = files.revived();
     let bytes = files.bytes(other);
     hurt.put(other, bytes[..bytes.len() / 2].to_vec());
     let (_, recovery) = Journal::recover(hurt, options(Durability::None)).unwrap();
-    let cut = |d: &Damage| matches!(d, Damage::Cut { segment, .. } if *segment == number(other));
+    let cut = |d: &Damage| matches!(d, Damage::Truncated { segment, .. } if *segment == number(other));
     assert!(recovery.damage.iter().any(cut), "{recovery:?}");
 }
 
@@ -120,15 +120,15 @@
     let theirs = sealed(&others).last().unwrap().clone();
     let mut bytes = others.bytes(&theirs);
     // The same numbers, another identity.
-    let header = Header { identity: 99, ..Header::read(&bytes).unwrap() };
-    bytes[..HEADER].copy_from_slice(&header.bytes());
+    let header = Header { identity: 99, ..Header::parse(&bytes).unwrap() };
+    bytes[..HEADER_BYTES].copy_from_slice(&header.to_bytes());
     let name = "0000000000000000.journal";
     let header = Header { segment: 0, ..header };
-    bytes[..HEADER].copy_from_slice(&header.bytes());
+    bytes[..HEADER_BYTES].copy_from_slice(&header.to_bytes());
     files.put(name, bytes.clone());
     let (journal, recovery) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     assert!(
-        recovery.damage.iter().all(|d| matches!(d, Damage::Foreign { file, .. } if file == name)),
+        recovery.damage.iter().all(|d| matches!(d, Damage::ForeignFile { file, .. } if file == name)),
         "{recovery:?}"
     );
     assert_eq!(Model::of(&journal), model.settled());
@@ -155,9 +155,9 @@
 #[test]
 fn records_of_another_segment_do_not_pass() {
     let mut bytes = Vec::new();
-    format::frame(&mut bytes, 7, &Record::Over { number: 1, base: 2 }).unwrap();
-    assert!(format::unframe(7, &bytes).is_some());
-    assert!(format::unframe(8, &bytes).is_none());
+    format::append_record(&mut bytes, 7, &Record::Closed { number: 1, base_segment: 2 }).unwrap();
+    assert!(format::decode_record(7, &bytes).is_some());
+    assert!(format::decode_record(8, &bytes).is_none());
 }
 
 proptest! {
@@ -205,9 +205,9 @@
 
     #[test]
     fn no_bytes_are_read_beyond_their_end(bytes in proptest::collection::vec(any::<u8>(), 0..300), segment: u64) {
-        let _ = Header::read(&bytes);
-        let _ = format::unframe(segment, &bytes);
-        let _ = format::next_sound(segment, &bytes, 0);
-        let _ = format::cut_short(&bytes);
+        let _ = Header::parse(&bytes);
+        let _ = format::decode_record(segment, &bytes);
+        let _ = format::find_next_record(segment, &bytes, 0);
+        let _ = format::is_truncated(&bytes);
     }
 }
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -282,10 +282,10 @@
     let free = (1..).map(fawnspoke_journal::journal::file_name).find(|name| !names.contains(name)).unwrap();
     assert!(free < *names.last().unwrap(), "no number is free below the last one, this shows nothing");
     let segment = u64::from_str_radix(&free[..16], 16).unwrap();
-    let identity = fawnspoke_journal::format::Header::read(&files.bytes(&names[0])).unwrap().identity;
-    let header = fawnspoke_journal::format::Header { identity, segment, created: 0 };
+    let identity = fawnspoke_journal::format::Header::parse(&files.bytes(&names[0])).unwrap().identity;
+    let header = fawnspoke_journal::format::Header { identity, segment, created_at: 0 };
     let revived = files.revived();
-    revived.put(&free, [&header.bytes()[..], b"\xa7\xff\x00\x00 half of a record"].concat());
+    revived.put(&free, [&header.to_bytes()[..], b"\xa7\xff\x00\x00 half of a record"].concat());
     let (after, recovery) = Journal::recover(revived.clone(), options(Durability::None)).unwrap();
     assert!(recovery.damage.is_empty(), "{recovery:?}");
     assert_eq!(Model::of(&after), model.settled());
--- a/crates/journal/tests/old_format.rs
+++ b/crates/journal/tests/old_format.rs
@@ -5,14 +5,14 @@
 use bytes::Bytes;
 use common::model::*;
 use common::*;
-use fawnspoke_journal::format::{Header, Record, frame as frame_of};
+use fawnspoke_journal::format::{Header, Record, append_record};
 use fawnspoke_journal::{AcceptedMessage, AttemptStart, Durability, Journal, Notice, OpenError, QuotaStatus};
 use serde::Serialize;
 
 /// The records of the format before.
 #[derive(Serialize)]
-enum Old<'a> {
-    Taken {
+enum LegacyRecord<'a> {
+    Accepted {
         number: u64,
         id: &'a str,
         class: &'a str,
@@ -22,24 +22,24 @@
         key: Option<&'a str>,
         body: &'a [u8],
     },
-    Past {
+    History {
         number: u64,
         attempts: u32,
         may_have_run: Option<AttemptStart>,
     },
-    Started {
+    AttemptStarted {
         number: u64,
         start: AttemptStart,
     },
-    Ended {
+    AttemptEnded {
         number: u64,
         may_have_run: bool,
     },
-    Owed {
+    NoticeDue {
         number: u64,
         notice: Notice,
     },
-    Over {
+    Closed {
         number: u64,
     },
     Outage {
@@ -48,7 +48,7 @@
     },
 }
 
-fn frame(bytes: &mut Vec<u8>, record: &Old) {
+fn frame(bytes: &mut Vec<u8>, record: &LegacyRecord) {
     let payload = postcard::to_stdvec(record).unwrap();
     bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
@@ -64,19 +64,28 @@
         let (id, body) = (id.as_str(), &body[..]);
         frame(
             &mut bytes,
-            &Old::Taken { number, id, class: "c", destination: 3, accepted_at: 10, deadline: 99, key, body },
+            &LegacyRecord::Accepted {
+                number,
+                id,
+                class: "c",
+                destination: 3,
+                accepted_at: 10,
+                deadline: 99,
+                key,
+                body,
+            },
         );
     }
     let start = AttemptStart { at: 20, zone: 1 };
-    frame(&mut bytes, &Old::Past { number: 1, attempts: 2, may_have_run: Some(start) });
-    frame(&mut bytes, &Old::Started { number: 2, start });
-    frame(&mut bytes, &Old::Started { number: 3, start });
-    frame(&mut bytes, &Old::Ended { number: 3, may_have_run: false });
-    frame(&mut bytes, &Old::Owed { number: 4, notice: Notice::GivenUp });
-    frame(&mut bytes, &Old::Over { number: 5 });
-    frame(&mut bytes, &Old::Outage { destination: 3, ongoing: true });
-    frame(&mut bytes, &Old::Outage { destination: 4, ongoing: true });
-    frame(&mut bytes, &Old::Outage { destination: 4, ongoing: false });
+    frame(&mut bytes, &LegacyRecord::History { number: 1, attempts: 2, may_have_run: Some(start) });
+    frame(&mut bytes, &LegacyRecord::AttemptStarted { number: 2, start });
+    frame(&mut bytes, &LegacyRecord::AttemptStarted { number: 3, start });
+    frame(&mut bytes, &LegacyRecord::AttemptEnded { number: 3, may_have_run: false });
+    frame(&mut bytes, &LegacyRecord::NoticeDue { number: 4, notice: Notice::GivenUp });
+    frame(&mut bytes, &LegacyRecord::Closed { number: 5 });
+    frame(&mut bytes, &LegacyRecord::Outage { destination: 3, ongoing: true });
+    frame(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: true });
+    frame(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: false });
     bytes.extend_from_slice(&[200, 0, 0, 0, 1, 2]);
     bytes
 }
@@ -150,17 +159,17 @@
     files.put("journal", file());
     let all = |files: &Memory| files.names().iter().map(|name| files.bytes(name)).collect::<Vec<_>>();
     let before = all(&files);
-    assert!(matches!(Journal::recover(files.clone(), options(Durability::None)), Err(OpenError::Both)));
+    assert!(matches!(Journal::recover(files.clone(), options(Durability::None)), Err(OpenError::TwoFormats)));
     assert!(all(&files) == before);
 }
 
 /// A segment as version 1 wrote it: its first record has no shares, its messages no customers.
 fn version_1() -> Vec<u8> {
-    let mut bytes = Header { identity: 7, segment: 1, created: 5 }.bytes().to_vec();
+    let mut bytes = Header { identity: 7, segment: 1, created_at: 5 }.to_bytes().to_vec();
     bytes[8..10].copy_from_slice(&1u16.to_le_bytes());
     let sum = crc32fast::hash(&bytes[..44]);
     bytes[44..].copy_from_slice(&sum.to_le_bytes());
-    let taken = |number, id| Record::Taken1 {
+    let taken = |number, id| Record::AcceptedV1 {
         number,
         id,
         class: "c",
@@ -172,13 +181,13 @@
         progress: None,
     };
     let records = [
-        Record::Opening1 { sealed: vec![], outages: vec![4], next: 1 },
+        Record::SegmentOpenedV1 { sealed: vec![], outages: vec![4], next_number: 1 },
         taken(1, "m1"),
         taken(2, "m2"),
-        Record::Over { number: 1, base: 1 },
-        Record::Started { number: 2, start: AttemptStart { at: 20, zone: 1 } },
+        Record::Closed { number: 1, base_segment: 1 },
+        Record::AttemptStarted { number: 2, start: AttemptStart { at: 20, zone: 1 } },
     ];
-    records.iter().for_each(|record| _ = frame_of(&mut bytes, 1, record).unwrap());
+    records.iter().for_each(|record| _ = append_record(&mut bytes, 1, record).unwrap());
     bytes
 }
 
