--- a/crates/journal/examples/measure.rs
+++ b/crates/journal/examples/measure.rs
@@ -13,7 +13,7 @@
 
 /// The baseline: records of the same sizes, one file, written anew with what is live once it is full.
 struct Swap {
-    folder: PathBuf,
+    directory: PathBuf,
     file: File,
     length: u64,
     live: u64,
@@ -23,10 +23,10 @@
 }
 
 impl Swap {
-    fn open(folder: &Path, most: u64) -> io::Result<Swap> {
-        let file = OpenOptions::new().append(true).create(true).open(folder.join("swap"))?;
-        let (folder, kept) = (folder.to_path_buf(), BTreeMap::new());
-        Ok(Swap { folder, file, length: 0, live: 0, most, kept, written: 0 })
+    fn open(directory: &Path, most: u64) -> io::Result<Swap> {
+        let file = OpenOptions::new().append(true).create(true).open(directory.join("swap"))?;
+        let (directory, kept) = (directory.to_path_buf(), BTreeMap::new());
+        Ok(Swap { directory, file, length: 0, live: 0, most, kept, written: 0 })
     }
 
     fn room(&mut self, more: u64, taking: bool) -> io::Result<bool> {
@@ -38,9 +38,9 @@
             return Ok(false);
         }
         let bytes: Vec<u8> = self.kept.values().flatten().copied().collect();
-        fs::write(self.folder.join("swap.next"), &bytes)?;
-        self.file = OpenOptions::new().append(true).open(self.folder.join("swap.next"))?;
-        fs::rename(self.folder.join("swap.next"), self.folder.join("swap"))?;
+        fs::write(self.directory.join("swap.next"), &bytes)?;
+        self.file = OpenOptions::new().append(true).open(self.directory.join("swap.next"))?;
+        fs::rename(self.directory.join("swap.next"), self.directory.join("swap"))?;
         self.length = bytes.len() as u64;
         self.written += self.length;
         Ok(true)
@@ -124,14 +124,14 @@
     }
 }
 
-fn open(folder: &Path, budget: u64) -> Journal {
-    Journal::open(folder, options(budget)).expect("a journal").0
+fn open(directory: &Path, budget: u64) -> Journal {
+    Journal::open(directory, options(budget)).expect("a journal").0
 }
 
 /// Takes, calls and ends messages while `held` are held; each loop is a message and a step.
-fn traffic(folder: &Path, held: u64, messages: u64, budget: u64) -> io::Result<()> {
+fn traffic(directory: &Path, held: u64, messages: u64, budget: u64) -> io::Result<()> {
     println!("\n{held} held, {messages} come and go, budget {:.0} MB", budget as f64 / 1e6);
-    let at = folder.join("swap");
+    let at = directory.join("swap");
     fs::create_dir_all(&at)?;
     let mut swap = Swap::open(&at, budget)?;
     for i in 0..held {
@@ -154,7 +154,7 @@
     fs::remove_dir_all(&at)?;
 
     for steps in [true, false] {
-        let at = folder.join(format!("segments-{steps}"));
+        let at = directory.join(format!("segments-{steps}"));
         fs::create_dir_all(&at)?;
         // Without steps: a budget that needs none, for the rate alone.
         let mut journal = open(&at, if steps { budget } else { 4 * budget });
@@ -196,8 +196,8 @@
 }
 
 /// How many messages of a few hundred bytes fit.
-fn held_at_most(folder: &Path, budget: u64) -> io::Result<()> {
-    let at = folder.join("held");
+fn held_at_most(directory: &Path, budget: u64) -> io::Result<()> {
+    let at = directory.join("held");
     fs::create_dir_all(&at)?;
     let mut swap = Swap::open(&at, budget - 4 * 512)?;
     let before = (0..).take_while(|i| swap.take(*i, &message(*i)).unwrap_or(false)).count();
@@ -212,12 +212,12 @@
 }
 
 fn main() -> io::Result<()> {
-    let folder = std::env::temp_dir().join(format!("fawnspoke-journal-{}", std::process::id()));
-    fs::create_dir_all(&folder)?;
-    held_at_most(&folder, 3_000_000)?;
-    held_at_most(&folder, 300_000_000)?;
-    traffic(&folder, 2_000, 50_000, 3_000_000)?;
-    traffic(&folder, 10_000, 100_000, 30_000_000)?;
-    traffic(&folder, 300_000, 600_000, 400_000_000)?;
-    fs::remove_dir_all(&folder)
+    let directory = std::env::temp_dir().join(format!("fawnspoke-journal-{}", std::process::id()));
+    fs::create_dir_all(&directory)?;
+    held_at_most(&directory, 3_000_000)?;
+    held_at_most(&directory, 300_000_000)?;
+    traffic(&directory, 2_000, 50_000, 3_000_000)?;
+    traffic(&directory, 10_000, 100_000, 30_000_000)?;
+    traffic(&directory, 300_000, 600_000, 400_000_000)?;
+    fs::remove_dir_all(&directory)
 }
--- a/crates/journal/src/compaction.rs
+++ b/crates/journal/src/compaction.rs
@@ -1,49 +1,51 @@
-//! What the journal does about space: which segment to empty next, how much at a step, and what still fits. Free
-//! of I/O and of the clock.
+//! Space planning for the journal: which segment to compact next, how many bytes per step, and whether a new message
+//! still fits. Pure functions without I/O or a clock.
 //!
-//! Two sums are kept apart. What is *owed* (all messages, each with what is still to be written of it) must fit
-//! into the budget with the reserve to spare: then dead bytes are always to be found, and records that end
-//! messages have room for ever. What is *on file* may be more by a segment, as the dead bytes of the one that is
-//! written to are won back only once it is sealed; the rest of the reserve is for records of messages that are
-//! there already, and for copies.
+//! Two totals are kept apart. The *live* bytes, which every open message needs including the records still to be
+//! written for it, must fit into the budget less the reserve. Then dead bytes can always be found, and records that
+//! close messages always have space. The bytes *on disk* may exceed that limit by one segment, as the dead bytes of
+//! the active segment can only be reclaimed once it is sealed. The rest of the reserve is for records of messages
+//! that were already accepted, and for copies.
 
-/// Sizes, all in bytes.
+/// Size limits, all in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// All files together, each counted in whole blocks.
+    /// Limit for all files together, each rounded up to whole blocks.
     pub budget_bytes: u64,
-    /// A segment is sealed once it has grown to this size: at least that of the longest record.
+    /// Size at which a segment is sealed; no smaller than the longest record.
     pub segment_bytes: u64,
-    /// Copied at a step while there is room.
+    /// Bytes copied per compaction step under normal conditions.
     pub normal_step_bytes: u64,
-    /// Copied at a step once room runs short.
+    /// Bytes copied per compaction step when space runs short.
     pub pressure_step_bytes: u64,
-    /// Never given to new messages.
+    /// Space that new messages can't use.
     pub reserve_bytes: u64,
 }
 
-/// Files count in whole blocks of this size.
+/// Files are counted in whole blocks of this size.
 pub const BLOCK_BYTES: u64 = 512;
-/// Segments are at least this long: the longest record fits, a message of 64 KiB with its head.
+/// Minimum segment size: large enough for the longest record, a message of 64 KiB with its header fields.
 const MIN_SEGMENT_BYTES: u64 = 80 * 1024;
-/// Segments are at most this long: one is copied in seconds of small steps.
+/// Maximum segment size: small enough to be copied within seconds of small steps.
 const MAX_SEGMENT_BYTES: u64 = 64 * 1024 * 1024;
-/// Segments that a budget is cut into: a reserve of two of them costs little, and few files are open to count.
+/// Number of segments that a budget is divided into: enough that a reserve of two costs little, and few enough files
+/// to keep track of.
 const TARGET_SEGMENTS: u64 = 32;
-/// Copied at a step: some 0.1 ms of work.
+/// Bytes copied per normal step, some 0.1 ms of work.
 const NORMAL_STEP_BYTES: u64 = 32 * 1024;
-/// Copied at a step in a hurry: some 0.5 ms of work.
+/// Bytes copied per step under pressure, some 0.5 ms of work.
 const PRESSURE_STEP_BYTES: u64 = 128 * 1024;
-/// Kept for records of messages that are there, besides two segments.
+/// Part of the reserve for records of already accepted messages, in addition to two segments.
 const CLOSING_RESERVE_BYTES: u64 = 64 * 1024;
-/// A segment is emptied in calm times only if this share of it is dead: one that is emptied for less costs more
-/// writing than it wins room.
+/// Minimum dead ratio at which a segment is compacted under normal conditions. Below it, compaction writes more bytes
+/// than it frees.
 const MIN_DEAD_RATIO: f64 = 0.5;
-/// More sealed segments than this many times `TARGET_SEGMENTS` are merged in calm times: each start leaves one.
+/// Small segments are merged once there are more than this multiple of `TARGET_SEGMENTS`, as each process start leaves
+/// one behind.
 const MERGE_FACTOR: usize = 2;
 
 impl Limits {
-    /// Sizes for a budget in bytes.
+    /// Limits for a budget in bytes.
     pub fn for_budget(budget_bytes: u64) -> Limits {
         let segment_bytes = (budget_bytes / TARGET_SEGMENTS).clamp(MIN_SEGMENT_BYTES, MAX_SEGMENT_BYTES);
         let reserve_bytes = 2 * segment_bytes + CLOSING_RESERVE_BYTES;
@@ -57,44 +59,44 @@
     }
 }
 
-/// A length as it counts against the budget.
+/// Rounds a length up to whole blocks, as it counts against the budget.
 pub fn round_up_to_block(length: u64) -> u64 {
     length.div_ceil(BLOCK_BYTES) * BLOCK_BYTES
 }
 
-/// A sealed segment.
+/// Space used by a sealed segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentUsage {
-    /// Its number.
+    /// Number of the segment.
     pub segment: u64,
-    /// Its length on file.
+    /// Length of its file.
     pub length: u64,
-    /// What copies of its facts take at most.
+    /// Upper bound on the bytes that copies of its live records take.
     pub live_bytes: u64,
 }
 
-/// What is on file and what is owed.
+/// Space used by the whole journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
-    /// All files, in whole blocks.
+    /// All files, each rounded up to whole blocks.
     pub bytes_on_disk: u64,
-    /// Copies of all messages, at most.
+    /// Upper bound on the bytes that all open messages need.
     pub max_live_bytes: u64,
 }
 
-/// The answer to a new message.
+/// Whether a new message can be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It fits.
+    /// There is space for it.
     Fits,
-    /// It fits once dead bytes are won back: work on, and ask again.
+    /// There will be space once dead bytes are reclaimed: run a compaction step and ask again.
     AfterCompaction,
-    /// It does not fit beside what is owed.
+    /// There is no space besides the open messages.
     Full,
 }
 
-/// Whether a message fits of which a record of `record_bytes` bytes is to be written now, and which takes `max_message_bytes` bytes
-/// at most until it is over.
+/// Decides whether to accept a message whose first record has `record_bytes` bytes, and which needs up to
+/// `max_message_bytes` bytes until it is closed.
 pub fn admit(limits: &Limits, usage: Usage, record_bytes: u64, max_message_bytes: u64) -> Admission {
     let capacity = limits.budget_bytes.saturating_sub(limits.reserve_bytes);
     if usage.max_live_bytes + max_message_bytes > capacity {
@@ -106,26 +108,27 @@
     }
 }
 
-/// Whether room runs short: the last quarter before the reserve, or the reserve.
+/// Whether space runs short: only the last quarter before the reserve is free, or less.
 pub fn under_pressure(limits: &Limits, usage: Usage) -> bool {
     let capacity = limits.budget_bytes.saturating_sub(limits.reserve_bytes);
     usage.bytes_on_disk > capacity - capacity / 4
 }
 
-/// The bytes to copy at the next step.
+/// The number of bytes to copy in the next step.
 pub fn step_bytes(limits: &Limits, usage: Usage) -> u64 {
     let step_bytes =
         if under_pressure(limits, usage) { limits.pressure_step_bytes } else { limits.normal_step_bytes };
-    // What is copied at a step fits into a segment.
+    // The copies of one step have to fit into one segment.
     step_bytes.min(limits.segment_bytes / 2)
 }
 
-/// The segment to empty next, where one is worth it: the one with the least that counts for its length, the
-/// oldest of equals. What weighs nothing always goes.
+/// The segment to compact next, if that is worthwhile: the one with the lowest live ratio, the oldest if several are
+/// equal. A segment without live records is always chosen.
 pub fn next_segment(
     limits: &Limits, usage: Usage, sealed: impl Iterator<Item = SegmentUsage>,
 ) -> Option<u64> {
-    let live_ratio = |s: &SegmentUsage| s.live_bytes as f64 / round_up_to_block(s.length).max(1) as f64;
+    let live_ratio =
+        |segment: &SegmentUsage| segment.live_bytes as f64 / round_up_to_block(segment.length).max(1) as f64;
     let (mut least_live, mut count, mut smallest) = (None::<SegmentUsage>, 0, None::<SegmentUsage>);
     for segment in sealed {
         if segment.live_bytes == 0 {
@@ -140,11 +143,12 @@
         }
     }
     let least_live = least_live?;
-    // In a hurry any gain counts: a block at least, or it would go on for ever.
+    // Under pressure any gain is worthwhile, but it has to be at least a block, or compaction would never end.
     let frees_space = least_live.live_bytes + BLOCK_BYTES < round_up_to_block(least_live.length);
     let worthwhile =
         live_ratio(&least_live) <= 1.0 - MIN_DEAD_RATIO || (under_pressure(limits, usage) && frees_space);
-    let merge_candidate = smallest
-        .filter(|s| count > MERGE_FACTOR * TARGET_SEGMENTS as usize && s.length < limits.segment_bytes / 2);
+    let merge_candidate = smallest.filter(|segment| {
+        count > MERGE_FACTOR * TARGET_SEGMENTS as usize && segment.length < limits.segment_bytes / 2
+    });
     worthwhile.then_some(least_live).or(merge_candidate).map(|segment| segment.segment)
 }
--- a/crates/journal/src/files.rs
+++ b/crates/journal/src/files.rs
@@ -1,10 +1,10 @@
-//! The seam to the file system: all that the journal asks of it, so that tests can let each call fail.
+//! The file-system abstraction: every operation that the journal needs, so that tests can inject a failure into each.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder of files that are only appended to.
+/// A directory of append-only files.
 pub trait Files {
     /// An open file.
     type Handle;
@@ -12,62 +12,62 @@
     /// Names and lengths in bytes of all files.
     ///
     /// # Errors
-    /// Where the folder can't be read.
+    /// If the directory can't be read.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
 
-    /// Bytes of a file from an offset on, up to so many; fewer where it ends before.
+    /// Reads up to `max_bytes` bytes from an offset; fewer if the file ends earlier.
     ///
     /// # Errors
-    /// Where it is not there or can't be read.
-    fn read(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>>;
+    /// If the file does not exist or can't be read.
+    fn read(&self, name: &str, from: u64, max_bytes: usize) -> io::Result<Vec<u8>>;
 
-    /// A new file that is open for appending.
+    /// Creates a file and opens it for appending.
     ///
     /// # Errors
-    /// Where it is there already, or can't be made.
+    /// If it already exists or can't be created.
     fn create(&self, name: &str) -> io::Result<Self::Handle>;
 
-    /// Appends bytes; tells how many were written.
+    /// Appends bytes and returns how many were written.
     ///
     /// # Errors
-    /// Where none were.
+    /// If none were written.
     fn append(&self, handle: &mut Self::Handle, bytes: &[u8]) -> io::Result<usize>;
 
-    /// Cuts a file to a length.
+    /// Truncates a file to a length.
     ///
     /// # Errors
-    /// Where it can't be cut; it is as it was then.
+    /// If it can't be truncated; it is unchanged then.
     fn truncate(&self, handle: &mut Self::Handle, length: u64) -> io::Result<()>;
 
-    /// Waits until the file's bytes outlast the machine (fdatasync).
+    /// Waits until the file's data is on disk (fdatasync).
     ///
     /// # Errors
-    /// Where that is not sure. Bytes that were not synced may be lost then even if a later call succeeds.
+    /// If that is not certain. Unsynced data may be lost then, even if a later call succeeds.
     fn sync(&self, handle: &Self::Handle) -> io::Result<()>;
 
-    /// Waits until the folder's entries outlast the machine.
+    /// Waits until the directory's entries are on disk.
     ///
     /// # Errors
-    /// Where that is not sure.
-    fn sync_folder(&self) -> io::Result<()>;
+    /// If that is not certain.
+    fn sync_directory(&self) -> io::Result<()>;
 
-    /// Removes a file. One that is not there is removed already.
+    /// Removes a file. Succeeds if the file does not exist.
     ///
     /// # Errors
-    /// Where it is there still.
+    /// If the file still exists.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// A folder on disk.
+/// A directory on disk.
 #[derive(Clone, Debug)]
 pub struct Disk {
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Disk {
-    /// The files of a folder that is there.
-    pub fn new(folder: &Path) -> Disk {
-        Disk { folder: folder.to_path_buf() }
+    /// The files of an existing directory.
+    pub fn new(directory: &Path) -> Disk {
+        Disk { directory: directory.to_path_buf() }
     }
 }
 
@@ -76,27 +76,27 @@
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let mut files = Vec::new();
-        for entry in fs::read_dir(&self.folder)? {
+        for entry in fs::read_dir(&self.directory)? {
             let entry = entry?;
-            let about = entry.metadata()?;
-            // A name that is no text is none of ours.
-            if let (true, Ok(name)) = (about.is_file(), entry.file_name().into_string()) {
-                files.push((name, about.len()));
+            let metadata = entry.metadata()?;
+            // Names that are not valid UTF-8 do not belong to the journal.
+            if let (true, Ok(name)) = (metadata.is_file(), entry.file_name().into_string()) {
+                files.push((name, metadata.len()));
             }
         }
         files.sort();
         Ok(files)
     }
 
-    fn read(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
-        let (mut file, mut bytes) = (File::open(self.folder.join(name))?, Vec::new());
+    fn read(&self, name: &str, from: u64, max_bytes: usize) -> io::Result<Vec<u8>> {
+        let (mut file, mut bytes) = (File::open(self.directory.join(name))?, Vec::new());
         file.seek(io::SeekFrom::Start(from))?;
-        file.take(most as u64).read_to_end(&mut bytes)?;
+        file.take(max_bytes as u64).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
     fn create(&self, name: &str) -> io::Result<File> {
-        OpenOptions::new().append(true).create_new(true).open(self.folder.join(name))
+        OpenOptions::new().append(true).create_new(true).open(self.directory.join(name))
     }
 
     fn append(&self, handle: &mut File, bytes: &[u8]) -> io::Result<usize> {
@@ -116,12 +116,12 @@
         handle.sync_data()
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
-        File::open(&self.folder)?.sync_all()
+    fn sync_directory(&self) -> io::Result<()> {
+        File::open(&self.directory)?.sync_all()
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        match fs::remove_file(self.folder.join(name)) {
+        match fs::remove_file(self.directory.join(name)) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
             _ => Ok(()),
         }
--- a/crates/journal/src/format.rs
+++ b/crates/journal/src/format.rs
@@ -307,7 +307,8 @@
     /// Decodes a header.
     ///
     /// # Errors
-    /// See [`HeaderError`]. A newer version is reported before the checksum is verified, as its header layout may differ.
+    /// See [`HeaderError`]. A newer version is reported before the checksum is verified, as its header layout may
+    /// differ.
     pub fn parse(bytes: &[u8]) -> Result<Header, HeaderError> {
         let magic_length = bytes.len().min(8);
         if bytes[..magic_length] != MAGIC[..magic_length] {
--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -462,8 +462,8 @@
         }
     }
 
-    /// Marks every message based in this segment or an earlier one as possibly run: a damaged or missing record may have
-    /// been the one that said so. The change has to be written to the journal as well, see
+    /// Marks every message based in this segment or an earlier one as possibly run: a damaged or missing record may
+    /// have been the one that said so. The change has to be written to the journal as well, see
     /// [`take_assumed_run`](MessageIndex::take_assumed_run).
     pub fn assume_run(&mut self, segment: u64) {
         for (number, entry) in self.entries.iter_mut().filter(|(_, entry)| entry.base_segment <= segment) {
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -1,6 +1,7 @@
-//! What operators ask of a journal without starting a dispatcher: `fawnspoke journal show|verify|dump|repair`.
+//! The operators' commands `fawnspoke journal show|verify|dump|repair`, which need no running dispatcher.
 //!
-//! All but [`repair`] only read, also beside a dispatcher that is running; `repair` writes to a new folder alone.
+//! All but [`repair`] only read, and can be used while a dispatcher is running; `repair` only writes to a new
+//! directory.
 
 use crate::compaction::{Limits, round_up_to_block};
 use crate::files::{Disk, Files};
@@ -17,39 +18,40 @@
 use std::path::Path;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Begins each line about something that no crash leaves behind.
+/// Prefix of each output line that reports damage which a crash can't have caused.
 pub const DAMAGE_PREFIX: &str = "damaged: ";
-/// A segment may go while it is read: a dispatcher that runs wins room back. Then the folder is read again, so often.
+/// How often a directory is read at most. A running dispatcher may remove a segment during the read by compaction; the
+/// read is repeated then.
 const MAX_READ_ATTEMPTS: u32 = 5;
 
 /// Why an operators' command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
     /// The journal can't be read.
-    #[error("{folder}: {error}")]
+    #[error("{directory}: {error}")]
     Open {
-        /// The folder.
-        folder: String,
-        /// What is wrong.
+        /// The journal's directory.
+        directory: String,
+        /// Why it can't be read.
         error: OpenError,
     },
     /// There is no journal.
     #[error("{0}: no journal there")]
     NoJournal(String),
-    /// It is of the format before: the dispatcher carries it over when it starts.
-    #[error("{0}: a journal of the format before; the dispatcher carries it over at its next start")]
+    /// The journal has the legacy format: a dispatcher migrates it when it starts.
+    #[error("{0}: a journal in the legacy format; the dispatcher migrates it at its next start")]
     LegacyFormat(String),
-    /// The folder to write to is not empty.
-    #[error("{0}: not empty; a repaired journal is written to a new folder")]
+    /// The target directory is not empty.
+    #[error("{0}: not empty; a repaired journal is written to a new directory")]
     TargetNotEmpty(String),
-    /// What was asked for can't be written.
+    /// The output can't be written.
     #[error(transparent)]
     Write(#[from] io::Error),
 }
 
-/// A time of a record as people read it (RFC 3339, microseconds, UTC).
+/// Formats a timestamp for display (RFC 3339, microseconds, UTC).
 fn format_time(at: UnixMicros) -> String {
-    // Times beyond the year 9999 are no times; they are told as they stand.
+    // Timestamps beyond the year 9999 are invalid and are shown as numbers.
     const MAX_FORMATTABLE: UnixMicros = 253_402_300_799_000_000;
     if at > MAX_FORMATTABLE {
         return at.to_string();
@@ -61,14 +63,14 @@
     matches!(error, OpenError::Io(error) if error.kind() == io::ErrorKind::NotFound)
 }
 
-/// Reads a folder that a dispatcher may be writing to.
+/// Scans a directory that a running dispatcher may be writing to.
 fn scan_directory(
-    folder: &Path, on_record: &mut dyn FnMut(u64, u64, &Record),
+    directory: &Path, on_record: &mut dyn FnMut(u64, u64, &Record),
 ) -> Result<ScanResult, InspectError> {
-    let files = Disk::new(folder);
-    let display = || folder.display().to_string();
-    let open_error = |error| InspectError::Open { folder: display(), error };
-    // The folder itself must be there: that error is final.
+    let files = Disk::new(directory);
+    let directory_name = || directory.display().to_string();
+    let open_error = |error| InspectError::Open { directory: directory_name(), error };
+    // A missing directory is not worth another attempt.
     files.list().map_err(|error| open_error(error.into()))?;
     let mut attempts = 1;
     let scan = loop {
@@ -78,15 +80,15 @@
         }
     };
     if scan.legacy.is_some() {
-        return Err(InspectError::LegacyFormat(display()));
+        return Err(InspectError::LegacyFormat(directory_name()));
     }
     if scan.identity.is_none() && scan.recovery.damage.is_empty() {
-        return Err(InspectError::NoJournal(display()));
+        return Err(InspectError::NoJournal(directory_name()));
     }
     Ok(scan)
 }
 
-/// What is owed to one destination.
+/// Totals of the open messages of one destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct DestinationSummary {
     messages: u64,
@@ -115,28 +117,28 @@
     summaries
 }
 
-/// Lines about damage, the torn tail and files that are not the journal's.
+/// A line for each damage, and one for an incomplete record at the end.
 fn describe_problems(scan: &ScanResult) -> Vec<String> {
     let mut lines: Vec<String> =
         scan.recovery.damage.iter().map(|damage| format!("{DAMAGE_PREFIX}{damage}")).collect();
     if scan.recovery.torn_bytes > 0 {
         lines.push(format!(
-            "torn: {} bytes of a last write that was cut short: it never happened",
+            "torn: {} bytes of an incomplete last write, which is ignored",
             scan.recovery.torn_bytes
         ));
     }
     lines
 }
 
-/// What is owed, to whom, since when, and what the segments hold. `now`: ages count from it.
+/// A report on the open messages by destination, and on the segments. `now` is the time that ages refer to.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read.
-pub fn show(folder: &Path, now: UnixMicros) -> Result<String, InspectError> {
-    let scan = scan_directory(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal.
+pub fn show(directory: &Path, now: UnixMicros) -> Result<String, InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     let mut text = String::new();
     let summaries = summarize_by_destination(&scan);
-    let sum = |of: fn(&DestinationSummary) -> u64| summaries.values().map(of).sum::<u64>();
+    let sum = |field: fn(&DestinationSummary) -> u64| summaries.values().map(field).sum::<u64>();
     let bytes: u64 = scan.segments.values().map(|segment| round_up_to_block(segment.bytes_on_disk)).sum();
     let live: u64 = scan.segments.keys().map(|segment| scan.index.live_bytes(*segment)).sum();
     // Writing to a string does not fail.
@@ -157,7 +159,7 @@
     if !summaries.is_empty() {
         let _ = writeln!(
             text,
-            "\ndestination  messages  notices  may have run       bytes  oldest taken                 age s  first deadline"
+            "\ndestination  messages  notices  may have run       bytes  oldest accepted              age s  first deadline"
         );
     }
     for (destination, summary) in &summaries {
@@ -173,17 +175,17 @@
             format_time(summary.first_deadline)
         );
     }
-    let out: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
-    if !out.is_empty() {
-        let _ = writeln!(text, "\nout or cold: {}", out.join(", "));
+    let outages: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
+    if !outages.is_empty() {
+        let _ = writeln!(text, "\nout or cold: {}", outages.join(", "));
     }
-    let _ = writeln!(text, "\n         segment       bytes        live  share  records  begun");
+    let _ = writeln!(text, "\n         segment       bytes        live  share  records  created");
     for (number, segment) in &scan.segments {
         let live = scan.index.live_bytes(*number);
-        let share = live as f64 / segment.length.max(1) as f64;
+        let live_ratio = live as f64 / segment.length.max(1) as f64;
         let _ = writeln!(
             text,
-            "{number:016x}  {:>10}  {live:>10}  {share:>5.2}  {:>7}  {}",
+            "{number:016x}  {:>10}  {live:>10}  {live_ratio:>5.2}  {:>7}  {}",
             segment.bytes_on_disk,
             segment.records,
             format_time(segment.created_at)
@@ -198,12 +200,12 @@
     Ok(text)
 }
 
-/// Whether the journal is sound, and a line for each thing that is not.
+/// Verifies the journal. Returns whether it is free of damage, and a text with a line for each problem.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read.
-pub fn verify(folder: &Path) -> Result<(bool, String), InspectError> {
-    let scan = scan_directory(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal.
+pub fn verify(directory: &Path) -> Result<(bool, String), InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     let mut text = String::new();
     for line in describe_problems(&scan) {
         let _ = writeln!(text, "{line}");
@@ -239,8 +241,8 @@
     let mut value = json!({
         "number": number, "id": message.id, "class": message.class, "dest": message.destination,
         "taken": format_time(message.accepted_at), "deadline": format_time(message.deadline), "key": message.key,
-        "attempts": journaled.attempts, "may_have_run": attempt_start_json(journaled.may_have_run), "out": attempt_start_json(journaled.in_flight),
-        "notice": notice_json(journaled.notice), "body_bytes": message.body.len(),
+        "attempts": journaled.attempts, "may_have_run": attempt_start_json(journaled.may_have_run),
+        "out": attempt_start_json(journaled.in_flight), "notice": notice_json(journaled.notice), "body_bytes": message.body.len(),
     });
     if let Some((name, quota)) = &message.tenant {
         (value["customer"], value["over_share"]) = (name.as_str().into(), quota.exceeded.into());
@@ -265,8 +267,9 @@
             body,
             progress,
         } => {
-            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class, "dest": destination,
-                "taken": format_time(*accepted_at), "deadline": format_time(*deadline), "key": key, "body_bytes": body.len()});
+            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class,
+                "dest": destination, "taken": format_time(*accepted_at), "deadline": format_time(*deadline),
+                "key": key, "body_bytes": body.len()});
             if let Some((name, quota)) = tenant {
                 (value["customer"], value["over_share"]) = ((*name).into(), quota.exceeded.into());
                 value["share_left"] = (f64::from(quota.remaining_thousandths) / 1000.0).into();
@@ -282,14 +285,14 @@
             }
             value
         }
-        Record::AttemptStarted { number, start: at } => {
-            json!({"record": "started", "number": number, "start": attempt_start_json(Some(*at))})
+        Record::AttemptStarted { number, start: attempt_start } => {
+            json!({"record": "started", "number": number, "start": attempt_start_json(Some(*attempt_start))})
         }
         Record::AttemptEnded { number, may_have_run } => {
             json!({"record": "ended", "number": number, "may_have_run": may_have_run})
         }
-        Record::NoticeDue { number, notice: due } => {
-            json!({"record": "owed", "number": number, "notice": notice_json(Some(*due))})
+        Record::NoticeDue { number, notice: due_notice } => {
+            json!({"record": "owed", "number": number, "notice": notice_json(Some(*due_notice))})
         }
         Record::Closed { number, base_segment } => {
             json!({"record": "over", "number": number, "base": base_segment})
@@ -301,12 +304,14 @@
             json!({"record": "outage", "dest": destination, "out": ongoing})
         }
         Record::SegmentOpened { sealed, outages, next_number, quota_levels } => {
-            let sealed: Vec<Value> = sealed.iter().map(|s| json!([s.segment, s.length])).collect();
-            let quota_levels = quota_levels
-                .iter()
-                .map(|l| json!([l.tenant, f64::from(l.remaining_thousandths) / 1000.0, format_time(l.at)]));
+            let sealed: Vec<Value> =
+                sealed.iter().map(|segment| json!([segment.segment, segment.length])).collect();
+            let quota_levels = quota_levels.iter().map(|level| {
+                json!([level.tenant, f64::from(level.remaining_thousandths) / 1000.0, format_time(level.at)])
+            });
             let quota_levels: Vec<Value> = quota_levels.collect();
-            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next_number, "levels": quota_levels})
+            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next_number,
+                "levels": quota_levels})
         }
         Record::AcceptedV1 { .. } | Record::SegmentOpenedV1 { .. } => json!({"record": "of version 1"}),
         Record::SegmentRemoved { segment } => json!({"record": "removed", "removed": segment}),
@@ -316,60 +321,60 @@
     value
 }
 
-/// Writes what is owed as JSON, one message a line; bodies only where they are asked for, in base64.
+/// Writes the open messages as JSON, one per line. Bodies are only included on request, in base64.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read, or `out` can't be written.
-pub fn dump(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
-    let scan = scan_directory(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal, or `out` can't be written.
+pub fn dump(directory: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     for (number, journaled) in scan.index.iter() {
         writeln!(out, "{}", message_json(number, journaled, bodies))?;
     }
     Ok(())
 }
 
-/// Writes every sound record as JSON, one a line, with its segment and offset: what the journal went through.
+/// Writes every valid record as JSON with its segment and offset, one per line.
 ///
 /// # Errors
-/// As for [`dump`]. A segment that goes meanwhile, beside a dispatcher that runs, has the folder read again: its
-/// records stand twice then.
-pub fn dump_records(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
+/// As for [`dump`]. If a running dispatcher removes a segment during the read, the directory is read again, and
+/// records that were already written appear twice.
+pub fn dump_records(directory: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
     let mut written = Ok(());
-    scan_directory(folder, &mut |segment, offset, on_record| {
+    scan_directory(directory, &mut |segment, offset, record| {
         if written.is_ok() {
-            written = writeln!(out, "{}", record_json(segment, offset, on_record, bodies));
+            written = writeln!(out, "{}", record_json(segment, offset, record, bodies));
         }
     })?;
     Ok(written?)
 }
 
-/// What a repair found and wrote.
+/// The result of a repair.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RepairReport {
-    /// Messages that stand in the new journal.
+    /// Number of messages in the new journal.
     pub messages: usize,
-    /// Those of them that count as ones that may have run since they were taken, because records are lost.
+    /// How many of them count as possibly run since they were accepted, because records are lost.
     pub assumed_run: usize,
-    /// What was wrong, a line each.
+    /// What was wrong, a line for each problem.
     pub problems: Vec<String>,
 }
 
-/// Writes all that can be read of a journal to a new folder, and never touches the old one. No dispatcher may run
-/// on it meanwhile.
+/// Writes all readable content of a journal to a new directory and leaves the old one unchanged. No dispatcher may be
+/// running on the old one.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read, or the new one is not empty or can't be written.
-pub fn repair(folder: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
+/// If the directory holds no readable journal, or if the new one is not empty or can't be written.
+pub fn repair(directory: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
     let mut found = {
-        let files = Disk::new(folder);
-        let open_error = |error| InspectError::Open { folder: folder.display().to_string(), error };
+        let files = Disk::new(directory);
+        let open_error = |error| InspectError::Open { directory: directory.display().to_string(), error };
         scan(&files, 0).map_err(open_error)?
     };
     if found.legacy.is_some() {
-        return Err(InspectError::LegacyFormat(folder.display().to_string()));
+        return Err(InspectError::LegacyFormat(directory.display().to_string()));
     }
     let Some(identity) = found.identity else {
-        return Err(InspectError::NoJournal(folder.display().to_string()));
+        return Err(InspectError::NoJournal(directory.display().to_string()));
     };
     std::fs::create_dir_all(to)?;
     let files = Disk::new(to);
@@ -385,7 +390,7 @@
         identity,
         remembered_outcomes: 0,
     };
-    let open_error = |error| InspectError::Open { folder: to.display().to_string(), error };
+    let open_error = |error| InspectError::Open { directory: to.display().to_string(), error };
     let (mut journal, _) = Journal::recover(files, options).map_err(open_error)?;
     let messages = found
         .index
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -1,4 +1,4 @@
-//! The thin shell: segments on a file system, a ledger in memory, and steps that keep the two together.
+//! The journal itself: segments on a file system, an in-memory index, and the operations that keep the two in step.
 
 use crate::compaction::{self, Admission, Limits, Usage, round_up_to_block};
 use crate::files::{Disk, Files};
@@ -11,89 +11,91 @@
 use std::io;
 use std::path::Path;
 
-/// What a record has to outlast before its effect.
+/// What a record has to survive before its effect may take place.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// The process. What was written is in the hands of the operating system.
+    /// A crash of the process: written data is in the operating system's cache.
     #[default]
     None,
-    /// The machine, for all that is older than the caller's interval: it calls [`Journal::sync`] so often.
+    /// A crash of the machine, for records older than the interval at which the caller calls [`Journal::sync`].
     Interval,
-    /// The machine: nothing is promised before [`Journal::sync`] has returned.
+    /// A crash of the machine: no record counts as stored before [`Journal::sync`] has returned.
     Always,
 }
 
-/// How a journal is kept.
+/// Options for opening a journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Options {
-    /// Sizes; [`Limits::of`] a budget for all files together.
+    /// Sizes; see [`Limits::for_budget`].
     pub limits: Limits,
     /// See [`Durability`].
     pub durability: Durability,
-    /// The time now.
+    /// The current time.
     pub now: UnixMicros,
-    /// Names a journal that is begun; any number that no other journal has.
+    /// Identity of a journal that is created here: a number that no other journal has. An existing journal keeps its
+    /// own.
     pub identity: u128,
-    /// Messages that are over and are remembered as such, against one that is handed in again: so many of this life,
-    /// and of earlier ones those whose records are still there.
+    /// How many final outcomes to remember for duplicate detection. Of earlier processes, only those are known whose
+    /// records still exist.
     pub remembered_outcomes: usize,
 }
 
-/// Why a journal can't be opened. Nothing was changed.
+/// Why a journal can't be opened. The directory is unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// A later program wrote it.
-    #[error("{file}: written by a newer program: format {version}, this one knows {}", format::VERSION)]
+    /// A newer program wrote it.
+    #[error("{file}: written by a newer program: format {version}, this one supports {}", format::VERSION)]
     Newer {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// Its version.
+        /// Its format version.
         version: u16,
     },
-    /// A journal of the old format beside one of this: an older program ran here since. Both may hold messages.
+    /// There is a journal of the legacy format beside one of the current format: an older program has run in the
+    /// directory since. Both may hold open messages.
     #[error(
-        "{}: a journal of an older program beside this one's; one of them must be moved away",
+        "{}: a journal in the legacy format exists beside the current one; move one of them away",
         legacy::FILE_NAME
     )]
     TwoFormats,
-    /// The file system.
+    /// The file system reported an error.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Something in the files that no crash leaves behind.
+/// Damage that a crash can't have caused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Damage {
-    /// Bytes that are no record, with sound ones after them.
-    #[error("segment {segment}: {length} bytes at {offset} are no record")]
+    /// Bytes that are not a valid record, though valid data follows or should follow.
+    #[error("segment {segment}: {length} bytes at offset {offset} are no record")]
     InvalidBytes {
-        /// The segment.
+        /// Number of the segment.
         segment: u64,
-        /// Where they begin.
+        /// Offset of the first invalid byte.
         offset: u64,
-        /// How many.
+        /// Number of invalid bytes.
         length: u64,
     },
-    /// A segment is shorter than its successor says.
-    #[error("segment {segment}: {length} bytes, {listed_length} are listed")]
+    /// A segment is shorter than a later segment recorded.
+    #[error("segment {segment}: the file has {length} bytes, a later segment lists {listed_length}")]
     Truncated {
-        /// The segment.
+        /// Number of the segment.
         segment: u64,
         /// Its length in bytes.
         length: u64,
-        /// The length that is listed.
+        /// The recorded length in bytes.
         listed_length: u64,
     },
-    /// A segment that is listed is not there.
+    /// A segment that a later segment lists does not exist.
     #[error("segment {segment} is missing")]
     MissingSegment {
-        /// The segment.
+        /// Number of the segment.
         segment: u64,
     },
-    /// A file that is no segment of this journal in its place. It is left as it is.
+    /// A file with a segment's name that is not a segment of this journal. It is left unchanged.
     #[error("{file}: {problem}")]
     ForeignFile {
-        /// The file.
+        /// Name of the file.
         file: String,
         /// What is wrong with it.
         problem: String,
@@ -103,28 +105,28 @@
 /// What was found when a journal was opened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// Bytes at the end of the last segment that are no whole record: one that never happened.
+    /// Bytes at the end of the last segment that are an incomplete record. It was never acknowledged and is ignored.
     pub torn_bytes: u64,
-    /// All else that is wrong.
+    /// All other damage.
     pub damage: Vec<Damage>,
-    /// Messages that were carried over from the old format.
+    /// Number of messages that were migrated from the legacy format, if there was a journal of that format.
     pub migrated_messages: Option<usize>,
-    /// The latest time that any record tells: the clock may have gone back since.
+    /// The latest timestamp of any record. The wall clock may have been set back since.
     pub latest_timestamp: UnixMicros,
 }
 
-/// Sums since the journal was opened.
+/// Counters since the journal was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Bytes written, copies among them.
+    /// Bytes written, including copies.
     pub bytes_written: u64,
-    /// Bytes of copies.
+    /// Bytes of copies made by compaction.
     pub bytes_copied: u64,
-    /// Segments that were removed.
+    /// Segments removed by compaction.
     pub segments_removed: u64,
-    /// Messages that were refused for want of room.
+    /// Messages rejected because the journal was full.
     pub rejected_messages: u64,
-    /// Calls of the file system that failed.
+    /// Failed file-system calls.
     pub failed_calls: u64,
 }
 
@@ -133,13 +135,13 @@
     handle: H,
     /// Bytes of its header and its first record.
     preamble_length: u64,
-    /// Bytes that count.
+    /// Bytes of complete records, including the header.
     length: u64,
-    /// Bytes on file.
+    /// Length of the file.
     bytes_on_disk: u64,
-    /// There may be bytes beyond `length` that could not be cut off: nothing more goes here.
+    /// The file may have bytes beyond `length` that could not be truncated, so nothing more is appended to it.
     broken: bool,
-    /// Something was written since it was last synced.
+    /// Whether data was written since the last sync.
     unsynced: bool,
 }
 
@@ -149,14 +151,14 @@
     bytes_on_disk: u64,
 }
 
-/// What happened and could not be written so far: it is all in the ledger.
+/// Changes that are in the index and could not be written yet.
 #[derive(Default)]
 struct PendingRecords {
-    /// Messages that have come further.
+    /// Messages whose delivery state has changed.
     messages: BTreeSet<u64>,
-    /// Messages that are over, and the segments with their last `Taken` records.
+    /// Messages that were closed, with the segments of their last `Accepted` records.
     closed: Vec<(u64, u64)>,
-    /// Destinations that went out or came back.
+    /// Destinations whose outage started or ended.
     outages: BTreeSet<u32>,
 }
 
@@ -166,7 +168,7 @@
     }
 }
 
-/// What is owed, in memory and on file.
+/// A durable log of open messages with an in-memory index.
 pub struct Journal<F: Files = Disk> {
     files: F,
     limits: Limits,
@@ -175,19 +177,19 @@
     index: MessageIndex,
     sealed: BTreeMap<u64, SealedFile>,
     active: Option<ActiveSegment<F::Handle>>,
-    /// The next segment's number.
+    /// Number of the next segment.
     next_segment: u64,
-    /// The segment that is being emptied, and whether its removal stands on record.
+    /// The segment that is being compacted, and whether its removal has been recorded.
     compacting: Option<(u64, bool)>,
     pending: PendingRecords,
-    /// Files that are not ours, in bytes.
+    /// Bytes of files that are not part of the journal.
     foreign_bytes: u64,
     opened_at: UnixMicros,
     counters: Counters,
     buffer: Vec<u8>,
 }
 
-/// The file of a segment.
+/// File name of a segment.
 pub fn file_name(segment: u64) -> String {
     format!("{segment:016x}.journal")
 }
@@ -198,18 +200,18 @@
 }
 
 impl Journal<Disk> {
-    /// Opens the journal of a folder, or begins one.
+    /// Opens the journal in a directory, or creates one.
     ///
     /// # Errors
     /// See [`OpenError`].
-    pub fn open(folder: &Path, options: Options) -> Result<(Journal<Disk>, Recovery), OpenError> {
-        Journal::recover(Disk::new(folder), options)
+    pub fn open(directory: &Path, options: Options) -> Result<(Journal<Disk>, Recovery), OpenError> {
+        Journal::recover(Disk::new(directory), options)
     }
 }
 
 impl<F: Files> Journal<F> {
-    /// Opens the journal of a folder, or begins one. Until its first new segment is whole, nothing is changed but
-    /// for files that no longer count; so a crash in here does no harm.
+    /// Opens the journal in a directory, or creates one. Until the first new segment is complete, only obsolete files
+    /// are changed, so a crash during recovery loses nothing.
     ///
     /// # Errors
     /// See [`OpenError`].
@@ -269,7 +271,7 @@
         Ok((journal, recovery))
     }
 
-    /// Takes over what a file of the old format tells.
+    /// Copies the content of a legacy journal, then removes its files.
     fn migrate_legacy(&mut self, legacy: legacy::LegacyJournal) -> io::Result<()> {
         self.start_segment()?;
         let messages =
@@ -281,7 +283,7 @@
         Ok(())
     }
 
-    /// Writes down what another journal told; when this returns it outlasts the machine.
+    /// Writes the content of another journal. It is synced to disk when this returns.
     pub(crate) fn import(
         &mut self, outages: impl Iterator<Item = u32>,
         messages: impl Iterator<Item = (u64, AcceptedMessage, Progress)>,
@@ -298,84 +300,84 @@
         if let Some(active) = &self.active {
             self.files.sync(&active.handle)?;
         }
-        self.files.sync_folder()
+        self.files.sync_directory()
     }
 
-    /// A message that is not over.
+    /// An open message by its number.
     pub fn get(&self, number: u64) -> Option<&JournaledMessage> {
         self.index.get(number)
     }
 
-    /// The number of the message with an id.
+    /// The number of the open message with this id.
     pub fn number_by_id(&self, id: &str) -> Option<u64> {
         self.index.number_by_id(id)
     }
 
-    /// The ends that are remembered, for the process that takes over.
+    /// The remembered final outcomes, for the process that takes over.
     pub fn recent_outcomes(&self) -> &RecentOutcomes {
         self.index.recent_outcomes()
     }
 
-    /// Remembers what the process remembered that handed this journal over.
-    pub fn restore_recent_outcomes(&mut self, ended: RecentOutcomes) {
-        self.index.restore_recent_outcomes(ended);
+    /// Takes over the final outcomes that the previous process remembered.
+    pub fn restore_recent_outcomes(&mut self, recent_outcomes: RecentOutcomes) {
+        self.index.restore_recent_outcomes(recent_outcomes);
     }
 
-    /// How a message ended that is handed in again, where that is remembered.
+    /// The final outcome of a message that is submitted again, if it is still remembered.
     pub fn final_outcome_of(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
         self.index.final_outcome_of(message)
     }
 
-    /// All messages that are not over, in the order taken.
+    /// All open messages in the order of acceptance.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &JournaledMessage)> {
         self.index.iter()
     }
 
-    /// Destinations that were out, or back and cold, when this was last known.
+    /// Destinations that were unavailable or recovering according to the last records.
     pub fn outages(&self) -> impl Iterator<Item = u32> {
         self.index.outages().iter().copied()
     }
 
-    /// Where customers stood with their shares when they last handed something in.
+    /// The latest known quota level of each tenant.
     pub fn quota_levels(&self) -> impl Iterator<Item = format::QuotaLevel> {
         self.index.quota_levels()
     }
 
-    /// Messages that are neither delivered nor ended.
+    /// Number of messages that are still to be delivered.
     pub fn open_messages(&self) -> usize {
         self.index.len() - self.index.pending_notices().len()
     }
 
-    /// The first notices that are owed.
-    pub fn pending_notices(&self, max_bytes: usize) -> Vec<(u64, String, Notice)> {
-        self.due_notices(UnixMicros::MAX, max_bytes)
+    /// The first `max_count` pending notices, whether or not they are recorded.
+    pub fn pending_notices(&self, max_count: usize) -> Vec<(u64, String, Notice)> {
+        self.due_notices(UnixMicros::MAX, max_count)
     }
 
-    /// The notices that may go out now: those on record, and those of messages whose time is up, which no later life
-    /// would send any more.
-    pub fn due_notices(&self, now: UnixMicros, max_bytes: usize) -> Vec<(u64, String, Notice)> {
+    /// The first `max_count` notices that may be sent now. A notice has to be recorded before it is sent, or the next
+    /// process could still deliver the message; after the deadline it would not, so then no record is needed.
+    pub fn due_notices(&self, now: UnixMicros, max_count: usize) -> Vec<(u64, String, Notice)> {
         let journaled = self
             .index
             .pending_notices()
             .iter()
             .filter_map(|number| Some((*number, self.index.get(*number)?)));
-        let due = journaled.filter(|(number, journaled)| {
+        let sendable = journaled.filter(|(number, journaled)| {
             journaled.message.deadline <= now || !self.pending.messages.contains(number)
         });
-        let notices = due.filter_map(|(number, journaled)| {
+        let notices = sendable.filter_map(|(number, journaled)| {
             Some((number, journaled.message.id.clone(), journaled.notice?))
         });
-        notices.take(max_bytes).collect()
+        notices.take(max_count).collect()
     }
 
-    /// Sums since the journal was opened.
+    /// Counters since the journal was opened.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Segments that are there, with the one that is written to: number, bytes, and bytes of those that count.
+    /// All segments including the active one: number, length in bytes, and live bytes.
     pub fn segments(&self) -> Vec<(u64, u64, u64)> {
-        let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length));
+        let sealed = self.sealed.iter().map(|(segment, file)| (*segment, file.length));
         let active = self.active.iter().map(|active| (active.segment, active.length));
         sealed
             .chain(active)
@@ -383,15 +385,15 @@
             .collect()
     }
 
-    /// Bytes of all files, in whole blocks.
+    /// Bytes of all files, each rounded up to whole blocks.
     pub fn bytes_on_disk(&self) -> u64 {
-        let sealed: u64 = self.sealed.values().map(|s| round_up_to_block(s.bytes_on_disk)).sum();
+        let sealed: u64 = self.sealed.values().map(|file| round_up_to_block(file.bytes_on_disk)).sum();
         sealed
             + self.active.iter().map(|active| round_up_to_block(active.bytes_on_disk)).sum::<u64>()
             + self.foreign_bytes
     }
 
-    /// Whether all that happened is on file.
+    /// Whether all changes have been written.
     pub fn is_fully_written(&self) -> bool {
         self.pending.is_empty()
     }
@@ -403,16 +405,16 @@
         }
     }
 
-    /// Takes a message on; none where there is no room for it.
+    /// Accepts a message and returns its number, or `None` if the journal is full.
     ///
     /// # Errors
-    /// Where its record is not on file: it was not taken.
+    /// If its record could not be written; the message is not accepted then.
     pub fn accept(&mut self, message: &AcceptedMessage) -> io::Result<Option<u64>> {
         self.flush_pending()?;
         let max_size = index::max_message_size(message);
         let fits = match compaction::admit(&self.limits, self.usage(), max_size, max_size) {
             Admission::Fits => true,
-            // A step may win enough; more than one would hold up everybody else.
+            // One step may free enough. More than one would delay all other work.
             Admission::AfterCompaction => {
                 self.compact_step()?;
                 compaction::admit(&self.limits, self.usage(), max_size, max_size) == Admission::Fits
@@ -429,66 +431,66 @@
         Ok(Some(number))
     }
 
-    /// A call is about to go out.
+    /// Records that an attempt is about to be sent.
     ///
     /// # Errors
-    /// Where the record is not on file: the call must not go out, and counts as never begun.
+    /// If the record could not be written. The attempt must not be sent, and counts as never started.
     pub fn attempt_started(&mut self, number: u64, start: AttemptStart) -> io::Result<()> {
         self.compact_if_reserve_used();
-        // First: it would write this message's progress as if the call had begun.
+        // Before the index changes: the pending records would describe this message as if the attempt had started.
         self.flush_pending()?;
-        let before = self.index.get(number).map(JournaledMessage::progress);
+        let previous = self.index.get(number).map(JournaledMessage::progress);
         let record = Record::AttemptStarted { number, start };
         self.index.apply(&record);
         let written = self.append_event(&record);
-        if let Some(before) = before.filter(|_| written.is_err()) {
-            self.index.apply(&Record::Progress { number, progress: before });
+        if let Some(previous) = previous.filter(|_| written.is_err()) {
+            self.index.apply(&Record::Progress { number, progress: previous });
         }
         written
     }
 
-    /// A call goes out though its record could not be written: that it is made once more does no harm. The record is
-    /// written before any other.
+    /// Notes an attempt that is sent although its record could not be written, which is allowed where a repeat does no
+    /// harm. The record is written before any other.
     pub fn attempt_started_unrecorded(&mut self, number: u64, start: AttemptStart) {
         self.index.apply(&Record::AttemptStarted { number, start });
         self.pending.messages.insert(number);
     }
 
-    /// A call has ended and the message is not delivered.
+    /// Records that an attempt has ended without delivering the message.
     ///
     /// # Errors
-    /// Where the record is not on file yet; it will be before any other.
+    /// If the record could not be written yet. It stays pending and is written before any other.
     pub fn attempt_ended(&mut self, number: u64, may_have_run: bool) -> io::Result<()> {
         self.record_event(Record::AttemptEnded { number, may_have_run })
     }
 
-    /// The message ends undelivered; the platform has yet to hear.
+    /// Records that the message ended undelivered and that the platform has to be notified.
     ///
     /// # Errors
-    /// As for [`ended`](Journal::ended).
+    /// As for [`attempt_ended`](Journal::attempt_ended).
     pub fn notice_due(&mut self, number: u64, notice: Notice) -> io::Result<()> {
         self.record_event(Record::NoticeDue { number, notice })
     }
 
-    /// Nothing more is owed for the message.
+    /// Records that the message is finished.
     ///
     /// # Errors
-    /// As for [`ended`](Journal::ended).
+    /// As for [`attempt_ended`](Journal::attempt_ended).
     pub fn close(&mut self, number: u64) -> io::Result<()> {
         let Some(base_segment) = self.index.base_segment(number) else { return Ok(()) };
         self.record_event(Record::Closed { number, base_segment })
     }
 
-    /// A destination is out or comes back cold; or it is as usual again.
+    /// Records that a destination is unavailable or still recovering (`ongoing`), or that its outage is over.
     ///
     /// # Errors
-    /// As for [`ended`](Journal::ended).
+    /// As for [`attempt_ended`](Journal::attempt_ended).
     pub fn set_outage(&mut self, destination: u32, ongoing: bool) -> io::Result<()> {
         self.record_event(Record::Outage { destination, ongoing })
     }
 
-    /// What happened is true even where it can't be written: memory follows in any case, and what it tells is
-    /// written before anything else.
+    /// Applies and writes an event. It has happened whether or not it can be written, so the index changes in any
+    /// case, and an event that could not be written becomes pending.
     fn record_event(&mut self, record: Record<'static>) -> io::Result<()> {
         self.compact_if_reserve_used();
         self.index.apply(&record);
@@ -508,8 +510,8 @@
         written
     }
 
-    /// Where the reserve is in use, what ends messages pays for room as it goes. Two segments are left then: one that
-    /// is being emptied costs another one's room until it goes.
+    /// Runs a compaction step if less than two segments of the budget are left, so that records which close messages
+    /// make room for themselves. Two segments, because the copies of a segment take space until it is removed.
     fn compact_if_reserve_used(&mut self) {
         if self.bytes_on_disk() + 2 * self.limits.segment_bytes > self.limits.budget_bytes {
             let _ = self.compact_step();
@@ -538,21 +540,24 @@
         Ok(())
     }
 
-    /// Writes what could not be written when it happened.
+    /// Writes the changes that could not be written when they happened.
     ///
     /// # Errors
-    /// Where it can't be written still.
+    /// If they still can't be written.
     pub fn flush_pending(&mut self) -> io::Result<()> {
         if self.pending.is_empty() {
             return Ok(());
         }
         let PendingRecords { messages, closed, outages } = std::mem::take(&mut self.pending);
-        let known = |number: &u64| Some((*number, self.index.get(*number)?.progress()));
-        let progress = messages.iter().filter_map(known);
+        let current = |number: &u64| Some((*number, self.index.get(*number)?.progress()));
+        let progress = messages.iter().filter_map(current);
         let mut records: Vec<Record> =
             progress.map(|(number, progress)| Record::Progress { number, progress }).collect();
         records.extend(
-            closed.iter().map(|(number, base)| Record::Closed { number: *number, base_segment: *base }),
+            closed.iter().map(|(number, base_segment)| Record::Closed {
+                number: *number,
+                base_segment: *base_segment,
+            }),
         );
         let is_ongoing = |destination: &u32| self.index.outages().contains(destination);
         records.extend(outages.iter().map(|destination| Record::Outage {
@@ -566,11 +571,11 @@
         written
     }
 
-    /// Works on space for a bounded time: copies what counts of one segment, or removes it. Tells whether there
-    /// was anything to do.
+    /// Runs one bounded compaction step: copies live records of one segment, or removes the segment. Returns whether
+    /// there was anything to do.
     ///
     /// # Errors
-    /// Where a call of the file system failed; the step may be asked for again.
+    /// If a file-system call failed; the step can be retried.
     pub fn compact_step(&mut self) -> io::Result<bool> {
         self.flush_pending()?;
         if self.active.as_ref().is_none_or(|active| active.broken) {
@@ -580,9 +585,9 @@
         let compacting = match self.compacting {
             Some(compacting) => compacting,
             None => {
-                let sealed = self.sealed.iter().map(|(segment, s)| compaction::SegmentUsage {
+                let sealed = self.sealed.iter().map(|(segment, file)| compaction::SegmentUsage {
                     segment: *segment,
-                    length: s.bytes_on_disk,
+                    length: file.bytes_on_disk,
                     live_bytes: self.index.live_bytes(*segment),
                 });
                 let next = self
@@ -604,9 +609,8 @@
                 let journaled =
                     |number: u64| self.index.get(number).map(|journaled| (journaled, journaled.progress()));
                 let record = match live {
-                    LiveRecord::Message(number) => {
-                        journaled(number).map(|(k, progress)| k.to_record(number, Some(progress)))
-                    }
+                    LiveRecord::Message(number) => journaled(number)
+                        .map(|(journaled, progress)| journaled.to_record(number, Some(progress))),
                     LiveRecord::Progress(number) => {
                         journaled(number).map(|(_, progress)| Record::Progress { number, progress })
                     }
@@ -646,14 +650,14 @@
         Ok(true)
     }
 
-    /// Removes a segment whose facts all stand in later ones.
-    fn remove_compacted(&mut self, (segment, recorded): (u64, bool)) -> io::Result<()> {
-        if !recorded {
+    /// Removes a segment whose live records have all been copied.
+    fn remove_compacted(&mut self, (segment, removal_recorded): (u64, bool)) -> io::Result<()> {
+        if !removal_recorded {
             self.append(&[Record::SegmentRemoved { segment }])?;
             self.compacting = Some((segment, true));
         }
         if self.durability != Durability::None {
-            // The copies outlast the machine before what they were made of goes.
+            // The copies must be durable before their originals are deleted.
             self.sync()?;
         }
         let removed = self.files.remove(&file_name(segment));
@@ -665,34 +669,36 @@
         Ok(())
     }
 
-    /// Waits until all that was written outlasts the machine.
+    /// Waits until all written data is durable.
     ///
     /// # Errors
-    /// Where that is not sure. The segment is sealed then: a later success would tell nothing of its bytes.
+    /// If that is not certain. The segment gets no more records then, as a later successful sync would prove nothing
+    /// about the data that failed.
     pub fn sync(&mut self) -> io::Result<()> {
         let Some(active) = self.active.as_mut().filter(|active| active.unsynced) else { return Ok(()) };
         let synced = self.files.sync(&active.handle);
         active.unsynced = false;
         if synced.is_err() {
-            // Nobody can say which of its bytes are there: all that counts is written once more, elsewhere.
+            // Which of its bytes are durable is unknown, so all of its live records are written again to another
+            // segment.
             active.broken = true;
             self.index.compact_first(active.segment);
         }
         self.count_failure(synced)
     }
 
-    fn count_failure<T>(&mut self, done: io::Result<T>) -> io::Result<T> {
-        self.counters.failed_calls += u64::from(done.is_err());
-        done
+    fn count_failure<T>(&mut self, result: io::Result<T>) -> io::Result<T> {
+        self.counters.failed_calls += u64::from(result.is_err());
+        result
     }
 
-    /// Appends records in one write; tells which segment they stand in.
+    /// Appends records in one write and returns the segment that holds them.
     fn append(&mut self, records: &[Record]) -> io::Result<u64> {
-        let max_size: u64 = records.iter().map(index::estimated_record_size).sum();
+        let size: u64 = records.iter().map(index::estimated_record_size).sum();
         let mut buffer = std::mem::take(&mut self.buffer);
         buffer.clear();
         let result = (|| {
-            let segment = self.segment_for(max_size)?;
+            let segment = self.segment_for(size)?;
             for record in records {
                 format::append_record(&mut buffer, segment, record)?;
             }
@@ -703,37 +709,37 @@
         result
     }
 
-    /// The segment to write to, after a new one was begun if that is due.
+    /// The segment to append `bytes` to. Starts a new one first if the active one is full or broken.
     fn segment_for(&mut self, bytes: u64) -> io::Result<u64> {
         let max_bytes = self.limits.segment_bytes;
-        let due = self.active.as_ref().is_none_or(|active| {
+        let new_segment_due = self.active.as_ref().is_none_or(|active| {
             // A record that is longer than a segment gets one of its own.
             active.broken || (active.length + bytes > max_bytes && active.length > active.preamble_length)
         });
-        if due
+        if new_segment_due
             && let Err(error) = self.start_segment()
             && self.active.as_ref().is_none_or(|active| active.broken)
         {
             return Err(error);
         }
-        self.active.as_ref().map(|active| active.segment).ok_or_else(|| io::Error::other("no segment"))
+        self.active.as_ref().map(|active| active.segment).ok_or_else(|| io::Error::other("no active segment"))
     }
 
-    /// Writes bytes at the end of the head, all or none.
+    /// Appends bytes to the active segment, all or none.
     fn append_bytes(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let Some(active) = &mut self.active else { return Err(io::Error::other("no segment")) };
+        let Some(active) = &mut self.active else { return Err(io::Error::other("no active segment")) };
         let mut written = 0;
         let mut result = Ok(());
         while written < bytes.len() && result.is_ok() {
             match self.files.append(&mut active.handle, &bytes[written..]) {
                 Ok(0) => result = Err(io::ErrorKind::WriteZero.into()),
-                Ok(more) => written += more,
+                Ok(count) => written += count,
                 Err(error) => result = Err(error),
             }
         }
         if result.is_err() {
             self.counters.failed_calls += 1;
-            // Half a record would hide all that comes after it.
+            // An incomplete record would hide all records after it.
             if self.files.truncate(&mut active.handle, active.length).is_err() {
                 self.counters.failed_calls += 1;
                 (active.broken, active.bytes_on_disk) = (true, active.length + written as u64);
@@ -747,14 +753,14 @@
         Ok(())
     }
 
-    /// Seals the head and begins the next segment.
+    /// Seals the active segment and starts the next one.
     fn start_segment(&mut self) -> io::Result<()> {
         if self.durability != Durability::None {
             self.sync()?;
         }
         let segment = self.next_segment;
         let active = self.active.iter().map(|active| (active.segment, active.length));
-        let sealed = self.sealed.iter().map(|(segment, s)| (*segment, s.length)).chain(active);
+        let sealed = self.sealed.iter().map(|(segment, file)| (*segment, file.length)).chain(active);
         let opening = Record::SegmentOpened {
             sealed: index::sealed_segments(sealed),
             outages: self.index.outages().iter().copied().collect(),
@@ -778,17 +784,17 @@
             broken,
             unsynced: false,
         };
-        let before = self.active.replace(active);
-        let whole = self.append_bytes(&bytes);
-        if let Err(error) = whole {
-            self.active = before;
-            // Without a whole first record it is of no account if it stays.
+        let previous = self.active.replace(active);
+        let written = self.append_bytes(&bytes);
+        if let Err(error) = written {
+            self.active = previous;
+            // Without a complete first record the file is ignored, should it fail to be removed.
             let removed = self.files.remove(&name);
             let _ = self.count_failure(removed);
             return Err(error);
         }
-        // From here on it counts: what stands in it holds for all before it.
-        if let Some(active) = before {
+        // The new segment is valid from here on; its first record describes the state before it.
+        if let Some(active) = previous {
             self.sealed.insert(
                 active.segment,
                 SealedFile { length: active.length, bytes_on_disk: active.bytes_on_disk },
@@ -797,7 +803,7 @@
         self.index.add_segment(segment);
         if self.durability != Durability::None {
             self.sync()?;
-            let synced = self.files.sync_folder();
+            let synced = self.files.sync_directory();
             self.count_failure(synced)?;
         }
         Ok(())
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -1,15 +1,15 @@
-//! The format before this one: one file of framed records, written anew as a whole. Read, never written.
+//! The legacy format: a single file of framed records, which was rewritten as a whole. It is read and never written.
 
 use crate::format::{AcceptedMessage, AttemptStart, Notice, Progress, UnixMicros};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The file.
+/// Name of the legacy journal file.
 pub(crate) const FILE_NAME: &str = "journal";
-/// Its successor while it was written anew; no journal yet.
+/// Name of its replacement while it was being written; it is not a valid journal yet.
 pub(crate) const TEMP_FILE_NAME: &str = "journal.next";
-/// Length and checksum before each record.
+/// Bytes of length and checksum in front of each record.
 const FRAME_BYTES: usize = 8;
 
 #[derive(Serialize, Deserialize)]
@@ -50,12 +50,12 @@
     },
 }
 
-/// What an old file tells.
+/// The content of a legacy journal.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct LegacyJournal {
     pub(crate) messages: BTreeMap<u64, (AcceptedMessage, Progress)>,
     pub(crate) outages: BTreeSet<u32>,
-    /// Bytes at the end that are no whole record: one that never happened.
+    /// Bytes at the end that are an incomplete record, which was never acknowledged.
     pub(crate) torn_bytes: usize,
 }
 
@@ -68,12 +68,12 @@
     Some((postcard::from_bytes(payload).ok().filter(|_| is_valid)?, FRAME_BYTES + length))
 }
 
-/// The identity of a journal that is carried over from these bytes.
+/// The identity of the journal that a legacy file with these bytes is migrated to.
 pub(crate) fn derive_identity(bytes: &[u8]) -> u128 {
     u128::from(bytes.len() as u64) << 32 | u128::from(crc32fast::hash(bytes))
 }
 
-/// Reads an old file up to its first record that is not whole, as the program that wrote it did.
+/// Reads a legacy file up to its first invalid record, as the program that wrote it did.
 pub(crate) fn parse(mut bytes: &[u8]) -> LegacyJournal {
     let mut journal = LegacyJournal::default();
     while let Some((record, length)) = decode_record(bytes) {
--- a/crates/journal/src/recent_outcomes.rs
+++ b/crates/journal/src/recent_outcomes.rs
@@ -1,5 +1,5 @@
-//! Messages that are over, for as long as that is worth remembering: one that comes again must not take effect once
-//! more. No I/O.
+//! A bounded memory of the final outcomes of messages, for duplicate detection: a message that is submitted again
+//! after its end must not take effect twice. No I/O.
 
 use crate::format::{AcceptedMessage, Notice};
 use crate::index::JournaledMessage;
@@ -12,33 +12,37 @@
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalOutcome {
-    /// Delivered, or over by the other side's word: nothing is owed, and it may not run again.
+    /// Delivered, or settled by the destination's answer: it must not run again.
     Delivered,
-    /// Given up: it may have run.
+    /// Delivery was given up: it may have run.
     GivenUp,
-    /// Handed back: handing it in again is harmless.
+    /// Handed back to the client: submitting it again is harmless.
     HandedBack,
 }
 
 impl FinalOutcome {
-    /// How a message ends of which nothing more is owed; none where no client was ever told of it.
+    /// The outcome of a message that is being closed; `None` if the message was withdrawn.
     pub(crate) fn of(journaled: &JournaledMessage) -> Option<FinalOutcome> {
         match journaled.notice {
             Some(Notice::GivenUp) => Some(FinalOutcome::GivenUp),
             Some(Notice::HandedBack { .. }) => Some(FinalOutcome::HandedBack),
-            // Without a call it was withdrawn: its client was gone before it heard.
+            // Without an attempt, the message was withdrawn: its client disconnected before it got the answer.
             None => (journaled.attempts > 0).then_some(FinalOutcome::Delivered),
         }
     }
 }
 
-/// The last messages that ended, at most so many: some 40 bytes each. It goes to the process that takes over.
+/// The outcomes of the last `max_entries` messages that ended, at some 40 bytes each. It is serialized by field name
+/// for the process that takes over.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecentOutcomes {
+    #[serde(rename = "most")]
     max_entries: usize,
-    /// Drawn anew for each: nobody can choose ids that meet.
+    /// Random for each instance, so that clients cannot construct messages with colliding fingerprints.
+    #[serde(rename = "keys")]
     hash_keys: (u64, u64),
     order: VecDeque<u64>,
+    #[serde(rename = "ends")]
     outcomes: HashMap<u64, FinalOutcome>,
 }
 
@@ -49,21 +53,21 @@
 }
 
 impl RecentOutcomes {
-    /// Remembers so many ends.
+    /// An empty memory for up to `max_entries` outcomes.
     pub fn new(max_entries: usize) -> RecentOutcomes {
         let hash_keys = (RandomState::new().hash_one(0), RandomState::new().hash_one(1));
         RecentOutcomes { max_entries, hash_keys, order: VecDeque::new(), outcomes: HashMap::new() }
     }
 
-    /// A message by its id, class, destination and key. The body is not looked at: it is gone once a notice is owed.
-    /// Two messages meet by chance in one of 2^64 / `most` cases.
+    /// A hash of a message's id, class, destination and key. The body is not included, as it is dropped once a notice
+    /// is due. A message collides by chance with a remembered one with a probability of `max_entries` / 2^64.
     fn fingerprint(&self, message: &AcceptedMessage) -> u64 {
         let mut hasher = SipHasher13::new_with_keys(self.hash_keys.0, self.hash_keys.1);
         (&message.id, &message.class, message.destination, &message.key).hash(&mut hasher);
         hasher.finish()
     }
 
-    /// Remembers an end; the oldest one makes place.
+    /// Stores an outcome and evicts the oldest one if necessary.
     pub fn record(&mut self, message: &AcceptedMessage, outcome: FinalOutcome) {
         let fingerprint = self.fingerprint(message);
         if self.max_entries == 0 || self.outcomes.insert(fingerprint, outcome).is_some() {
@@ -77,17 +81,17 @@
         }
     }
 
-    /// How the message ended, where that is remembered.
+    /// The outcome of a message, if it is still remembered.
     pub fn get(&self, message: &AcceptedMessage) -> Option<FinalOutcome> {
         self.outcomes.get(&self.fingerprint(message)).copied()
     }
 
-    /// How many ends are remembered.
+    /// Number of remembered outcomes.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no outcome is remembered.
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
@@ -112,10 +116,10 @@
     }
 
     #[test]
-    fn the_last_ends_are_remembered_and_no_more() {
+    fn only_the_most_recent_outcomes_are_remembered() {
         let mut recent = RecentOutcomes::new(100);
         for id in 0..1000 {
-            // Twice: a message that ends again, after it was handed back and taken anew, takes no second place.
+            // A message that was handed back, accepted again and delivered occupies one entry, not two.
             recent.record(&message(id), FinalOutcome::HandedBack);
             recent.record(&message(id), FinalOutcome::Delivered);
         }
@@ -125,7 +129,7 @@
         assert_eq!(
             recent.get(&AcceptedMessage { destination: 2, ..message(950) }),
             None,
-            "another message under the id"
+            "a different message with the same id"
         );
         recent = RecentOutcomes::new(0);
         recent.record(&message(1), FinalOutcome::Delivered);
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -1,5 +1,5 @@
-//! Reads a folder of segments and changes nothing: what is owed, what is damaged, which files are of no account.
-//! Recovery begins with it, and so do the operators' commands. One segment is in memory at a time.
+//! Reads a journal directory without changing it: which messages are open, what is damaged and which files are
+//! obsolete. Recovery and the operators' commands start with it. Only one segment is in memory at a time.
 
 use crate::compaction::round_up_to_block;
 use crate::files::Files;
@@ -11,60 +11,61 @@
 use crate::legacy;
 use std::collections::BTreeMap;
 
-/// A segment that counts.
+/// A segment that is part of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScannedSegment {
-    /// How many of its bytes count.
+    /// Its valid length in bytes.
     pub length: u64,
-    /// Its length on file.
+    /// Length of its file.
     pub bytes_on_disk: u64,
-    /// When it was begun.
+    /// When it was started.
     pub created_at: UnixMicros,
-    /// Sound records in it.
+    /// Number of valid records.
     pub records: u64,
 }
 
-/// What a folder holds.
+/// The content of a journal directory.
 #[derive(Debug)]
 pub struct ScanResult {
-    /// Whose journal it is; none where there is none of this format.
+    /// The journal's identity; `None` if there is no journal of the current format.
     pub identity: Option<u128>,
-    /// Its segments that count, by number.
+    /// The segments of the journal, by number.
     pub segments: BTreeMap<u64, ScannedSegment>,
-    /// What they say; calls without an end are out in it still.
+    /// The state after all records. Attempts without an end record are still in flight in it.
     pub index: MessageIndex,
     /// What was found wrong.
     pub recovery: Recovery,
-    /// Files that are not the journal's, in bytes of whole blocks.
+    /// Bytes of files that are not part of the journal, each rounded up to whole blocks.
     pub foreign_bytes: u64,
-    /// Files of no account: what a crash left of a segment that was being begun or removed.
+    /// Files to remove: leftovers of a crash while a segment was being started or removed.
     pub obsolete_files: Vec<String>,
-    /// No segment has this number, or a higher one.
+    /// The lowest number above those of all segments.
     pub next_segment: u64,
-    /// A file of the format before is there: it holds, and the segments are copies of it that were not finished.
+    /// A journal of the legacy format. It is still authoritative, as any segments are copies of it from a migration
+    /// that was not completed.
     pub(crate) legacy: Option<legacy::LegacyJournal>,
 }
 
-/// Segments by number, and how many of their bytes count.
+/// Valid lengths of segments in bytes, by number.
 type SegmentLengths = BTreeMap<u64, u64>;
 
-/// Reads the headers: the segments of this journal, and all else by what is wrong with it.
+/// The headers of all segment files, and what else the directory holds.
 struct Headers {
     found: BTreeMap<u64, (Header, u64)>,
     incomplete: Vec<String>,
     has_legacy_file: bool,
 }
 
-/// Surveys the files of a folder; so many messages that are over are remembered.
+/// Scans the files of a directory, remembering up to `remembered_outcomes` final outcomes of messages.
 ///
 /// # Errors
-/// Where a file was written by a newer program, where journals of two formats stand side by side, or where a file
-/// can't be read. [`OpenError`].
+/// If a newer program wrote a file, if there are journals of two formats, or if a file can't be read. See
+/// [`OpenError`].
 pub fn scan<F: Files>(files: &F, remembered_outcomes: usize) -> Result<ScanResult, OpenError> {
     scan_records(files, remembered_outcomes, &mut |_, _, _| ())
 }
 
-/// Surveys the files of a folder, and shows each sound record with its segment and offset as it is read.
+/// Scans the files of a directory and passes each valid record, with its segment and offset, to `on_record`.
 ///
 /// # Errors
 /// As for [`scan`].
@@ -84,8 +85,8 @@
     let Headers { mut found, incomplete, has_legacy_file } = scan.read_headers(files)?;
     scan.obsolete_files = incomplete;
     if has_legacy_file {
-        // It is removed last: what else is there are copies of it that were not finished. They bear the mark of
-        // that file; others are a journal that an older program did not see.
+        // A migration removes this file last, so segments with the identity derived from it are incomplete copies.
+        // Any other identity is that of a journal which an older program overlooked.
         let bytes = files.read(legacy::FILE_NAME, 0, usize::MAX)?;
         let identity = legacy::derive_identity(&bytes);
         if found.values().any(|(header, _)| header.identity != identity) {
@@ -110,11 +111,15 @@
         let bytes = files.read(&file_name(*segment), 0, usize::MAX)?;
         scan.scan_segment(*segment, header, &bytes, (listed, *segment == newest), &mut removed, on_record);
     }
-    let mut missing: Vec<u64> =
-        listed.iter().flatten().map(|(segment, _)| *segment).filter(|s| !found.contains_key(s)).collect();
+    let mut missing: Vec<u64> = listed
+        .iter()
+        .flatten()
+        .map(|(segment, _)| *segment)
+        .filter(|segment| !found.contains_key(segment))
+        .collect();
     for segment in removed {
         missing.retain(|other| *other != segment);
-        // All that counted of it stands in later segments. Its file is back after a power cut, or never went.
+        // Its live records are all in later segments. The removal failed or was undone by a power failure.
         if scan.segments.remove(&segment).is_some() {
             scan.obsolete_files.push(file_name(segment));
         }
@@ -128,8 +133,8 @@
 }
 
 impl ScanResult {
-    /// Whether the last life ended while it won room back: a segment is half emptied, or emptied and there still, or
-    /// one was being begun.
+    /// Whether the last process stopped during compaction: a segment was partly copied, or copied and not yet removed,
+    /// or a segment was being started.
     pub fn interrupted_compaction(&self) -> bool {
         self.index.partly_compacted().is_some()
             || self.obsolete_files.iter().any(|name| parse_file_name(name).is_some())
@@ -150,9 +155,9 @@
                     headers.found.insert(number, (header, length));
                     continue;
                 }
-                Ok(header) => format!("it holds segment {}", header.segment),
+                Ok(header) => format!("contains segment {}", header.segment),
                 Err(HeaderError::Newer(version)) => return Err(OpenError::Newer { file: name, version }),
-                // No byte of it was promised to anybody.
+                // Nothing in this file was ever acknowledged.
                 Err(HeaderError::Truncated) => {
                     headers.incomplete.push(name);
                     continue;
@@ -169,26 +174,26 @@
         self.recovery.damage.push(Damage::ForeignFile { file, problem });
     }
 
-    /// The newest segment whose first record is whole, and what that lists: the lengths of those that count.
-    /// Leaves in `found` what is of account.
+    /// Finds the newest segment whose first record is complete, and the lengths of the earlier segments that this
+    /// record lists. Leaves only valid segments in `found`.
     fn find_newest<F: Files>(
         &mut self, files: &F, found: &mut BTreeMap<u64, (Header, u64)>,
     ) -> Result<Option<(u64, Option<SegmentLengths>)>, OpenError> {
-        let first = loop {
+        let first_record = loop {
             let Some(last) = found.last_entry() else { return Ok(None) };
             let name = file_name(*last.key());
-            let first = files.read(&name, HEADER_BYTES as u64, FRAME_BYTES + MAX_RECORD_BYTES)?;
-            if !format::is_truncated(&first) {
-                break first;
+            let first_record = files.read(&name, HEADER_BYTES as u64, FRAME_BYTES + MAX_RECORD_BYTES)?;
+            if !format::is_truncated(&first_record) {
+                break first_record;
             }
-            // It was being begun.
+            // The process stopped while it was starting this segment.
             last.remove();
             self.obsolete_files.push(name);
         };
         let Some((newest, (header, _))) = found.last_key_value() else { return Ok(None) };
         let (newest, identity) = (*newest, header.identity);
         self.identity = Some(identity);
-        let listed = match format::decode_record(newest, &first) {
+        let listed = match format::decode_record(newest, &first_record) {
             Some((Record::SegmentOpened { sealed, .. }, _)) => Some(sealed),
             _ => None,
         };
@@ -196,26 +201,26 @@
             sealed.into_iter().map(|SealedSegment { segment, length }| (segment, length)).collect()
         });
         found.retain(|segment, (header, length)| {
-            let own = header.identity == identity;
-            if !own {
-                self.report_foreign_file(file_name(*segment), *length, "it is of another journal".into());
+            let is_own = header.identity == identity;
+            if !is_own {
+                self.report_foreign_file(file_name(*segment), *length, "belongs to another journal".into());
             }
-            own
+            is_own
         });
         found.retain(|segment, _| {
-            // What is not listed is of no account: its removal failed, or it never was whole.
-            let counters =
+            // An unlisted segment is obsolete: its removal failed, or it was never complete.
+            let is_valid =
                 *segment == newest || listed.as_ref().is_none_or(|listed| listed.contains_key(segment));
-            if !counters {
+            if !is_valid {
                 self.obsolete_files.push(file_name(*segment));
             }
-            counters
+            is_valid
         });
         Ok(Some((newest, listed)))
     }
 
-    /// Reads one segment into the ledger. `listed`: how many of its bytes count, where a later one says so;
-    /// `last`: bytes at its end that are no record were being written.
+    /// Reads one segment into the index. `listed` is its valid length according to a later segment. In the `last` one,
+    /// invalid bytes at the end are an incomplete write and not damage.
     fn scan_segment(
         &mut self, segment: u64, header: &Header, bytes: &[u8], (listed, last): (Option<u64>, bool),
         removed: &mut Vec<u64>, on_record: &mut dyn FnMut(u64, u64, &Record),
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -244,8 +244,8 @@
         Ok(())
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
-        self.call("sync_folder")?;
+    fn sync_directory(&self) -> io::Result<()> {
+        self.call("sync_directory")?;
         let mut state = self.0.borrow_mut();
         state.files.values_mut().for_each(|entry| entry.named = true);
         state.removed.clear();
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -77,7 +77,7 @@
 /// Every call of one kind fails for a while.
 #[test]
 fn what_fails_for_a_while_works_again() {
-    for kind in ["create", "append", "truncate", "sync", "sync_folder", "remove"] {
+    for kind in ["create", "append", "truncate", "sync", "sync_directory", "remove"] {
         for (seed, durability) in [(1, Durability::None), (2, Durability::Always), (3, Durability::None)] {
             let what = format!("seed {seed}, {kind} fails, {durability:?}");
             let files = Memory::new(seed);
