--- a/crates/journal/src/index.rs
+++ b/crates/journal/src/index.rs
@@ -101,6 +101,7 @@
     }
 }
 
+/// An open message and the location of its live records.
 #[derive(Clone, Debug)]
 struct Entry {
     journaled: JournaledMessage,
@@ -152,6 +153,7 @@
     segments: BTreeMap<u64, SegmentContents>,
     /// Segments whose compaction was started and not completed.
     partly_compacted: BTreeSet<u64>,
+    /// Messages marked as possibly run because records are lost, until the change is written.
     assumed_run: BTreeSet<u64>,
     recent_outcomes: RecentOutcomes,
     next_number: u64,
@@ -499,6 +501,7 @@
         self.segments.entry(segment).or_default();
     }
 
+    /// Changes a message and adjusts the totals that depend on its size.
     fn update(&mut self, number: u64, change: impl FnOnce(&mut JournaledMessage)) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
         let before = entry.journaled.max_size();
@@ -513,6 +516,7 @@
         }
     }
 
+    /// Registers that the latest progress record of a message is stored in a segment.
     fn track_progress(&mut self, segment: u64, number: u64) {
         let Some(entry) = self.entries.get_mut(&number) else { return };
         if entry.base_segment != segment && entry.progress_segment != Some(segment) {
--- a/crates/journal/src/journal.rs
+++ b/crates/journal/src/journal.rs
@@ -130,6 +130,7 @@
     pub failed_calls: u64,
 }
 
+/// The segment that records are appended to.
 struct ActiveSegment<H> {
     segment: u64,
     handle: H,
@@ -145,6 +146,7 @@
     unsynced: bool,
 }
 
+/// Valid length and file length of a sealed segment.
 #[derive(Clone, Copy)]
 struct SealedFile {
     length: u64,
@@ -194,6 +196,7 @@
     format!("{segment:016x}.journal")
 }
 
+/// The number of the segment with this file name, if it is one.
 pub(crate) fn parse_file_name(name: &str) -> Option<u64> {
     let digits = name.strip_suffix(".journal").filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok().filter(|number| file_name(*number) == name)
@@ -518,6 +521,8 @@
         }
     }
 
+    /// Appends the record of an event that was already applied to the index, or the full progress of its message if the
+    /// segment has no earlier record of it.
     fn append_event(&mut self, record: &Record) -> io::Result<()> {
         let segment = self.segment_for(index::estimated_record_size(record))?;
         let (Record::AttemptStarted { number, .. }
@@ -534,6 +539,7 @@
         }
     }
 
+    /// Appends records and registers their location in the index.
     fn append_tracked(&mut self, records: &[Record]) -> io::Result<()> {
         let segment = self.append(records)?;
         records.iter().for_each(|record| self.index.track_location(segment, record));
@@ -687,6 +693,7 @@
         self.count_failure(synced)
     }
 
+    /// Counts a failed file-system call and passes its result on.
     fn count_failure<T>(&mut self, result: io::Result<T>) -> io::Result<T> {
         self.counters.failed_calls += u64::from(result.is_err());
         result
--- a/crates/journal/src/legacy.rs
+++ b/crates/journal/src/legacy.rs
@@ -12,6 +12,7 @@
 /// Bytes of length and checksum in front of each record.
 const FRAME_BYTES: usize = 8;
 
+/// A record of the legacy format, see [`crate::format::Record`]. `History` holds the earlier attempts of a message.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum Record<'a> {
     Accepted {
--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -51,7 +51,9 @@
 
 /// The headers of all segment files, and what else the directory holds.
 struct Headers {
+    /// Valid headers and file lengths by segment number.
     found: BTreeMap<u64, (Header, u64)>,
+    /// Segment files with an incomplete header.
     incomplete: Vec<String>,
     has_legacy_file: bool,
 }
@@ -140,13 +142,14 @@
             || self.obsolete_files.iter().any(|name| parse_file_name(name).is_some())
     }
 
+    /// Reads the headers of all segment files.
     fn read_headers<F: Files>(&mut self, files: &F) -> Result<Headers, OpenError> {
         let mut headers = Headers { found: BTreeMap::new(), incomplete: Vec::new(), has_legacy_file: false };
         for (name, length) in files.list()? {
             headers.has_legacy_file |= name == legacy::FILE_NAME;
             let Some(number) = parse_file_name(&name) else {
-                let known = name == legacy::FILE_NAME || name == legacy::TEMP_FILE_NAME;
-                self.foreign_bytes += round_up_to_block(length) * u64::from(!known);
+                let is_legacy_file = name == legacy::FILE_NAME || name == legacy::TEMP_FILE_NAME;
+                self.foreign_bytes += round_up_to_block(length) * u64::from(!is_legacy_file);
                 continue;
             };
             self.next_segment = self.next_segment.max(number.saturating_add(1));
@@ -169,6 +172,7 @@
         Ok(headers)
     }
 
+    /// Reports a file with the name of a segment that is not part of this journal.
     fn report_foreign_file(&mut self, file: String, length: u64, problem: String) {
         self.foreign_bytes += round_up_to_block(length);
         self.recovery.damage.push(Damage::ForeignFile { file, problem });
--- a/crates/journal/tests/common/mod.rs
+++ b/crates/journal/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A file system in memory that fails where it is told to, and forgets what a crash would lose.
+//! An in-memory file system that injects faults and discards what a crash would lose.
 #![allow(dead_code)]
 
 pub mod model;
@@ -10,217 +10,215 @@
 use std::rc::Rc;
 
 #[derive(Clone, Debug, Default)]
-struct Entry {
+struct MemoryFile {
     bytes: Vec<u8>,
-    /// Bytes that were synced.
-    synced: usize,
-    /// Its name was synced.
-    named: bool,
+    /// Length of the synced data.
+    synced_length: usize,
+    /// Whether the directory entry was synced.
+    name_synced: bool,
 }
 
-/// What goes wrong at a call.
+/// What goes wrong during a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails, and nothing was done.
-    Fails(i32),
-    /// An append writes some bytes only.
-    Short,
-    /// An append writes some bytes and fails at the next call.
-    ShortThenFails(i32),
-    /// The machine or process stops in it; an append may have written any part.
-    Stop,
+    /// The call fails with this error code and has no effect.
+    Error(i32),
+    /// An append writes only a part of its data.
+    ShortWrite,
+    /// An append writes only a part of its data, and the next call fails.
+    ShortWriteThenError(i32),
+    /// The process or machine crashes during the call; an append may have written any part of its data.
+    Crash,
 }
 
 #[derive(Default)]
 struct State {
-    files: BTreeMap<String, Entry>,
-    removed: Vec<(String, Entry)>,
+    files: BTreeMap<String, MemoryFile>,
+    unsynced_removals: Vec<(String, MemoryFile)>,
     calls: u64,
     /// Faults by the number of the call.
     faults: BTreeMap<u64, Fault>,
-    /// Fails each call of this kind.
-    failing: Option<(&'static str, i32)>,
-    stopped: bool,
-    /// Bytes of all files at most.
-    space: Option<u64>,
+    /// Kind of the calls that all fail, and their error code.
+    failing_call: Option<(&'static str, i32)>,
+    crashed: bool,
+    /// Limit for the bytes of all files.
+    capacity: Option<u64>,
     rng: Option<fastrand::Rng>,
     log: Vec<&'static str>,
 }
 
-/// The folder; clones are the same one.
+/// The directory. Clones share their state.
 #[derive(Clone, Default)]
-pub struct Memory(Rc<RefCell<State>>);
+pub struct MemoryFiles(Rc<RefCell<State>>);
 
 pub const EIO: i32 = 5;
 pub const ENOSPC: i32 = 28;
 
-fn error(code: i32) -> io::Error {
+fn os_error(code: i32) -> io::Error {
     io::Error::from_raw_os_error(code)
 }
 
-impl Memory {
-    pub fn new(seed: u64) -> Memory {
-        let memory = Memory::default();
-        memory.0.borrow_mut().rng = Some(fastrand::Rng::with_seed(seed));
-        memory
+impl MemoryFiles {
+    pub fn new(seed: u64) -> MemoryFiles {
+        let files = MemoryFiles::default();
+        files.0.borrow_mut().rng = Some(fastrand::Rng::with_seed(seed));
+        files
     }
 
     pub fn calls(&self) -> u64 {
         self.0.borrow().calls
     }
 
-    pub fn fault(&self, call: u64, fault: Fault) {
+    pub fn inject_fault(&self, call: u64, fault: Fault) {
         self.0.borrow_mut().faults.insert(call, fault);
     }
 
-    /// Every call of a kind fails from now on, or none.
-    pub fn failing(&self, failing: Option<(&'static str, i32)>) {
-        self.0.borrow_mut().failing = failing;
+    /// From now on, fails every call of the given kind with the given error code; `None` ends that.
+    pub fn fail_every(&self, failing_call: Option<(&'static str, i32)>) {
+        self.0.borrow_mut().failing_call = failing_call;
     }
 
-    pub fn space(&self, space: Option<u64>) {
-        self.0.borrow_mut().space = space;
+    pub fn limit_space(&self, capacity: Option<u64>) {
+        self.0.borrow_mut().capacity = capacity;
     }
 
-    pub fn stopped(&self) -> bool {
-        self.0.borrow().stopped
+    pub fn crashed(&self) -> bool {
+        self.0.borrow().crashed
     }
 
-    /// What the next life finds after the process stopped: all that was written.
-    pub fn revived(&self) -> Memory {
+    /// The directory after a process crash: everything that was written.
+    pub fn after_process_crash(&self) -> MemoryFiles {
         let state = self.0.borrow();
-        let next = Memory::new(state.calls ^ 0x5eed);
+        let next = MemoryFiles::new(state.calls ^ 0x5eed);
         next.0.borrow_mut().files = state.files.clone();
         next
     }
 
-    /// What the next life finds after the power went: what was synced, and by chance some of the rest.
-    pub fn after_power_cut(&self, seed: u64) -> Memory {
+    /// The directory after a power failure: everything that was synced, and a random part of the rest.
+    pub fn after_power_failure(&self, seed: u64) -> MemoryFiles {
         let mut rng = fastrand::Rng::with_seed(seed);
         let state = self.0.borrow();
-        let next = Memory::new(seed);
+        let next = MemoryFiles::new(seed);
         let mut files = BTreeMap::new();
-        for (name, entry) in &state.files {
-            if !entry.named && rng.bool() {
+        for (name, file) in &state.files {
+            if !file.name_synced && rng.bool() {
                 continue;
             }
-            let kept = rng.usize(entry.synced..=entry.bytes.len());
+            let surviving_length = rng.usize(file.synced_length..=file.bytes.len());
             files.insert(
                 name.clone(),
-                Entry { bytes: entry.bytes[..kept].to_vec(), synced: kept, named: true },
+                MemoryFile {
+                    bytes: file.bytes[..surviving_length].to_vec(),
+                    synced_length: surviving_length,
+                    name_synced: true,
+                },
             );
         }
-        // A removal that was not synced may not have happened.
-        for (name, entry) in &state.removed {
+        // A removal that was not synced may be undone.
+        for (name, file) in &state.unsynced_removals {
             if rng.bool() && !files.contains_key(name) {
-                files.insert(name.clone(), entry.clone());
+                files.insert(name.clone(), file.clone());
             }
         }
         next.0.borrow_mut().files = files;
         next
     }
 
-    pub fn names(&self) -> Vec<String> {
+    pub fn file_names(&self) -> Vec<String> {
         self.0.borrow().files.keys().cloned().collect()
     }
 
-    pub fn bytes(&self, name: &str) -> Vec<u8> {
+    pub fn file_bytes(&self, name: &str) -> Vec<u8> {
         self.0.borrow().files[name].bytes.clone()
     }
 
-    pub fn put(&self, name: &str, bytes: Vec<u8>) {
-        let synced = bytes.len();
-        self.0.borrow_mut().files.insert(name.into(), Entry { bytes, synced, named: true });
+    pub fn put_file(&self, name: &str, bytes: Vec<u8>) {
+        let synced_length = bytes.len();
+        self.0.borrow_mut().files.insert(name.into(), MemoryFile { bytes, synced_length, name_synced: true });
     }
 
-    pub fn drop_file(&self, name: &str) {
+    pub fn delete_file(&self, name: &str) {
         self.0.borrow_mut().files.remove(name);
     }
 
     pub fn bytes_on_disk(&self) -> u64 {
-        self.0.borrow().files.values().map(|entry| (entry.bytes.len() as u64).div_ceil(512) * 512).sum()
+        self.0.borrow().files.values().map(|file| (file.bytes.len() as u64).div_ceil(512) * 512).sum()
     }
 
-    /// Counts a call; tells what goes wrong.
-    fn call(&self, kind: &'static str) -> io::Result<Option<Fault>> {
+    /// Counts a call and returns the fault to apply to it.
+    fn begin_call(&self, kind: &'static str) -> io::Result<Option<Fault>> {
         let mut state = self.0.borrow_mut();
-        if state.stopped {
-            return Err(error(EIO));
+        if state.crashed {
+            return Err(os_error(EIO));
         }
         state.calls += 1;
         state.log.push(kind);
-        if let Some((_, code)) = state.failing.filter(|(failing, _)| *failing == kind) {
-            return Err(error(code));
+        if let Some((_, code)) = state.failing_call.filter(|(failing_kind, _)| *failing_kind == kind) {
+            return Err(os_error(code));
         }
-        let calls = state.calls;
-        let fault = state.faults.get(&calls).copied();
+        let call = state.calls;
+        let fault = state.faults.get(&call).copied();
         match fault {
-            Some(Fault::Fails(code)) => Err(error(code)),
-            Some(Fault::Stop) => {
-                state.stopped = true;
-                if kind == "append" { Ok(fault) } else { Err(error(EIO)) }
+            Some(Fault::Error(code)) => Err(os_error(code)),
+            Some(Fault::Crash) => {
+                state.crashed = true;
+                if kind == "append" { Ok(fault) } else { Err(os_error(EIO)) }
             }
-            // Only an append can be short.
-            Some(_) if kind != "append" => Err(error(EIO)),
+            // Only an append can be short; any other call fails instead.
+            Some(_) if kind != "append" => Err(os_error(EIO)),
             fault => Ok(fault),
         }
     }
 }
 
-impl Files for Memory {
+impl Files for MemoryFiles {
     type Handle = String;
 
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
-        self.call("list")?;
-        Ok(self
-            .0
-            .borrow()
-            .files
-            .iter()
-            .map(|(name, entry)| (name.clone(), entry.bytes.len() as u64))
-            .collect())
+        self.begin_call("list")?;
+        Ok(self.0.borrow().files.iter().map(|(name, file)| (name.clone(), file.bytes.len() as u64)).collect())
     }
 
-    fn read(&self, name: &str, from: u64, most: usize) -> io::Result<Vec<u8>> {
-        self.call("read")?;
+    fn read(&self, name: &str, from: u64, max_bytes: usize) -> io::Result<Vec<u8>> {
+        self.begin_call("read")?;
         let state = self.0.borrow();
-        let bytes = state.files.get(name).map(|entry| &entry.bytes).ok_or(error(2))?;
+        let bytes = state.files.get(name).map(|file| &file.bytes).ok_or(os_error(2))?;
         let from = bytes.len().min(from as usize);
-        Ok(bytes[from..from.saturating_add(most).min(bytes.len())].to_vec())
+        Ok(bytes[from..from.saturating_add(max_bytes).min(bytes.len())].to_vec())
     }
 
     fn create(&self, name: &str) -> io::Result<String> {
-        self.call("create")?;
+        self.begin_call("create")?;
         let mut state = self.0.borrow_mut();
-        assert!(!state.files.contains_key(name), "{name} is there already");
-        state.files.insert(name.into(), Entry::default());
+        assert!(!state.files.contains_key(name), "{name} already exists");
+        state.files.insert(name.into(), MemoryFile::default());
         Ok(name.into())
     }
 
     fn append(&self, handle: &mut String, bytes: &[u8]) -> io::Result<usize> {
-        let fault = self.call("append")?;
+        let fault = self.begin_call("append")?;
         let mut guard = self.0.borrow_mut();
         let state = &mut *guard;
-        let used: u64 = state.files.values().map(|entry| entry.bytes.len() as u64).sum();
-        let room = state.space.map_or(u64::MAX, |space| space.saturating_sub(used));
-        if room == 0 {
-            return Err(error(ENOSPC));
+        let used: u64 = state.files.values().map(|file| file.bytes.len() as u64).sum();
+        let available = state.capacity.map_or(u64::MAX, |capacity| capacity.saturating_sub(used));
+        if available == 0 {
+            return Err(os_error(ENOSPC));
         }
-        let rng = state.rng.as_mut().expect("a seed");
-        let part =
-            rng.usize(0..=bytes.len()).clamp(usize::from(fault != Some(Fault::Stop)), bytes.len().max(1));
+        let rng = state.rng.as_mut().expect("a random generator");
+        let part_length =
+            rng.usize(0..=bytes.len()).clamp(usize::from(fault != Some(Fault::Crash)), bytes.len().max(1));
         let written = match fault {
             None => bytes.len(),
-            Some(_) => part,
+            Some(_) => part_length,
         };
-        let written = written.min(usize::try_from(room).unwrap_or(usize::MAX)).min(bytes.len());
-        let entry = state.files.get_mut(handle).expect("an open file");
-        entry.bytes.extend_from_slice(&bytes[..written]);
+        let written = written.min(usize::try_from(available).unwrap_or(usize::MAX)).min(bytes.len());
+        let file = state.files.get_mut(handle).expect("an open file");
+        file.bytes.extend_from_slice(&bytes[..written]);
         match fault {
-            Some(Fault::Stop) => Err(error(EIO)),
-            Some(Fault::ShortThenFails(code)) => {
+            Some(Fault::Crash) => Err(os_error(EIO)),
+            Some(Fault::ShortWriteThenError(code)) => {
                 let next = state.calls + 1;
-                state.faults.insert(next, Fault::Fails(code));
+                state.faults.insert(next, Fault::Error(code));
                 Ok(written)
             }
             _ => Ok(written),
@@ -228,35 +226,35 @@
     }
 
     fn truncate(&self, handle: &mut String, length: u64) -> io::Result<()> {
-        self.call("truncate")?;
+        self.begin_call("truncate")?;
         let mut state = self.0.borrow_mut();
-        let entry = state.files.get_mut(handle).expect("an open file");
-        entry.bytes.truncate(length as usize);
-        entry.synced = entry.synced.min(length as usize);
+        let file = state.files.get_mut(handle).expect("an open file");
+        file.bytes.truncate(length as usize);
+        file.synced_length = file.synced_length.min(length as usize);
         Ok(())
     }
 
     fn sync(&self, handle: &String) -> io::Result<()> {
-        self.call("sync")?;
+        self.begin_call("sync")?;
         let mut state = self.0.borrow_mut();
-        let entry = state.files.get_mut(handle).expect("an open file");
-        entry.synced = entry.bytes.len();
+        let file = state.files.get_mut(handle).expect("an open file");
+        file.synced_length = file.bytes.len();
         Ok(())
     }
 
     fn sync_directory(&self) -> io::Result<()> {
-        self.call("sync_directory")?;
+        self.begin_call("sync_directory")?;
         let mut state = self.0.borrow_mut();
-        state.files.values_mut().for_each(|entry| entry.named = true);
-        state.removed.clear();
+        state.files.values_mut().for_each(|file| file.name_synced = true);
+        state.unsynced_removals.clear();
         Ok(())
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.call("remove")?;
+        self.begin_call("remove")?;
         let mut state = self.0.borrow_mut();
-        if let Some(entry) = state.files.remove(name) {
-            state.removed.push((name.into(), entry));
+        if let Some(file) = state.files.remove(name) {
+            state.unsynced_removals.push((name.into(), file));
         }
         Ok(())
     }
--- a/crates/journal/tests/old_format.rs
+++ b/crates/journal/tests/old_format.rs
@@ -1,4 +1,4 @@
-//! Journals of the format before are carried over, whatever stops that on the way.
+//! Journals of the legacy format and of version 1 are migrated, even if the migration crashes on the way.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use fawnspoke_journal::{AcceptedMessage, AttemptStart, Durability, Journal, Notice, OpenError, QuotaStatus};
 use serde::Serialize;
 
-/// The records of the format before.
+/// The records of the legacy format.
 #[derive(Serialize)]
 enum LegacyRecord<'a> {
     Accepted {
@@ -48,21 +48,21 @@
     },
 }
 
-fn frame(bytes: &mut Vec<u8>, record: &LegacyRecord) {
+fn append_legacy_record(bytes: &mut Vec<u8>, record: &LegacyRecord) {
     let payload = postcard::to_stdvec(record).unwrap();
     bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
     bytes.extend_from_slice(&payload);
 }
 
-/// Five messages in all states, a destination that is out, and half a record.
-fn file() -> Vec<u8> {
+/// A legacy journal with five messages in different states, an outage, and an incomplete record at the end.
+fn legacy_journal() -> Vec<u8> {
     let mut bytes = Vec::new();
     for number in 1..=5 {
         let (id, body) = (format!("m{number}"), vec![number as u8; 300]);
         let key = (number % 2 == 0).then_some("key");
         let (id, body) = (id.as_str(), &body[..]);
-        frame(
+        append_legacy_record(
             &mut bytes,
             &LegacyRecord::Accepted {
                 number,
@@ -77,24 +77,29 @@
         );
     }
     let start = AttemptStart { at: 20, zone: 1 };
-    frame(&mut bytes, &LegacyRecord::History { number: 1, attempts: 2, may_have_run: Some(start) });
-    frame(&mut bytes, &LegacyRecord::AttemptStarted { number: 2, start });
-    frame(&mut bytes, &LegacyRecord::AttemptStarted { number: 3, start });
-    frame(&mut bytes, &LegacyRecord::AttemptEnded { number: 3, may_have_run: false });
-    frame(&mut bytes, &LegacyRecord::NoticeDue { number: 4, notice: Notice::GivenUp });
-    frame(&mut bytes, &LegacyRecord::Closed { number: 5 });
-    frame(&mut bytes, &LegacyRecord::Outage { destination: 3, ongoing: true });
-    frame(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: true });
-    frame(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: false });
+    append_legacy_record(
+        &mut bytes,
+        &LegacyRecord::History { number: 1, attempts: 2, may_have_run: Some(start) },
+    );
+    append_legacy_record(&mut bytes, &LegacyRecord::AttemptStarted { number: 2, start });
+    append_legacy_record(&mut bytes, &LegacyRecord::AttemptStarted { number: 3, start });
+    append_legacy_record(&mut bytes, &LegacyRecord::AttemptEnded { number: 3, may_have_run: false });
+    append_legacy_record(&mut bytes, &LegacyRecord::NoticeDue { number: 4, notice: Notice::GivenUp });
+    append_legacy_record(&mut bytes, &LegacyRecord::Closed { number: 5 });
+    append_legacy_record(&mut bytes, &LegacyRecord::Outage { destination: 3, ongoing: true });
+    append_legacy_record(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: true });
+    append_legacy_record(&mut bytes, &LegacyRecord::Outage { destination: 4, ongoing: false });
     bytes.extend_from_slice(&[200, 0, 0, 0, 1, 2]);
     bytes
 }
 
-fn check(journal: &Journal<Memory>) {
+fn assert_migrated(journal: &Journal<MemoryFiles>) {
     let start = Some(AttemptStart { at: 20, zone: 1 });
-    let about: Vec<_> = journal
+    let states: Vec<_> = journal
         .iter()
-        .map(|(number, k)| (number, k.attempts, k.may_have_run, k.in_flight, k.notice))
+        .map(|(number, journaled)| {
+            (number, journaled.attempts, journaled.may_have_run, journaled.in_flight, journaled.notice)
+        })
         .collect();
     let expected = [
         (1, 2, start, None, None),
@@ -102,74 +107,75 @@
         (3, 1, None, None, None),
         (4, 0, None, None, Some(Notice::GivenUp)),
     ];
-    assert_eq!(about, expected);
+    assert_eq!(states, expected);
     assert_eq!(journal.outages().collect::<Vec<_>>(), [3]);
     let second = &journal.get(2).unwrap().message;
     assert_eq!((second.id.as_str(), second.key.as_deref(), second.body.len()), ("m2", Some("key"), 300));
 }
 
 #[test]
-fn an_old_journal_is_carried_over_once() {
-    let files = Memory::new(1);
-    files.put("journal", file());
-    files.put("journal.next", b"half of one that was written anew".to_vec());
+fn a_legacy_journal_is_migrated_once() {
+    let files = MemoryFiles::new(1);
+    files.put_file("journal", legacy_journal());
+    files.put_file("journal.next", b"an incomplete replacement".to_vec());
     let (mut journal, recovery) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     assert_eq!((recovery.migrated_messages, recovery.torn_bytes, recovery.damage.len()), (Some(4), 6, 0));
-    check(&journal);
-    assert!(files.names().iter().all(|name| name.ends_with(".journal")), "{:?}", files.names());
-    // Numbers go on behind the old ones.
+    assert_migrated(&journal);
+    assert!(files.file_names().iter().all(|name| name.ends_with(".journal")), "{:?}", files.file_names());
+    // New messages are numbered after the migrated ones.
     let mut message = journal.get(2).unwrap().message.clone();
     message.id = "new".into();
     assert_eq!(journal.accept(&message).unwrap(), Some(5));
-    let (again, recovery) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
+    let (again, recovery) = Journal::recover(files.after_process_crash(), options(Durability::None)).unwrap();
     assert_eq!(recovery.migrated_messages, None);
     assert_eq!(again.iter().count(), 5);
 }
 
 #[test]
-fn a_carrying_over_that_is_stopped_anywhere_is_done_again() {
-    let files = Memory::new(2);
-    files.put("journal", file());
+fn a_migration_that_crashes_anywhere_is_repeated() {
+    let files = MemoryFiles::new(2);
+    files.put_file("journal", legacy_journal());
     let (_, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     let calls = files.calls();
-    assert!(calls > 8, "{calls} calls");
+    assert!(calls > 8, "only {calls} calls");
     for call in 1..=calls {
-        let files = Memory::new(call);
-        files.put("journal", file());
-        files.fault(call, Fault::Stop);
-        assert!(
-            Journal::recover(files.clone(), options(Durability::None)).is_err(),
-            "stopped at call {call}"
-        );
-        let next = files.revived();
+        let files = MemoryFiles::new(call);
+        files.put_file("journal", legacy_journal());
+        files.inject_fault(call, Fault::Crash);
+        assert!(Journal::recover(files.clone(), options(Durability::None)).is_err(), "crash at call {call}");
+        let next = files.after_process_crash();
         let (journal, recovery) = Journal::recover(next, options(Durability::None)).unwrap();
-        assert!(recovery.damage.is_empty(), "stopped at call {call}: {:?}", recovery.damage);
-        check(&journal);
+        assert!(recovery.damage.is_empty(), "crash at call {call}: {:?}", recovery.damage);
+        assert_migrated(&journal);
     }
 }
 
-/// An older program ran in the folder since: neither journal is taken for a copy of the other.
+/// An older program has run in the directory since the migration, so neither journal is a copy of the other.
 #[test]
-fn an_old_journal_beside_a_new_one_is_refused_and_untouched() {
-    let files = Memory::new(3);
+fn a_legacy_journal_beside_a_current_one_is_rejected_and_left_unchanged() {
+    let files = MemoryFiles::new(3);
     let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     let mut rng = fastrand::Rng::with_seed(3);
-    while !matches!(act(&mut journal, &draw(&mut rng, &Model::default(), 0)), (Some(_), true)) {}
+    while !matches!(execute(&mut journal, &random_operation(&mut rng, &Model::default(), 0)), (Some(_), true))
+    {
+    }
     drop(journal);
-    files.put("journal", file());
-    let all = |files: &Memory| files.names().iter().map(|name| files.bytes(name)).collect::<Vec<_>>();
-    let before = all(&files);
+    files.put_file("journal", legacy_journal());
+    let all_bytes = |files: &MemoryFiles| {
+        files.file_names().iter().map(|name| files.file_bytes(name)).collect::<Vec<_>>()
+    };
+    let before = all_bytes(&files);
     assert!(matches!(Journal::recover(files.clone(), options(Durability::None)), Err(OpenError::TwoFormats)));
-    assert!(all(&files) == before);
+    assert!(all_bytes(&files) == before);
 }
 
-/// A segment as version 1 wrote it: its first record has no shares, its messages no customers.
-fn version_1() -> Vec<u8> {
+/// A segment of version 1: its first record has no quota levels, and its messages have no tenants.
+fn version_1_segment() -> Vec<u8> {
     let mut bytes = Header { identity: 7, segment: 1, created_at: 5 }.to_bytes().to_vec();
     bytes[8..10].copy_from_slice(&1u16.to_le_bytes());
     let sum = crc32fast::hash(&bytes[..44]);
     bytes[44..].copy_from_slice(&sum.to_le_bytes());
-    let taken = |number, id| Record::AcceptedV1 {
+    let accepted_record = |number, id| Record::AcceptedV1 {
         number,
         id,
         class: "c",
@@ -182,8 +188,8 @@
     };
     let records = [
         Record::SegmentOpenedV1 { sealed: vec![], outages: vec![4], next_number: 1 },
-        taken(1, "m1"),
-        taken(2, "m2"),
+        accepted_record(1, "m1"),
+        accepted_record(2, "m2"),
         Record::Closed { number: 1, base_segment: 1 },
         Record::AttemptStarted { number: 2, start: AttemptStart { at: 20, zone: 1 } },
     ];
@@ -192,21 +198,22 @@
 }
 
 #[test]
-fn a_journal_of_version_1_goes_on_in_this_one() {
-    let files = Memory::new(4);
-    files.put("0000000000000001.journal", version_1());
+fn a_version_1_journal_is_continued_in_the_current_version() {
+    let files = MemoryFiles::new(4);
+    files.put_file("0000000000000001.journal", version_1_segment());
     let (mut journal, recovery) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     assert_eq!((recovery.damage.len(), recovery.torn_bytes), (0, 0));
-    let kept: Vec<_> = journal.iter().map(|(number, k)| (number, k.message.tenant.clone())).collect();
-    assert_eq!(kept, [(2, None)]);
+    let tenants: Vec<_> =
+        journal.iter().map(|(number, journaled)| (number, journaled.message.tenant.clone())).collect();
+    assert_eq!(tenants, [(2, None)]);
     assert_eq!(journal.get(2).unwrap().may_have_run, Some(AttemptStart { at: 20, zone: 1 }));
     assert_eq!(journal.outages().collect::<Vec<_>>(), [4]);
     let mut message = journal.get(2).unwrap().message.clone();
     (message.id, message.accepted_at) = ("m3".into(), 30);
     message.tenant = Some(("kilima".into(), QuotaStatus { exceeded: true, remaining_thousandths: 250 }));
     assert_eq!(journal.accept(&message).unwrap(), Some(3));
-    // Segments of both versions stand side by side, and the next life reads them.
-    let (next, recovery) = Journal::recover(files.revived(), options(Durability::None)).unwrap();
+    // Segments of both versions coexist, and the next process reads them.
+    let (next, recovery) = Journal::recover(files.after_process_crash(), options(Durability::None)).unwrap();
     assert!(recovery.damage.is_empty(), "{:?}", recovery.damage);
     assert_eq!(next.iter().count(), 2);
     assert_eq!(next.get(3).unwrap().message, message);
@@ -215,10 +222,10 @@
     assert_eq!(quota_levels, [("kilima".to_string(), 250, 30)]);
 }
 
-/// What a customer had left outlasts the message that told it, and one that is copied later tells nothing new.
+/// A tenant's quota level outlives the message that reported it. A later copy of an older message does not change it.
 #[test]
-fn what_is_left_of_a_share_outlasts_its_messages() {
-    let files = Memory::new(5);
+fn quota_levels_outlive_their_messages() {
+    let files = MemoryFiles::new(5);
     let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     let mut message = AcceptedMessage {
         id: "a".into(),
@@ -235,29 +242,29 @@
     message.tenant = Some(("kilima".into(), QuotaStatus { exceeded: true, remaining_thousandths: 400 }));
     let last = journal.accept(&message).unwrap().unwrap();
     journal.close(last).unwrap();
-    for life in 0..3 {
-        // Segments fill and are emptied: the records of both are copied or go.
+    for run in 0..3 {
+        // Fill and compact segments, so that the records of both messages are copied or removed.
         message.tenant = None;
         for i in 0..60 {
-            message.id = format!("{life}-{i}");
+            message.id = format!("{run}-{i}");
             let number = journal.accept(&message).unwrap().unwrap();
             journal.close(number).unwrap();
             journal.compact_step().unwrap();
         }
         let quota_levels: Vec<_> =
             journal.quota_levels().map(|level| (level.remaining_thousandths, level.at)).collect();
-        assert_eq!(quota_levels, [(400, 20)], "life {life}");
-        journal = Journal::recover(files.revived(), options(Durability::None)).unwrap().0;
+        assert_eq!(quota_levels, [(400, 20)], "run {run}");
+        journal = Journal::recover(files.after_process_crash(), options(Durability::None)).unwrap().0;
     }
     assert!(
         journal.counters().segments_removed > 0
-            || !files.names().contains(&"0000000000000001.journal".to_string())
+            || !files.file_names().contains(&"0000000000000001.journal".to_string())
     );
 }
 
 #[test]
-fn names_of_customers_without_end_are_bounded() {
-    let files = Memory::new(6);
+fn the_number_of_quota_levels_is_bounded() {
+    let files = MemoryFiles::new(6);
     let mut limits = options(Durability::None);
     limits.limits = fawnspoke_journal::compaction::Limits::for_budget(10_000_000);
     let (mut journal, _) = Journal::recover(files, limits).unwrap();
@@ -269,10 +276,7 @@
             accepted_at: i,
             deadline: 99_999,
             key: None,
-            tenant: Some((
-                format!("customer {i}"),
-                QuotaStatus { exceeded: false, remaining_thousandths: 1 },
-            )),
+            tenant: Some((format!("tenant {i}"), QuotaStatus { exceeded: false, remaining_thousandths: 1 })),
             body: Bytes::new(),
         };
         let number = journal.accept(&message).unwrap().unwrap();
@@ -280,5 +284,5 @@
     }
     let quota_levels: Vec<_> = journal.quota_levels().collect();
     assert_eq!(quota_levels.len(), 1024);
-    assert!(quota_levels.iter().all(|level| level.at >= 3000 - 1024), "the latest stay");
+    assert!(quota_levels.iter().all(|level| level.at >= 3000 - 1024), "the latest levels are kept");
 }
