--- a/crates/journal/src/scan.rs
+++ b/crates/journal/src/scan.rs
@@ -88,7 +88,7 @@
     scan.obsolete_files = incomplete;
     if has_legacy_file {
         // A migration removes this file last, so segments with the identity derived from it are incomplete copies.
-        // Any other identity is that of a journal which an older program overlooked.
+        // Any other identity is that of a journal which an older program, knowing only this file, did not read.
         let bytes = files.read(legacy::FILE_NAME, 0, usize::MAX)?;
         let identity = legacy::derive_identity(&bytes);
         if found.values().any(|(header, _)| header.identity != identity) {
--- a/crates/journal/tests/faults.rs
+++ b/crates/journal/tests/faults.rs
@@ -219,10 +219,10 @@
 #[test]
 fn an_interrupted_compaction_is_completed_first() {
     // One of these messages is in the first segment and was not copied before the crash.
-    (10..=20).for_each(interrupted_compaction_with);
+    (10..=20).for_each(check_interrupted_compaction);
 }
 
-fn interrupted_compaction_with(uncopied: u64) {
+fn check_interrupted_compaction(uncopied: u64) {
     let files = MemoryFiles::new(1);
     let (mut journal, _) = Journal::recover(files.clone(), options(Durability::None)).unwrap();
     let mut model = Model::default();
