--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/choice/attempts.rs
@@ -25,78 +25,89 @@
 
 impl Dispatcher {
     pub(super) fn attempt_ended(&mut self, now: Seconds, end: AttemptEnd) {
-        let Some(parcel) = self.parcels.get_mut(&end.id) else { return };
-        let Some(flight) = parcel.out.filter(|_| parcel.attempts == end.attempt + 1) else { return };
-        parcel.out = None;
+        let Some(parcel) = self.messages.get_mut(&end.id) else { return };
+        let Some(flight) = parcel.in_flight.filter(|_| parcel.attempts == end.attempt + 1) else { return };
+        parcel.in_flight = None;
         if end.outcome == Outcome::NotRecorded {
             parcel.attempts -= 1;
-            self.storage.failed(now);
+            self.journal.write_failed(now);
         }
         let (sent_at, messages) =
-            self.calls.get(&flight.call).map_or((now, 1), |call| (call.sent_at, call.messages));
+            self.calls.get(&flight.call).map_or((now, 1), |call| (call.sent_at, call.message_count));
         if end.outcome == Outcome::InvalidRequest {
             // One bad message turns away its whole call.
-            (parcel.alone, parcel.unusable) = (true, messages == 1);
+            (parcel.unbatched, parcel.undeliverable) = (true, messages == 1);
         } else if !end.outcome.never_ran() {
             let zone = self.endpoints.get(&flight.endpoint).map_or(0, |e| e.zone);
             parcel.may_have_run.get_or_insert((sent_at, zone));
         }
-        parcel.over |= end.settled || end.outcome == Outcome::Served;
+        parcel.done |= end.settled || end.outcome == Outcome::Served;
         if matches!(end.outcome, Outcome::TimedOut | Outcome::ConnectionReset | Outcome::Cancelled)
-            && let Some(line) = parcel.message.key.and_then(|key| self.lines.get_mut(&key))
+            && let Some(line) = parcel.message.key.and_then(|key| self.key_queues.get_mut(&key))
         {
-            line.rest_until = line.rest_until.max(now + self.settings.order_key_cooldown);
+            line.cooldown_until = line.cooldown_until.max(now + self.settings.order_key_cooldown);
         }
-        let (over, message) = (parcel.over, parcel.message);
+        let (over, message) = (parcel.done, parcel.message);
         if over {
-            self.settle(end.id, ENDED_KEPT)
+            self.remove_if_settled(end.id, ENDED_KEPT)
         } else {
-            self.hold(&message)
+            self.enqueue(&message)
         }
-        self.heed(now, flight.endpoint, end.retry_after.unwrap_or(0.0));
-        let Some(Call { idle, cut, .. }) = self.landed(flight) else { return };
-        if end.outcome == Outcome::Served && self.stalled_at != now {
-            self.usual_latency += SAMPLE * (end.latency - self.usual_latency) * 0.5;
+        self.apply_retry_after(now, flight.endpoint, end.retry_after.unwrap_or(0.0));
+        let Some(Call { connection_idle: idle, deadline_limited: cut, .. }) = self.leave_call(flight) else {
+            return;
+        };
+        if end.outcome == Outcome::Served && self.last_stall_at != now {
+            self.mean_latency += SAMPLE * (end.latency - self.mean_latency) * 0.5;
         }
         // An endpoint may close what is idle. Guards against taking closed connections for an outage.
         let closed_idle = end.connection_reused && end.outcome == Outcome::ConnectionReset;
         let unsent = matches!(end.outcome, Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotRecorded);
         if closed_idle || unsent {
-            self.each_lane(flight.endpoint, |lane, rule, _| lane.unbook(now, rule));
+            self.for_each_call_target(flight.endpoint, |lane, rule, _| lane.refund_call(now, rule));
         }
         if end.outcome == Outcome::NotSent && end.settled || end.outcome == Outcome::NotRecorded {
-            self.each_lane(flight.endpoint, |lane, _, _| lane.try_again(now));
+            self.for_each_call_target(flight.endpoint, |lane, _, _| lane.allow_trial_now(now));
         }
         // What its message's time cut off was not given the time that the place is due. Harm: others tell.
         let outcome = if cut && end.outcome == Outcome::TimedOut { Outcome::Cancelled } else { end.outcome };
-        if self.judge_connection(now, flight.endpoint, end.outcome, idle, end.connection_kept) && !closed_idle
+        if self.update_idle_connection(now, flight.endpoint, end.outcome, idle, end.connection_kept)
+            && !closed_idle
         {
-            self.observe(now, flight.endpoint, outcome, end.latency, end.rate_limit_report, false);
+            self.record_call_outcome(
+                now,
+                flight.endpoint,
+                outcome,
+                end.latency,
+                end.rate_limit_report,
+                false,
+            );
         }
-        self.forget(flight.endpoint);
+        self.remove_if_unlisted(flight.endpoint);
     }
 
     /// A call that later ones overtook is broken off for its slot. Harm: what was only slow goes twice.
-    pub(super) fn break_off(&mut self, now: Seconds, actions: &mut Vec<Action>) {
+    pub(super) fn cancel_overtaken(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         if !self.settings.cancel
             || self.calls.len() < self.settings.max_concurrent_calls
-            || self.waiting.is_empty()
+            || self.queued_destinations.is_empty()
         {
             return;
         }
-        for (id, attempt, call, Lane { service, outage, .. }) in self.sole_calls() {
-            let long = (OVERTAKEN_MEANS * service.latency(now)).max(OVERTAKEN_LEAST);
-            let passed = outage.overtook_at - call.sent_at;
+        for (id, attempt, call, TargetState { stats: service, outage, .. }) in self.single_message_calls() {
+            let long = (OVERTAKEN_MEANS * service.expected_latency(now)).max(OVERTAKEN_LEAST);
+            let passed = outage.last_success_sent_at - call.sent_at;
             let overtaken = now - call.sent_at >= long && passed >= long / 2.0;
-            if overtaken && !call.risky && !std::mem::replace(&mut call.broken_off, true) {
+            if overtaken && !call.carries_unsafe && !std::mem::replace(&mut call.cancelled, true) {
                 actions.push(Action::CancelAttempt { id, attempt });
             }
         }
     }
 
     /// How long an attempt at an endpoint may take.
-    fn timeout(&self, now: Seconds, class: usize, endpoint: EndpointId) -> Seconds {
-        let known = |e: &Endpoint| (e.lane.service.latency(now), e.lane.outage.fails);
+    fn call_timeout(&self, now: Seconds, class: usize, endpoint: EndpointId) -> Seconds {
+        let known =
+            |e: &Endpoint| (e.target.stats.expected_latency(now), e.target.outage.consecutive_failures);
         let (latency, fails) = self.endpoints.get(&endpoint).map_or((UNKNOWN_LATENCY, 0), known);
         let busy = match self.settings.classes[class].effect {
             // Its time-out would be its end, and an answer may come while it lives. Harm: a slot is kept.
@@ -111,106 +122,118 @@
     pub(super) fn send(
         &mut self, now: Seconds, id: MessageId, endpoint: EndpointId, call: u64, actions: &mut Vec<Action>,
     ) {
-        self.release_hold(id);
-        let Some(class) = self.parcels.get(&id).map(|parcel| parcel.message.class) else { return };
-        let timeout = self.timeout(now, class, endpoint);
-        let Some(parcel) = self.parcels.get_mut(&id) else { return };
+        self.dequeue(id);
+        let Some(class) = self.messages.get(&id).map(|parcel| parcel.message.class) else { return };
+        let timeout = self.call_timeout(now, class, endpoint);
+        let Some(parcel) = self.messages.get_mut(&id) else { return };
         let left = (parcel.message.deadline - ANSWER_MARGIN - now).max(0.001);
         let attempt = parcel.attempts;
-        (parcel.attempts, parcel.out) = (attempt + 1, Some(Flight { endpoint, call }));
+        (parcel.attempts, parcel.in_flight) = (attempt + 1, Some(CallRef { endpoint, call }));
         if let Some(call) = self.calls.get_mut(&call) {
-            (call.messages, call.pending, call.last) = (call.messages + 1, call.pending + 1, id);
-            call.cut |= left < timeout;
+            (call.message_count, call.pending_messages, call.last_message) =
+                (call.message_count + 1, call.pending_messages + 1, id);
+            call.deadline_limited |= left < timeout;
         }
-        let (timeout, alone) = (timeout.min(left), parcel.alone);
+        let (timeout, alone) = (timeout.min(left), parcel.unbatched);
         actions.push(Action::Send { id, endpoint, attempt, timeout, unbatched: alone });
     }
 
     pub(super) fn open_call(
         &mut self, now: Seconds, endpoint: EndpointId, risky: bool, actions: &mut Vec<Action>,
     ) -> u64 {
-        self.each_lane(endpoint, |lane, rule, rng| lane.book(now, rule, rng));
+        self.for_each_call_target(endpoint, |lane, rule, rng| lane.book_call(now, rule, rng));
         let (mut idle, mut at) = (0.0, SILENT_LEAST);
         if let Some(e) = self.endpoints.get_mut(&endpoint) {
-            idle = e.idle_since.take().filter(|_| e.lane.out == 0).map_or(0.0, |since| now - since);
-            (e.lane.out, e.used_at) = (e.lane.out + 1, now);
-            at = at.max(SILENT_MEANS * e.lane.service.latency(now));
+            idle = e
+                .idle_since
+                .take()
+                .filter(|_| e.target.calls_in_flight == 0)
+                .map_or(0.0, |since| now - since);
+            (e.target.calls_in_flight, e.last_call_at) = (e.target.calls_in_flight + 1, now);
+            at = at.max(SILENT_MEANS * e.target.stats.expected_latency(now));
             if let Some(destination) = self.destinations.get_mut(&e.destination) {
-                destination.lane.out += 1;
-                at = at.min(SILENT_LEAST.max(SILENT_MEANS * destination.lane.service.latency(now)));
+                destination.target.calls_in_flight += 1;
+                at = at.min(SILENT_LEAST.max(SILENT_MEANS * destination.target.stats.expected_latency(now)));
             }
         }
         if risky && idle > IDLE_UNSAFE {
             actions.push(Action::CloseIdle(endpoint));
             idle = 0.0;
         }
-        self.silent_at = self.silent_at.min(now + at);
-        self.counter += 1;
-        self.calls.insert(self.counter, Call::new(endpoint, now, idle, risky));
-        self.counter
+        self.next_silence_check_at = self.next_silence_check_at.min(now + at);
+        self.last_number += 1;
+        self.calls.insert(self.last_number, Call::new(endpoint, now, idle, risky));
+        self.last_number
     }
 
     /// The endpoint for a message, and whether it is a trial; or when to look again, and what to probe.
-    pub(super) fn place(
-        &self, now: Seconds, parcel: &Parcel,
+    pub(super) fn select_endpoint(
+        &self, now: Seconds, parcel: &MessageState,
     ) -> Result<(EndpointId, bool), (Seconds, Option<EndpointId>)> {
         let rule = &self.settings.slow_start;
         let destination = self.destinations.get(&parcel.message.destination);
         let Some(destination) = destination else { return Err((f64::INFINITY, None)) };
         let risky = self.settings.classes[parcel.message.class].effect == Effect::Unsafe;
-        let alone_at = if risky { self.tried_alone_at(parcel, destination) } else { 0.0 };
+        let alone_at = if risky { self.unsafe_trial_at(parcel, destination) } else { 0.0 };
         let mut whole_trial = false;
-        if !destination.apart {
-            match destination.lane.gate(now, rule) {
-                Gate::Closed(until) => return Err((until, None)),
-                Gate::Trial => whole_trial = true,
-                Gate::Open => {}
+        if !destination.independent_endpoints {
+            match destination.target.admission(now, rule) {
+                Admission::ClosedUntil(until) => return Err((until, None)),
+                Admission::TrialOnly => whole_trial = true,
+                Admission::Open => {}
             }
         }
         let mut best: Option<(bool, f64, EndpointId)> = None;
         let mut wake = f64::INFINITY;
         let mut probe = None;
         for id in &destination.endpoints {
-            let Some(endpoint) = self.endpoints.get(id).filter(|_| self.fits(parcel, *id)) else { continue };
+            let Some(endpoint) = self.endpoints.get(id).filter(|_| self.is_eligible(parcel, *id)) else {
+                continue;
+            };
             // A call that outlives this process may have run and nobody knows: it is left to the next life.
-            if now + self.timeout(now, parcel.message.class, *id) > self.closing_at {
+            if now + self.call_timeout(now, parcel.message.class, *id) > self.shutdown_at {
                 continue;
             }
             // Where the place as a whole is out or cold, its own budget binds; endpoints only pause.
-            let whole = !destination.apart && destination.lane.outage.health != Health::Healthy;
-            let paused = endpoint.lane.refusals.pause_until.max(endpoint.lane.refusals.wait_until);
-            let gate = match endpoint.lane.gate(now, rule) {
-                Gate::Closed(_) if whole && now >= paused => Gate::Open,
-                Gate::Closed(_) if whole => Gate::Closed(paused),
+            let whole =
+                !destination.independent_endpoints && destination.target.outage.health != Health::Healthy;
+            let paused = endpoint.target.backoff.backoff_until.max(endpoint.target.backoff.retry_after_until);
+            let gate = match endpoint.target.admission(now, rule) {
+                Admission::ClosedUntil(_) if whole && now >= paused => Admission::Open,
+                Admission::ClosedUntil(_) if whole => Admission::ClosedUntil(paused),
                 other => other,
             };
             let trial = match gate {
-                Gate::Closed(until) => {
+                Admission::ClosedUntil(until) => {
                     wake = wake.min(until);
                     continue;
                 }
-                Gate::Trial => true,
-                Gate::Open => whole_trial,
+                Admission::TrialOnly => true,
+                Admission::Open => whole_trial,
             };
-            let lane = if destination.apart { &endpoint.lane } else { &destination.lane };
-            let Lane { outage, service, out, .. } = &endpoint.lane;
-            if risky && trial && !outage.vouched && now < alone_at {
+            let lane = if destination.independent_endpoints { &endpoint.target } else { &destination.target };
+            let TargetState { outage, stats: service, calls_in_flight: out, .. } = &endpoint.target;
+            if risky && trial && !outage.probe_succeeded && now < alone_at {
                 // An unsafe message is no trial: a probe goes first.
                 probe = Some(*id).filter(|_| self.settings.probes);
                 wake = wake.min(alone_at);
                 continue;
             }
-            if risky && lane.service.failing(now) > UNSAFE_SHARE && !outage.vouched && now < alone_at {
+            if risky
+                && lane.stats.expected_failure_share(now) > UNSAFE_SHARE
+                && !outage.probe_succeeded
+                && now < alone_at
+            {
                 wake = wake.min(alone_at).min(now + TRIAL);
                 continue;
             }
             let idle = endpoint.idle_since.is_some() && *out == 0;
-            let cost = service.latency(now) * (1.0 + *out as f64)
+            let cost = service.expected_latency(now) * (1.0 + *out as f64)
                 + if idle { 0.0 } else { CONNECT_COST }
                 + if endpoint.zone == self.settings.zone { 0.0 } else { CONNECT_COST };
             // Trials of a place as a whole go round its endpoints: some may be back before others.
-            let cost = if whole_trial { endpoint.used_at } else { cost };
-            let cost = if whole && outage.health == Health::Shut { cost + TRIAL_MOST } else { cost };
+            let cost = if whole_trial { endpoint.last_call_at } else { cost };
+            let cost = if whole && outage.health == Health::Unavailable { cost + TRIAL_MOST } else { cost };
             // A due trial of one endpoint goes first, or its recovery would never be seen.
             let trial = trial && !whole;
             if best.is_none_or(|(t, c, _)| (trial && !t) || (trial == t && cost < c)) {
@@ -221,10 +244,10 @@
     }
 
     /// From when on an unsafe message is a trial after all, where nothing else opens a place. Harm: its loss.
-    fn tried_alone_at(&self, parcel: &Parcel, destination: &Destination) -> Seconds {
-        let only = !self.settings.probes && destination.risky == destination.held.len();
+    fn unsafe_trial_at(&self, parcel: &MessageState, destination: &Destination) -> Seconds {
+        let only = !self.settings.probes && destination.queued_unsafe == destination.queued.len();
         if only {
-            parcel.taken + self.settings.classes[parcel.message.class].target_latency
+            parcel.accepted_at + self.settings.classes[parcel.message.class].target_latency
         } else {
             f64::INFINITY
         }
@@ -232,13 +255,13 @@
 
     /// Whether a call may begin now that its connection is up. Guards waits, ends, times that came meanwhile.
     pub fn may_start_call(&self, now: Seconds, endpoint: EndpointId, ids: &[MessageId]) -> bool {
-        let waits = self.limited_lane(endpoint).is_some_and(|lane| lane.refusals.wait_until > now);
-        let in_time = |p: &Parcel| !p.over && now < p.message.deadline.min(self.key_ends(p));
-        !waits && ids.iter().all(|id| self.parcels.get(id).is_some_and(in_time))
+        let waits = self.limited_target(endpoint).is_some_and(|lane| lane.backoff.retry_after_until > now);
+        let in_time = |p: &MessageState| !p.done && now < p.message.deadline.min(self.key_expires_at(p));
+        !waits && ids.iter().all(|id| self.messages.get(id).is_some_and(in_time))
     }
 
     /// Until when a message may go out by the memory of its key.
-    pub(super) fn key_ends(&self, parcel: &Parcel) -> Seconds {
+    pub(super) fn key_expires_at(&self, parcel: &MessageState) -> Seconds {
         match (self.settings.classes[parcel.message.class].effect, parcel.may_have_run) {
             (Effect::Keyed { window, .. }, Some((first, _))) => first + window - KEY_MARGIN,
             _ => f64::INFINITY,
@@ -246,7 +269,7 @@
     }
 
     /// Whether the list and the memory of keys let a message go to an endpoint.
-    pub(super) fn fits(&self, parcel: &Parcel, endpoint: EndpointId) -> bool {
+    pub(super) fn is_eligible(&self, parcel: &MessageState, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&endpoint).filter(|e| e.ready) else { return false };
         match (self.settings.classes[parcel.message.class].effect, parcel.may_have_run) {
             (Effect::Keyed { by_zone: true, .. }, Some((_, zone))) => zone == endpoint.zone,
--- a/crates/waydoor/src/choice/connections.rs
+++ b/crates/waydoor/src/choice/connections.rs
@@ -21,13 +21,13 @@
 
 impl Dispatcher {
     /// An idle one stays while its like prove good and a use is likely. False where a failure tells of it.
-    pub(super) fn judge_connection(
+    pub(super) fn update_idle_connection(
         &mut self, now: Seconds, id: EndpointId, outcome: Outcome, idle: Seconds, kept: bool,
     ) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return true };
         let Some(destination) = self.destinations.get(&endpoint.destination) else { return true };
         let most = self.settings.keepalive.unwrap_or(f64::INFINITY);
-        let hold = self.holds.entry(destination.kind).or_insert((most, now, 0));
+        let hold = self.idle_limits.entry(destination.kind).or_insert((most, now, 0));
         let known = (hold.0 * 2f64.powf((now - hold.1) / IDLE_FORGET)).min(most);
         let broke = matches!(outcome, Outcome::ConnectionReset | Outcome::TimedOut);
         let drops = match idle > IDLE_LEAST {
@@ -36,24 +36,26 @@
             _ => hold.2,
         };
         let stale = broke && idle > IDLE_LEAST && drops >= DROPS_TO_TELL;
-        let crowd = outcome == Outcome::ConnectFailed && endpoint.lane.pace.crowded();
+        let crowd = outcome == Outcome::ConnectFailed && endpoint.target.rate_limiter.is_large_fleet();
         let keep = if crowd { known.min(IDLE_MOST) / 2.0 } else { known };
         let keep = if stale { keep.min(idle / 2.0) } else { keep };
         *hold = (keep, now, drops);
         if kept {
-            let own = destination.demand.now(now, DEMAND_TIME) - 1.0 / DEMAND_TIME;
-            let even = destination.lane.pace.even * destination.lane.pace.whole();
-            let shares = (destination.batch * destination.endpoints.len().max(1)) as f64;
+            let own = destination.demand.value_at(now, DEMAND_TIME) - 1.0 / DEMAND_TIME;
+            let even =
+                destination.target.rate_limiter.even_share * destination.target.rate_limiter.total_capacity();
+            let shares = (destination.max_batch * destination.endpoints.len().max(1)) as f64;
             let rate = own.max(even) / shares;
             // All idle ones are no more than the calls out, or than any table: so long that lets one stay.
-            let room = (destination.lane.pace.even * FEW).max(rate * endpoint.lane.service.latency(now));
+            let room = (destination.target.rate_limiter.even_share * FEW)
+                .max(rate * endpoint.target.stats.expected_latency(now));
             let keep = if room < 1.0 { keep.min(-(1.0 - room).ln() / rate) } else { keep };
             let used = rate * keep >= USES_LEAST;
             endpoint.idle_since = Some(now);
             if keep < most || !used {
-                self.closing.push((if used { now + keep } else { now }, id));
+                self.idle_closes.push((if used { now + keep } else { now }, id));
             }
         }
-        !(stale && endpoint.lane.outage.fails == 0)
+        !(stale && endpoint.target.outage.consecutive_failures == 0)
     }
 }
--- a/crates/waydoor/src/choice/listing.rs
+++ b/crates/waydoor/src/choice/listing.rs
@@ -16,37 +16,38 @@
 const DESTINATION_KEPT: f64 = 120.0;
 
 impl Dispatcher {
-    pub(super) fn list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, whole: bool) {
+    pub(super) fn apply_list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, whole: bool) {
         // The saved list of an earlier life is no subscription.
-        if self.asked {
-            self.subscribed(now);
+        if self.subscribe_sent {
+            self.subscription_confirmed(now);
         }
-        self.enrol(entries, whole, UNKNOWN_LATENCY);
-        for number in self.recalled.clone() {
-            self.recall(now, number);
+        self.update_endpoints(entries, whole, UNKNOWN_LATENCY);
+        for number in self.recovered_outages.clone() {
+            self.restore_outage(now, number);
         }
         self.destinations.retain(|_, d| {
-            !(d.endpoints.is_empty() && d.held.is_empty() && now - d.demand.at > DESTINATION_KEPT)
+            !(d.endpoints.is_empty() && d.queued.is_empty() && now - d.demand.updated_at > DESTINATION_KEPT)
         });
     }
 
     /// The list: subscribe where it must be asked for, again after each failure.
-    pub(super) fn keep_list(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
+    pub(super) fn renew_subscription(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
         if self.settings.discovery_mode == DiscoveryMode::Pushed {
             return;
         }
-        if self.ask_at == f64::NEG_INFINITY {
-            self.ask_at = now + self.ask_turn();
+        if self.next_subscribe_at == f64::NEG_INFINITY {
+            self.next_subscribe_at = now + self.subscribe_jitter();
         }
-        if now >= self.ask_at {
+        if now >= self.next_subscribe_at {
             actions.push(Action::Subscribe);
-            (self.ask_at, self.asked) = (now + ASK_MOST * self.settings.discovery_mode.ask_within(), true);
+            (self.next_subscribe_at, self.subscribe_sent) =
+                (now + ASK_MOST * self.settings.discovery_mode.ask_within(), true);
         }
-        *wake = wake.min(self.ask_at);
+        *wake = wake.min(self.next_subscribe_at);
     }
 
     /// When it is the own turn to ask, by seeded chance: a line that outlasts all patience serves nobody.
-    pub(super) fn ask_turn(&mut self) -> Seconds {
+    pub(super) fn subscribe_jitter(&mut self) -> Seconds {
         let crowd = (1.0 - FEW / f64::from(self.settings.dispatcher_count)).max(0.0);
         if crowd > 0.0 {
             crowd * ASK_SPREAD * self.settings.discovery_mode.ask_within() * self.rng.f64()
@@ -55,7 +56,8 @@
         }
     }
 
-    pub(super) fn subscribed(&mut self, now: Seconds) {
-        (self.ask_at, self.asks) = (now + ASK_AGAIN * self.settings.discovery_mode.ask_within(), 0);
+    pub(super) fn subscription_confirmed(&mut self, now: Seconds) {
+        (self.next_subscribe_at, self.failed_subscribes) =
+            (now + ASK_AGAIN * self.settings.discovery_mode.ask_within(), 0);
     }
 }
--- a/crates/waydoor/src/choice/outage.rs
+++ b/crates/waydoor/src/choice/outage.rs
@@ -39,117 +39,137 @@
 /// A gap between failure and success that is longer than this part of the cold time dates no return.
 const DATED_MOST: f64 = 0.5;
 
-impl Lane {
-    fn unproven(&mut self, now: Seconds) {
-        (self.outage.health, self.outage.trial_at, self.outage.failed_at) = (Health::Shut, now, now);
+impl TargetState {
+    fn mark_unproven(&mut self, now: Seconds) {
+        (self.outage.health, self.outage.next_trial_at, self.outage.last_failure_sent_at) =
+            (Health::Unavailable, now, now);
     }
 
-    pub(super) fn shut(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
-        self.outage.trials = if self.outage.health == Health::Shut { self.outage.trials } else { 0 };
-        (self.outage.health, self.outage.vouched) = (Health::Shut, false);
-        self.outage.trial_at = self.outage.trial_at.max(now + self.trial_wait(now, rule, rng));
+    pub(super) fn mark_unavailable(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
+        self.outage.trial_count =
+            if self.outage.health == Health::Unavailable { self.outage.trial_count } else { 0 };
+        (self.outage.health, self.outage.probe_succeeded) = (Health::Unavailable, false);
+        self.outage.next_trial_at = self.outage.next_trial_at.max(now + self.trial_interval(now, rule, rng));
     }
 
     /// Each of a crowd spends its own part of the cold budget, by seeded chance. Harm: a return is seen late.
-    pub(super) fn trial_wait(&self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) -> Seconds {
-        let alone = (TRIAL * 1.2f64.powi(self.outage.trials.min(8) as i32)).min(TRIAL_MOST);
-        let turn = 1.0 / self.ramp(now, rule).1;
-        let crowd = if self.pace.crowded() { turn } else { (turn - rule.overload_window).max(0.0) };
-        let few = if self.pace.crowded() { 0.0 } else { self.trial_turn(rule) };
+    pub(super) fn trial_interval(&self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) -> Seconds {
+        let alone = (TRIAL * 1.2f64.powi(self.outage.trial_count.min(8) as i32)).min(TRIAL_MOST);
+        let turn = 1.0 / self.recovery_budget(now, rule).1;
+        let crowd =
+            if self.rate_limiter.is_large_fleet() { turn } else { (turn - rule.overload_window).max(0.0) };
+        let few =
+            if self.rate_limiter.is_large_fleet() { 0.0 } else { self.small_fleet_trial_interval(rule) };
         (alone * (0.75 + 0.5 * rng.f64())).max(few).max(crowd * -(1.0 - rng.f64()).ln())
     }
 
     /// Time between the trials of each of a few: what the rule's budget leaves beside the chances of new
     /// messages. Guards a small place. Harm: its return is seen later.
-    fn trial_turn(&self, rule: &SlowStart) -> Seconds {
-        let allowed =
-            rule.overload_multiple * rule.cold_capacity_share * self.pace.whole() * rule.overload_window;
+    fn small_fleet_trial_interval(&self, rule: &SlowStart) -> Seconds {
+        let allowed = rule.overload_multiple
+            * rule.cold_capacity_share
+            * self.rate_limiter.total_capacity()
+            * rule.overload_window;
         let slack = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
-        let chances = TRIAL_SHARE * allowed * self.pace.part / self.pace.even;
+        let chances = TRIAL_SHARE * allowed * self.rate_limiter.own_share / self.rate_limiter.even_share;
         let trials = (TRIAL_SHARE * (allowed + slack) - chances).max(TRIAL_SHARE * allowed);
-        rule.overload_window / (self.pace.even * trials)
+        rule.overload_window / (self.rate_limiter.even_share * trials)
     }
 
     /// The share of the budget that each of a crowd may use for trials: chances come on top, by its load.
-    fn crowd_trials(&self) -> f64 {
+    fn large_fleet_trial_share(&self) -> f64 {
         // Some get several times the mean: what they send is no measure of what all do.
-        CROWD_TRIALS.min(CROWD_TRIES / (1.0 + (self.pace.part / self.pace.even).min(CROWD_LOAD_MOST)))
+        CROWD_TRIALS.min(
+            CROWD_TRIES
+                / (1.0 + (self.rate_limiter.own_share / self.rate_limiter.even_share).min(CROWD_LOAD_MOST)),
+        )
     }
 
     /// Whether a place that returned may still be cold: it may have been back only by the first served call.
     pub(super) fn may_be_cold(&self, now: Seconds, rule: &SlowStart) -> bool {
-        now - self.outage.found_at < rule.warm_up_time
+        now - self.outage.recovery_seen_at < rule.warm_up_time
     }
 
     /// While shut or cold: the share of a warm place's traffic that may go there; the own part.
-    pub(super) fn ramp(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
+    pub(super) fn recovery_budget(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
         let (warm, used) = match self.outage.health {
-            Health::Returning(since) => (((now - since) / rule.warm_up_time).clamp(0.0, 1.0), RAMP_SHARE),
-            _ => (0.0, if self.pace.crowded() { self.crowd_trials() } else { TRIAL_SHARE }),
+            Health::Recovering(since) => (((now - since) / rule.warm_up_time).clamp(0.0, 1.0), RAMP_SHARE),
+            _ => (
+                0.0,
+                if self.rate_limiter.is_large_fleet() { self.large_fleet_trial_share() } else { TRIAL_SHARE },
+            ),
         };
         let share = used
             * rule.overload_multiple
             * (rule.cold_capacity_share + (1.0 - rule.cold_capacity_share) * warm);
-        (share, share * self.pace.divided() * self.pace.whole())
+        (share, share * self.rate_limiter.budget_share() * self.rate_limiter.total_capacity())
     }
 
     /// A new message may go at once with the chance that keeps all dispatchers together inside the budget.
-    pub(super) fn chance(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
-        let (share, own) = self.ramp(now, rule);
+    pub(super) fn admit_by_chance(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
+        let (share, own) = self.recovery_budget(now, rule);
         if self.outage.health != Health::Healthy && own * TRIAL_MOST < 1.0 && rng.f64() < share {
-            (self.outage.trial_at, self.pace.due) = (now, now);
+            (self.outage.next_trial_at, self.rate_limiter.next_send_at) = (now, now);
         }
     }
 
     /// Learns from the end of a call or probe. `own_limit`: the limit is counted on this lane.
-    pub(super) fn learn(
+    pub(super) fn record_outcome(
         &mut self, now: Seconds, outcome: Outcome, latency: f64, own_limit: bool, rule: &SlowStart,
         rng: &mut fastrand::Rng,
     ) {
         match outcome {
             Outcome::Served => {
-                self.service.sample(now, Some(latency), 0.0);
+                self.stats.record_sample(now, Some(latency), 0.0);
                 // A short gap was a limit, lost calls or a full table of connections, not an outage.
-                let out = now - self.outage.served_at > OUTAGE_LEAST || self.service.failing > SICK_SHARE;
-                self.usual(0.0);
+                let out =
+                    now - self.outage.last_success_at > OUTAGE_LEAST || self.stats.failure_share > SICK_SHARE;
+                self.update_baseline_loss(0.0);
                 let own = &mut self.outage;
-                own.overtook_at = own.overtook_at.max(now - latency);
-                let out = out && (own.health == Health::Shut || own.fails > 0);
-                (own.fails, self.refusals.fulls, own.trials, own.served_at) = (0, 0, 0, now);
+                own.last_success_sent_at = own.last_success_sent_at.max(now - latency);
+                let out = out && (own.health == Health::Unavailable || own.consecutive_failures > 0);
+                (
+                    own.consecutive_failures,
+                    self.backoff.consecutive_overloads,
+                    own.trial_count,
+                    own.last_success_at,
+                ) = (0, 0, 0, now);
                 own.health = match own.health {
                     // It was sent before the place told that it is shut.
-                    Health::Shut if now < self.refusals.wait_until => Health::Shut,
+                    Health::Unavailable if now < self.backoff.retry_after_until => Health::Unavailable,
                     // It is back since some time after the last failure, as likely early as late.
-                    Health::Shut | Health::Suspect if out => {
+                    Health::Unavailable | Health::Suspect if out => {
                         let found = now - latency;
-                        let gap = (found - own.failed_at).clamp(0.0, DATED_MOST * rule.warm_up_time);
-                        own.found_at = found;
-                        Health::Returning(found - gap / 2.0)
+                        let gap =
+                            (found - own.last_failure_sent_at).clamp(0.0, DATED_MOST * rule.warm_up_time);
+                        own.recovery_seen_at = found;
+                        Health::Recovering(found - gap / 2.0)
                     }
-                    Health::Shut | Health::Suspect => Health::Healthy,
+                    Health::Unavailable | Health::Suspect => Health::Healthy,
                     other => other,
                 };
             }
-            Outcome::Overloaded => self.refused(now, latency, own_limit, rule, rng),
+            Outcome::Overloaded => self.record_overload(now, latency, own_limit, rule, rng),
             Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
-                self.service.sample(now, None, 1.0);
+                self.stats.record_sample(now, None, 1.0);
                 // Sent before the last served call, it tells nothing of now. Harm: none in an outage.
-                let stale = self.outage.served_at > now - latency;
-                self.outage.failed_at = self.outage.failed_at.max(now - latency);
-                self.outage.fails += u32::from(!stale);
-                let doubted = self.outage.health == Health::Shut && !stale;
+                let stale = self.outage.last_success_at > now - latency;
+                self.outage.last_failure_sent_at = self.outage.last_failure_sent_at.max(now - latency);
+                self.outage.consecutive_failures += u32::from(!stale);
+                let doubted = self.outage.health == Health::Unavailable && !stale;
                 // Guards against ramps after outages that were none. Harm: an outage costs a call more.
-                let lost = self.outage.lost.max(USUAL_LEAST);
+                let lost = self.outage.baseline_loss.max(USUAL_LEAST);
                 let row = (FAILS_TO_SHUT as f64).max((ROW_CHANCE.ln() / lost.ln()).ceil());
-                self.usual(1.0);
-                let Outage { fails, lost, health, .. } = self.outage;
-                if f64::from(fails) >= row || self.service.failing > SICK_SHARE + lost || doubted {
-                    self.shut(now, rule, rng);
-                } else if fails > 0 && self.pace.crowded() && health == Health::Healthy {
+                self.update_baseline_loss(1.0);
+                let OutageState { consecutive_failures: fails, baseline_loss: lost, health, .. } =
+                    self.outage;
+                if f64::from(fails) >= row || self.stats.failure_share > SICK_SHARE + lost || doubted {
+                    self.mark_unavailable(now, rule, rng);
+                } else if fails > 0 && self.rate_limiter.is_large_fleet() && health == Health::Healthy {
                     // One try more of each of a crowd is too much for a place that comes back cold.
-                    (self.outage.health, self.outage.trials) = (Health::Suspect, 0);
-                    self.outage.trial_at = now + self.trial_wait(now, rule, rng);
-                    self.chance(now, rule, rng);
+                    (self.outage.health, self.outage.trial_count) = (Health::Suspect, 0);
+                    self.outage.next_trial_at = now + self.trial_interval(now, rule, rng);
+                    self.admit_by_chance(now, rule, rng);
                 }
             }
             // An answer that came shows a process that lives, not one that serves.
@@ -162,84 +182,92 @@
     }
 
     /// Learns what share of calls a place loses while it is in service.
-    fn usual(&mut self, failed: f64) {
+    fn update_baseline_loss(&mut self, failed: f64) {
         if self.outage.health == Health::Healthy {
-            self.outage.lost =
-                (self.outage.lost + USUAL_SAMPLE * (failed - self.outage.lost)).min(USUAL_MOST);
+            self.outage.baseline_loss = (self.outage.baseline_loss
+                + USUAL_SAMPLE * (failed - self.outage.baseline_loss))
+                .min(USUAL_MOST);
         }
     }
 
     /// A trial whose message was over told nothing of the place, and cost it nothing: the next goes at once.
-    pub(super) fn try_again(&mut self, now: Seconds) {
-        if matches!(self.outage.health, Health::Suspect | Health::Shut) {
-            (self.outage.trial_at, self.outage.trials) = (now, self.outage.trials.saturating_sub(1));
+    pub(super) fn allow_trial_now(&mut self, now: Seconds) {
+        if matches!(self.outage.health, Health::Suspect | Health::Unavailable) {
+            (self.outage.next_trial_at, self.outage.trial_count) =
+                (now, self.outage.trial_count.saturating_sub(1));
         }
     }
 }
 
 impl Dispatcher {
     /// An outage that was seen outlasts the process: what holds much for it may not give it all at once.
-    pub(super) fn remember(&mut self, number: DestinationId) {
+    pub(super) fn record_outage_change(&mut self, number: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        let cold = |lane: &Lane| matches!(lane.outage.health, Health::Shut | Health::Returning(_));
+        let cold =
+            |lane: &TargetState| matches!(lane.outage.health, Health::Unavailable | Health::Recovering(_));
         let mut routes = destination.endpoints.iter().filter_map(|id| self.endpoints.get(id));
-        let out = if destination.apart { routes.any(|e| cold(&e.lane)) } else { cold(&destination.lane) };
-        if out != destination.remembered {
-            destination.remembered = out;
-            self.decided.push(Action::RecordOutage { destination: number, ongoing: out });
+        let out = if destination.independent_endpoints {
+            routes.any(|e| cold(&e.target))
+        } else {
+            cold(&destination.target)
+        };
+        if out != destination.outage_recorded {
+            destination.outage_recorded = out;
+            self.pending_actions.push(Action::RecordOutage { destination: number, ongoing: out });
         }
     }
 
     /// What was out when an earlier life ended is tried first and returns cold. Harm: one long back waits.
-    pub(super) fn recall(&mut self, now: Seconds, number: DestinationId) {
+    pub(super) fn restore_outage(&mut self, now: Seconds, number: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        if destination.endpoints.is_empty() || !self.recalled.remove(&number) {
+        if destination.endpoints.is_empty() || !self.recovered_outages.remove(&number) {
             return;
         }
-        destination.remembered = true;
-        self.limited_lanes(number, |lane| lane.unproven(now));
+        destination.outage_recorded = true;
+        self.for_each_limited_target(number, |lane| lane.mark_unproven(now));
     }
 
     /// What operators had out is tried first, and returns cold. Others there that served meanwhile go on.
-    pub(super) fn restarted(&mut self, now: Seconds, id: EndpointId) {
-        self.endpoints.entry(id).and_modify(|e| e.lane.unproven(now));
+    pub(super) fn endpoint_restored(&mut self, now: Seconds, id: EndpointId) {
+        self.endpoints.entry(id).and_modify(|e| e.target.mark_unproven(now));
         let Some(number) = self.endpoints.get(&id).map(|e| e.destination) else { return };
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        if !destination.apart && destination.endpoints.len() == 1 {
-            destination.lane.unproven(now);
+        if !destination.independent_endpoints && destination.endpoints.len() == 1 {
+            destination.target.mark_unproven(now);
         }
-        self.remember(number);
+        self.record_outage_change(number);
     }
 
     /// A call unanswered for far longer than usual, with nothing served since, makes its lane suspect.
     /// What an own stall kept from coming is no silence. Harm: a slow call delays others.
-    pub(super) fn suspect_silence(&mut self, now: Seconds) {
-        if now < self.silent_at {
+    pub(super) fn suspect_unanswered(&mut self, now: Seconds) {
+        if now < self.next_silence_check_at {
             return;
         }
-        self.silent_at = f64::INFINITY;
+        self.next_silence_check_at = f64::INFINITY;
         for call in self.calls.values_mut() {
             let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { continue };
             let Some(destination) = self.destinations.get_mut(&endpoint.destination) else { continue };
-            let since = call.sent_at.max(self.stalled_at);
-            let due = since + (TIMEOUT_MEANS * destination.lane.service.latency(now)).max(TIMEOUT_LEAST);
-            if call.risky && !call.overdue && now >= due {
+            let since = call.sent_at.max(self.last_stall_at);
+            let due =
+                since + (TIMEOUT_MEANS * destination.target.stats.expected_latency(now)).max(TIMEOUT_LEAST);
+            if call.carries_unsafe && !call.overdue && now >= due {
                 // It is waited for, but others need not wait for it. Guards a place that is back against
                 // staying shut for as long as those messages live. Harm: slots, within the share.
                 call.overdue = true;
-                endpoint.lane.overdue += 1;
-                destination.lane.overdue += 1;
-            } else if call.risky && !call.overdue {
-                self.silent_at = self.silent_at.min(due);
+                endpoint.target.overdue_calls += 1;
+                destination.target.overdue_calls += 1;
+            } else if call.carries_unsafe && !call.overdue {
+                self.next_silence_check_at = self.next_silence_check_at.min(due);
             }
-            for lane in [&mut endpoint.lane, &mut destination.lane] {
-                let at = since + (SILENT_MEANS * lane.service.latency(now)).max(SILENT_LEAST);
+            for lane in [&mut endpoint.target, &mut destination.target] {
+                let at = since + (SILENT_MEANS * lane.stats.expected_latency(now)).max(SILENT_LEAST);
                 let own = &mut lane.outage;
-                let silent = own.health == Health::Healthy && own.served_at < call.sent_at;
+                let silent = own.health == Health::Healthy && own.last_success_at < call.sent_at;
                 if silent && now >= at {
-                    (own.health, own.trial_at, own.trials) = (Health::Suspect, now + TRIAL, 0);
+                    (own.health, own.next_trial_at, own.trial_count) = (Health::Suspect, now + TRIAL, 0);
                 } else if silent {
-                    self.silent_at = self.silent_at.min(at);
+                    self.next_silence_check_at = self.next_silence_check_at.min(at);
                 }
             }
         }
--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/choice/pace.rs
@@ -25,123 +25,130 @@
 /// So few dispatchers fill no table with unused connections, and the rule's slack covers a call of each.
 pub(super) const FEW: f64 = 6.0;
 
-impl Pace {
+impl RateLimiter {
     /// What the place takes from all, and the own part of it, calls a second.
-    pub(super) fn whole(&self) -> f64 {
+    pub(super) fn total_capacity(&self) -> f64 {
         self.capacity.unwrap_or(SMALL_CAPACITY)
     }
 
-    pub(super) fn own(&self) -> f64 {
-        self.part * self.whole()
+    pub(super) fn own_capacity(&self) -> f64 {
+        self.own_share * self.total_capacity()
     }
 
     /// Whether so many dispatchers share the place that rates meant for one do not add up.
-    pub(super) fn crowded(&self) -> bool {
-        self.even * FEW < 1.0
+    pub(super) fn is_large_fleet(&self) -> bool {
+        self.even_share * FEW < 1.0
     }
 
     /// How much of a crowd all dispatchers are: 0 for a few, close to 1 for many.
-    pub(super) fn crowd(&self) -> f64 {
-        (1.0 - FEW * self.even).max(0.0)
+    pub(super) fn fleet_factor(&self) -> f64 {
+        (1.0 - FEW * self.even_share).max(0.0)
     }
 
     /// The part taken of what all may do: an even one, or the own demand less that, which others leave.
-    pub(super) fn divided(&self) -> f64 {
-        self.even.max(self.part - self.even)
+    pub(super) fn budget_share(&self) -> f64 {
+        self.even_share.max(self.own_share - self.even_share)
     }
 
     /// The pace before anything is learned: the own part, and the more above it the fewer they are.
-    pub(super) fn fair(&self) -> f64 {
-        let whole = self.capacity.filter(|_| self.limited && !self.uncounted).unwrap_or(f64::INFINITY);
-        whole * self.divided() * (1.0 + FEW * self.even / self.crowd())
+    pub(super) fn initial_rate(&self) -> f64 {
+        let whole = self.capacity.filter(|_| self.enforces_limit && !self.unlimited).unwrap_or(f64::INFINITY);
+        whole * self.budget_share() * (1.0 + FEW * self.even_share / self.fleet_factor())
     }
 
     /// It grows while nothing is refused; one of many by the calls that may be expected to have told of it.
-    pub(super) fn now(&self, now: Seconds) -> f64 {
-        let told = |rate: f64| 1.0 - self.crowd() * (1.0 - PACE_CROWD_GROWTH * rate.min(1.0));
+    pub(super) fn current_rate(&self, now: Seconds) -> f64 {
+        let told = |rate: f64| 1.0 - self.fleet_factor() * (1.0 - PACE_CROWD_GROWTH * rate.min(1.0));
         let grown = |rate: f64, at| rate * (1.0 + PACE_GROWTH * told(rate)).powf(now - at);
-        self.rate.map_or(self.fair(), |(rate, at)| grown(rate, at))
+        self.learned_rate.map_or(self.initial_rate(), |(rate, at)| grown(rate, at))
     }
 
     /// Heeds what the place tells of its limit: the pace is as good a share of the new one. Harm: a wrong
     /// report misleads until the next.
-    pub(super) fn told(&mut self, now: Seconds, told: RateLimitReport) {
-        self.uncounted = told.rate <= 0.0;
-        if self.uncounted {
+    pub(super) fn apply_report(&mut self, now: Seconds, told: RateLimitReport) {
+        self.unlimited = told.rate <= 0.0;
+        if self.unlimited {
             return;
         }
-        if let (Some(was), Some((pace, at))) = (self.capacity, self.rate) {
-            self.rate = Some((pace * told.rate / was, at));
+        if let (Some(was), Some((pace, at))) = (self.capacity, self.learned_rate) {
+            self.learned_rate = Some((pace * told.rate / was, at));
         }
         self.capacity = Some(told.rate);
         // What is left for all tells each of many what its own few calls can't.
-        let pace = self.now(now);
-        if let Some(left) = told.remaining_share.filter(|_| self.crowd() > 0.0 && pace.is_finite()) {
-            let moved = pace * (self.crowd() * PACE_DRIFT * (left - PACE_LEFT)).exp();
-            let used = self.fair().max(PACE_UNUSED * self.sent.now(now, RATE_TIME)).min(told.rate);
-            self.rate = Some((moved.min(used).max(PACE_LEAST * self.even * told.rate), now));
+        let pace = self.current_rate(now);
+        if let Some(left) = told.remaining_share.filter(|_| self.fleet_factor() > 0.0 && pace.is_finite()) {
+            let moved = pace * (self.fleet_factor() * PACE_DRIFT * (left - PACE_LEFT)).exp();
+            let used =
+                self.initial_rate().max(PACE_UNUSED * self.sent_rate.value_at(now, RATE_TIME)).min(told.rate);
+            self.learned_rate = Some((moved.min(used).max(PACE_LEAST * self.even_share * told.rate), now));
         }
     }
 
     /// Calls at once: of many dispatchers, no more than their part of what a limit lets through in a while.
     pub(super) fn burst(&self, now: Seconds) -> f64 {
-        (PACE_SPAN * self.now(now)).clamp(2.0 - self.crowd(), PACE_BURST)
+        (PACE_SPAN * self.current_rate(now)).clamp(2.0 - self.fleet_factor(), PACE_BURST)
     }
 
     /// Its turn at a place that is new here comes at random. Guards a small limit against the first calls of
     /// all.
-    pub(super) fn phase(&mut self, now: Seconds, rng: &mut fastrand::Rng) {
-        if self.crowd() > 0.0 && self.fair().is_finite() {
-            self.due = now + self.crowd() * rng.f64() * self.burst(now) / self.fair();
+    pub(super) fn randomize_phase(&mut self, now: Seconds, rng: &mut fastrand::Rng) {
+        if self.fleet_factor() > 0.0 && self.initial_rate().is_finite() {
+            self.next_send_at = now + self.fleet_factor() * rng.f64() * self.burst(now) / self.initial_rate();
         }
     }
 }
 
-impl Lane {
+impl TargetState {
     /// A call that reached no process took no turn. Guards against spending half of a limit on connections
     /// that have been closed unseen. Harm: if the place counts it all the same, a refusal corrects the pace.
-    pub(super) fn unbook(&mut self, now: Seconds, rule: &SlowStart) {
+    pub(super) fn refund_call(&mut self, now: Seconds, rule: &SlowStart) {
         let healthy = self.outage.health == Health::Healthy;
-        self.pace.due -= if healthy { 1.0 / self.allowed(now, rule).0 } else { 0.0 };
+        self.rate_limiter.next_send_at -= if healthy { 1.0 / self.allowed_rate(now, rule).0 } else { 0.0 };
     }
 
     /// The rate that is allowed now, and how many calls at once. While shut, the trials' own interval binds.
-    fn allowed(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
+    fn allowed_rate(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
         match self.outage.health {
-            Health::Returning(_) => (self.pace.now(now).min(self.ramp(now, rule).1), 1.0),
-            _ => (self.pace.now(now), self.pace.burst(now)),
+            Health::Recovering(_) => {
+                (self.rate_limiter.current_rate(now).min(self.recovery_budget(now, rule).1), 1.0)
+            }
+            _ => (self.rate_limiter.current_rate(now), self.rate_limiter.burst(now)),
         }
     }
 
-    pub(super) fn gate(&self, now: Seconds, rule: &SlowStart) -> Gate {
-        let mut open_at = self.refusals.wait_until.max(self.refusals.pause_until);
-        let (rate, burst) = self.allowed(now, rule);
+    pub(super) fn admission(&self, now: Seconds, rule: &SlowStart) -> Admission {
+        let mut open_at = self.backoff.retry_after_until.max(self.backoff.backoff_until);
+        let (rate, burst) = self.allowed_rate(now, rule);
         if rate.is_finite() {
-            open_at = open_at.max(self.pace.due - (burst - 1.0) / rate);
+            open_at = open_at.max(self.rate_limiter.next_send_at - (burst - 1.0) / rate);
         }
-        if self.refusals.at_once(now).is_some_and(|calls| self.out as f64 >= calls) {
+        if self
+            .backoff
+            .current_concurrency_limit(now)
+            .is_some_and(|calls| self.calls_in_flight as f64 >= calls)
+        {
             open_at = f64::INFINITY;
         }
-        let trial = matches!(self.outage.health, Health::Suspect | Health::Shut);
+        let trial = matches!(self.outage.health, Health::Suspect | Health::Unavailable);
         if trial {
-            let tries = self.out.saturating_sub(self.overdue);
-            open_at = open_at.max(if tries < TRIALS_OUT { self.outage.trial_at } else { f64::INFINITY });
+            let tries = self.calls_in_flight.saturating_sub(self.overdue_calls);
+            open_at = open_at.max(if tries < TRIALS_OUT { self.outage.next_trial_at } else { f64::INFINITY });
         }
         match (now < open_at, trial) {
-            (true, _) => Gate::Closed(open_at),
-            (false, true) => Gate::Trial,
-            (false, false) => Gate::Open,
+            (true, _) => Admission::ClosedUntil(open_at),
+            (false, true) => Admission::TrialOnly,
+            (false, false) => Admission::Open,
         }
     }
 
     /// Books a call or a probe that goes out.
-    pub(super) fn book(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
-        let (rate, _) = self.allowed(now, rule);
-        self.pace.due = self.pace.due.max(now) + 1.0 / rate;
-        self.pace.sent.count(now, RATE_TIME);
-        if matches!(self.outage.health, Health::Suspect | Health::Shut) {
-            self.outage.trial_at = now + self.trial_wait(now, rule, rng);
-            (self.outage.trials, self.outage.vouched) = (self.outage.trials + 1, false);
+    pub(super) fn book_call(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
+        let (rate, _) = self.allowed_rate(now, rule);
+        self.rate_limiter.next_send_at = self.rate_limiter.next_send_at.max(now) + 1.0 / rate;
+        self.rate_limiter.sent_rate.record_event(now, RATE_TIME);
+        if matches!(self.outage.health, Health::Suspect | Health::Unavailable) {
+            self.outage.next_trial_at = now + self.trial_interval(now, rule, rng);
+            (self.outage.trial_count, self.outage.probe_succeeded) = (self.outage.trial_count + 1, false);
         }
     }
 }
@@ -149,10 +156,10 @@
 impl Dispatcher {
     /// What an earlier life left goes at the own part's pace at first. Guards a place that had told its limit
     /// or was cold against a clump of all that is held. Harm: what waited for the restart waits longer.
-    pub(super) fn pace_backlog(&mut self, now: Seconds, number: DestinationId) {
-        self.limited_lanes(number, |Lane { pace, .. }| {
-            let own = pace.capacity.map(|capacity| (pace.part * capacity, now));
-            pace.rate = pace.rate.or(own);
+    pub(super) fn limit_backlog_rate(&mut self, now: Seconds, number: DestinationId) {
+        self.for_each_limited_target(number, |TargetState { rate_limiter: pace, .. }| {
+            let own = pace.capacity.map(|capacity| (pace.own_share * capacity, now));
+            pace.learned_rate = pace.learned_rate.or(own);
         });
     }
 }
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/choice/refusal.rs
@@ -20,72 +20,85 @@
 /// A refusal cuts the pace to this share of what was sent.
 const PACE_CUT: f64 = 0.8;
 
-impl Refusals {
-    pub(super) fn at_once(&self, now: Seconds) -> Option<f64> {
-        self.at_once.map(|(calls, at)| calls * (1.0 + PACE_GROWTH).powf(now - at))
+impl OverloadBackoff {
+    pub(super) fn current_concurrency_limit(&self, now: Seconds) -> Option<f64> {
+        self.concurrency_limit.map(|(calls, at)| calls * (1.0 + PACE_GROWTH).powf(now - at))
     }
 
     /// Counts a refusal; false for what was sent before the last one was heard: it is the same once more.
-    fn count(&mut self, now: Seconds, latency: Seconds) -> bool {
-        if self.fulls == 0 || now - self.pause_until > FORGET {
-            (self.fulls, self.full_since) = (0, now);
+    fn count_overload(&mut self, now: Seconds, latency: Seconds) -> bool {
+        if self.consecutive_overloads == 0 || now - self.backoff_until > FORGET {
+            (self.consecutive_overloads, self.overloaded_since) = (0, now);
         }
-        let again = self.fulls == 0 || now - latency >= self.full_at;
+        let again = self.consecutive_overloads == 0 || now - latency >= self.last_overload_at;
         if again {
-            (self.fulls, self.full_at) = (self.fulls + 1, now);
+            (self.consecutive_overloads, self.last_overload_at) = (self.consecutive_overloads + 1, now);
         }
         again
     }
 }
 
-impl Lane {
+impl TargetState {
     /// Learns from a refusal. `own_limit`: the limit is counted on this lane.
-    pub(super) fn refused(
+    pub(super) fn record_overload(
         &mut self, now: Seconds, latency: f64, own_limit: bool, rule: &SlowStart, rng: &mut fastrand::Rng,
     ) {
-        let Lane { pace, refusals, outage, .. } = self;
-        outage.failed_at = outage.failed_at.max(now - latency);
+        let TargetState { rate_limiter: pace, backoff: refusals, outage, .. } = self;
+        outage.last_failure_sent_at = outage.last_failure_sent_at.max(now - latency);
         // What is out still once one has been refused is what a place without a limit takes at once.
-        if pace.uncounted {
-            let least = refusals.at_once(now).map_or(1.0, |calls| calls * PACE_CUT);
-            refusals.at_once = Some(((self.out as f64).max(least), now));
+        if pace.unlimited {
+            let least = refusals.current_concurrency_limit(now).map_or(1.0, |calls| calls * PACE_CUT);
+            refusals.concurrency_limit = Some(((self.calls_in_flight as f64).max(least), now));
         }
-        let again = refusals.count(now, latency);
-        let own = pace.own();
-        let doubled = 2f64.powi(refusals.fulls.min(8) as i32 - 1);
+        let again = refusals.count_overload(now, latency);
+        let own = pace.own_capacity();
+        let doubled = 2f64.powi(refusals.consecutive_overloads.min(8) as i32 - 1);
         // Refused calls may use up the limit: all retries together must stay well below it.
-        let crowd = CROWD_PAUSES / (pace.even * pace.whole());
-        let first = if pace.uncounted { 2.0 * FULL_PAUSE } else { FULL_PAUSE.max(1.0 / own) };
+        let crowd = CROWD_PAUSES / (pace.even_share * pace.total_capacity());
+        let first = if pace.unlimited { 2.0 * FULL_PAUSE } else { FULL_PAUSE.max(1.0 / own) };
         let pause = (first * doubled).min(crowd.clamp(FULL_PAUSE_MOST, CROWD_PAUSE_MOST));
         // Many that were refused at once come back at any time in twice the pause.
-        let jitter = 1.0 + (0.5 + 1.5 * pace.crowd()) * (rng.f64() - 0.5);
-        refusals.pause_until = refusals.pause_until.max(now + pause * jitter);
-        if own_limit && again && !pace.uncounted && (refusals.fulls == 1 || pace.crowd() > 0.0) {
-            let sent = pace.now(now).min(pace.sent.per_second.max(own));
-            let cut = if refusals.fulls == 1 { PACE_CUT } else { PACE_CUT.powf(pace.crowd()) };
-            pace.rate = Some(((sent * cut).max(PACE_LEAST * own.min(pace.fair())), now));
+        let jitter = 1.0 + (0.5 + 1.5 * pace.fleet_factor()) * (rng.f64() - 0.5);
+        refusals.backoff_until = refusals.backoff_until.max(now + pause * jitter);
+        if own_limit
+            && again
+            && !pace.unlimited
+            && (refusals.consecutive_overloads == 1 || pace.fleet_factor() > 0.0)
+        {
+            let sent = pace.current_rate(now).min(pace.sent_rate.per_second.max(own));
+            let cut = if refusals.consecutive_overloads == 1 {
+                PACE_CUT
+            } else {
+                PACE_CUT.powf(pace.fleet_factor())
+            };
+            pace.learned_rate = Some(((sent * cut).max(PACE_LEAST * own.min(pace.initial_rate())), now));
         }
-        let long = now - refusals.full_since.max(self.outage.served_at) > SHUT_FULL_TIME;
-        if refusals.fulls >= SHUT_FULLS && long {
-            self.shut(now, rule, rng);
+        let long = now - refusals.overloaded_since.max(self.outage.last_success_at) > SHUT_FULL_TIME;
+        if refusals.consecutive_overloads >= SHUT_FULLS && long {
+            self.mark_unavailable(now, rule, rng);
         }
     }
 }
 
 impl Dispatcher {
     /// A wait that a place tells.
-    pub(super) fn heed(&mut self, now: Seconds, id: EndpointId, wait: Seconds) {
+    pub(super) fn apply_retry_after(&mut self, now: Seconds, id: EndpointId, wait: Seconds) {
         let Some(endpoint) = self.endpoints.get_mut(&id).filter(|_| wait > 0.0) else { return };
-        let destination = self.destinations.get_mut(&endpoint.destination).filter(|d| !d.apart);
-        let limited = destination.map_or(&mut endpoint.lane, |destination| &mut destination.lane);
-        limited.refusals.wait_until = limited.refusals.wait_until.max(now + wait);
+        let destination =
+            self.destinations.get_mut(&endpoint.destination).filter(|d| !d.independent_endpoints);
+        let limited = destination.map_or(&mut endpoint.target, |destination| &mut destination.target);
+        limited.backoff.retry_after_until = limited.backoff.retry_after_until.max(now + wait);
         // No limit tells so long a wait: the door is shut, and opens cold to all who waited for one moment.
-        if wait > SHUT_FULL_TIME && limited.refusals.wait_until > limited.pace.due {
+        if wait > SHUT_FULL_TIME && limited.backoff.retry_after_until > limited.rate_limiter.next_send_at {
             let rule = &self.settings.slow_start;
-            limited.outage.health = Health::Returning(limited.refusals.wait_until);
-            limited.outage.found_at = limited.refusals.wait_until;
-            let turn = if limited.pace.crowded() { 1.0 / limited.ramp(now, rule).1 } else { 0.0 };
-            limited.pace.due = limited.refusals.wait_until + turn * self.rng.f64();
+            limited.outage.health = Health::Recovering(limited.backoff.retry_after_until);
+            limited.outage.recovery_seen_at = limited.backoff.retry_after_until;
+            let turn = if limited.rate_limiter.is_large_fleet() {
+                1.0 / limited.recovery_budget(now, rule).1
+            } else {
+                0.0
+            };
+            limited.rate_limiter.next_send_at = limited.backoff.retry_after_until + turn * self.rng.f64();
         }
     }
 }
--- a/crates/waydoor/src/choice/storage.rs
+++ b/crates/waydoor/src/choice/storage.rs
@@ -15,12 +15,12 @@
 
 impl Storage {
     /// A start could not be put on record.
-    pub(super) fn failed(&mut self, now: Seconds) {
+    pub(super) fn write_failed(&mut self, now: Seconds) {
         self.paused_until = Some(now + STORAGE_PAUSE);
     }
 
     /// Until when calls of this class have to wait; none where they need not.
-    pub(super) fn waits(&self, now: Seconds, effect: Effect) -> Option<Seconds> {
+    pub(super) fn blocked_until(&self, now: Seconds, effect: Effect) -> Option<Seconds> {
         self.paused_until.filter(|until| now < *until && effect != Effect::Safe)
     }
 
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -13,192 +13,258 @@
     /// Silent for too long; nothing failed yet.
     Suspect,
     /// Failing or refusing all: only trials.
-    Shut,
+    #[serde(rename = "Shut")]
+    Unavailable,
     /// Served again, cold.
-    Returning(Seconds),
+    #[serde(rename = "Returning")]
+    Recovering(Seconds),
 }
 
-pub(crate) enum Gate {
+pub(crate) enum Admission {
     Open,
-    Trial,
-    Closed(Seconds),
+    TrialOnly,
+    ClosedUntil(Seconds),
 }
 
 /// A decayed count of events a second.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Rate {
+pub(crate) struct DecayingRate {
     pub(crate) per_second: f64,
-    pub(crate) at: Seconds,
+    #[serde(rename = "at")]
+    pub(crate) updated_at: Seconds,
 }
 
-impl Rate {
-    pub(crate) fn now(&self, now: Seconds, time: f64) -> f64 {
-        self.per_second * (-(now - self.at) / time).exp()
+impl DecayingRate {
+    pub(crate) fn value_at(&self, now: Seconds, time: f64) -> f64 {
+        self.per_second * (-(now - self.updated_at) / time).exp()
     }
 
-    pub(crate) fn count(&mut self, now: Seconds, time: f64) {
-        (self.per_second, self.at) = (self.now(now, time) + 1.0 / time, now);
+    pub(crate) fn record_event(&mut self, now: Seconds, time: f64) {
+        (self.per_second, self.updated_at) = (self.value_at(now, time) + 1.0 / time, now);
     }
 }
 
 /// The own pace at a place's limit.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Pace {
+pub(crate) struct RateLimiter {
     /// What the place takes from all dispatchers, calls a second, where that is listed or told.
     pub(crate) capacity: Option<f64>,
     /// The place's limit is counted here: at a destination, or at each of its endpoints where they are apart.
-    pub(crate) limited: bool,
+    #[serde(rename = "limited")]
+    pub(crate) enforces_limit: bool,
     /// It told that it has no limit but its capacity.
-    pub(crate) uncounted: bool,
+    #[serde(rename = "uncounted")]
+    pub(crate) unlimited: bool,
     /// Share of the capacity that this dispatcher takes to be its own.
-    pub(crate) part: f64,
-    pub(crate) even: f64,
+    #[serde(rename = "part")]
+    pub(crate) own_share: f64,
+    #[serde(rename = "even")]
+    pub(crate) even_share: f64,
     /// Calls a second, learned then.
-    pub(crate) rate: Option<(f64, Seconds)>,
-    pub(crate) due: Seconds,
-    pub(crate) sent: Rate,
+    #[serde(rename = "rate")]
+    pub(crate) learned_rate: Option<(f64, Seconds)>,
+    #[serde(rename = "due")]
+    pub(crate) next_send_at: Seconds,
+    #[serde(rename = "sent")]
+    pub(crate) sent_rate: DecayingRate,
 }
 
 /// Whether a place serves, and how it comes back where it does not.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Outage {
+pub(crate) struct OutageState {
     pub(crate) health: Health,
-    pub(crate) served_at: Seconds,
+    #[serde(rename = "served_at")]
+    pub(crate) last_success_at: Seconds,
     /// When the latest call that was served had been sent.
-    pub(crate) overtook_at: Seconds,
+    #[serde(rename = "overtook_at")]
+    pub(crate) last_success_sent_at: Seconds,
     /// When the last call that failed was sent.
-    pub(crate) failed_at: Seconds,
-    pub(crate) fails: u32,
+    #[serde(rename = "failed_at")]
+    pub(crate) last_failure_sent_at: Seconds,
+    #[serde(rename = "fails")]
+    pub(crate) consecutive_failures: u32,
     /// Share of calls that is lost while it is in service.
-    pub(crate) lost: f64,
-    pub(crate) trial_at: Seconds,
+    #[serde(rename = "lost")]
+    pub(crate) baseline_loss: f64,
+    #[serde(rename = "trial_at")]
+    pub(crate) next_trial_at: Seconds,
     /// When it was back at the latest, while it returns.
     #[serde(default)]
-    pub(crate) found_at: Seconds,
-    pub(crate) trials: u32,
-    pub(crate) vouched: bool,
+    #[serde(rename = "found_at")]
+    pub(crate) recovery_seen_at: Seconds,
+    #[serde(rename = "trials")]
+    pub(crate) trial_count: u32,
+    #[serde(rename = "vouched")]
+    pub(crate) probe_succeeded: bool,
 }
 
 /// What refusals told.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Refusals {
-    pub(crate) fulls: u32,
-    pub(crate) full_since: Seconds,
-    pub(crate) full_at: Seconds,
+pub(crate) struct OverloadBackoff {
+    #[serde(rename = "fulls")]
+    pub(crate) consecutive_overloads: u32,
+    #[serde(rename = "full_since")]
+    pub(crate) overloaded_since: Seconds,
+    #[serde(rename = "full_at")]
+    pub(crate) last_overload_at: Seconds,
     /// Calls that the place takes at once, found when it refused some, and when that was.
-    pub(crate) at_once: Option<(f64, Seconds)>,
-    pub(crate) wait_until: Seconds,
-    pub(crate) pause_until: Seconds,
+    #[serde(rename = "at_once")]
+    pub(crate) concurrency_limit: Option<(f64, Seconds)>,
+    #[serde(rename = "wait_until")]
+    pub(crate) retry_after_until: Seconds,
+    #[serde(rename = "pause_until")]
+    pub(crate) backoff_until: Seconds,
 }
 
 /// Decayed means of the time of a call and of the share that fails.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Service {
-    pub(crate) latency: f64,
-    pub(crate) failing: f64,
-    pub(crate) learned_at: Seconds,
+pub(crate) struct ServiceStats {
+    #[serde(rename = "latency")]
+    pub(crate) mean_latency: f64,
+    #[serde(rename = "failing")]
+    pub(crate) failure_share: f64,
+    #[serde(rename = "learned_at")]
+    pub(crate) updated_at: Seconds,
 }
 
 /// What was learned of a destination as a whole, or of one endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Lane {
-    pub(crate) pace: Pace,
-    pub(crate) outage: Outage,
-    pub(crate) refusals: Refusals,
-    pub(crate) service: Service,
-    pub(crate) out: usize,
+pub(crate) struct TargetState {
+    #[serde(rename = "pace")]
+    pub(crate) rate_limiter: RateLimiter,
+    pub(crate) outage: OutageState,
+    #[serde(rename = "refusals")]
+    pub(crate) backoff: OverloadBackoff,
+    #[serde(rename = "service")]
+    pub(crate) stats: ServiceStats,
+    #[serde(rename = "out")]
+    pub(crate) calls_in_flight: usize,
     /// Those of them that are waited for beyond the usual time-out.
-    pub(crate) overdue: usize,
+    #[serde(rename = "overdue")]
+    pub(crate) overdue_calls: usize,
 }
 
-impl Lane {
+impl TargetState {
     pub(crate) fn new(capacity: Option<f64>, latency: f64) -> Self {
         let never = f64::NEG_INFINITY;
-        Lane {
-            pace: Pace { capacity, part: 1.0, even: 1.0, ..Default::default() },
-            outage: Outage { served_at: never, overtook_at: never, failed_at: never, ..Default::default() },
-            service: Service { latency, learned_at: never, ..Default::default() },
+        TargetState {
+            rate_limiter: RateLimiter { capacity, own_share: 1.0, even_share: 1.0, ..Default::default() },
+            outage: OutageState {
+                last_success_at: never,
+                last_success_sent_at: never,
+                last_failure_sent_at: never,
+                ..Default::default()
+            },
+            stats: ServiceStats { mean_latency: latency, updated_at: never, ..Default::default() },
             ..Default::default()
         }
     }
 
-    fn landed(&mut self, call: &Call) {
-        self.out = self.out.saturating_sub(1);
-        self.overdue = self.overdue.saturating_sub(usize::from(call.overdue));
+    fn call_finished(&mut self, call: &Call) {
+        self.calls_in_flight = self.calls_in_flight.saturating_sub(1);
+        self.overdue_calls = self.overdue_calls.saturating_sub(usize::from(call.overdue));
     }
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Destination {
-    pub(crate) lane: Lane,
+    #[serde(rename = "lane")]
+    pub(crate) target: TargetState,
     pub(crate) endpoints: BTreeSet<EndpointId>,
-    pub(crate) held: BTreeSet<MessageId>,
+    #[serde(rename = "held")]
+    pub(crate) queued: BTreeSet<MessageId>,
     /// Those of them that must not run twice.
-    pub(crate) risky: usize,
+    #[serde(rename = "risky")]
+    pub(crate) queued_unsafe: usize,
     /// Messages that come for it.
-    pub(crate) demand: Rate,
+    pub(crate) demand: DecayingRate,
     pub(crate) kind: usize,
-    pub(crate) apart: bool,
-    pub(crate) batch: usize,
+    #[serde(rename = "apart")]
+    pub(crate) independent_endpoints: bool,
+    #[serde(rename = "batch")]
+    pub(crate) max_batch: usize,
     /// The next life would hear that it is out.
-    pub(crate) remembered: bool,
+    #[serde(rename = "remembered")]
+    pub(crate) outage_recorded: bool,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
-    pub(crate) lane: Lane,
+    #[serde(rename = "lane")]
+    pub(crate) target: TargetState,
     pub(crate) destination: DestinationId,
     pub(crate) zone: u16,
     pub(crate) ready: bool,
-    pub(crate) used_at: Seconds,
+    #[serde(rename = "used_at")]
+    pub(crate) last_call_at: Seconds,
     /// Since when an idle connection is there, if one is.
     pub(crate) idle_since: Option<Seconds>,
 }
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Flight {
+pub(crate) struct CallRef {
     pub(crate) endpoint: EndpointId,
     pub(crate) call: u64,
 }
 
 /// What a customer may still hand in within its share.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Purse {
-    pub(crate) left: f64,
-    pub(crate) at: Seconds,
+pub(crate) struct QuotaBalance {
+    #[serde(rename = "left")]
+    pub(crate) remaining: f64,
+    #[serde(rename = "at")]
+    pub(crate) updated_at: Seconds,
 }
 
 /// The ledger of one message: what was sent and what may have run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Parcel {
+pub(crate) struct MessageState {
     pub(crate) message: Message,
-    pub(crate) taken: Seconds,
+    #[serde(rename = "taken")]
+    pub(crate) accepted_at: Seconds,
     pub(crate) attempts: u32,
-    pub(crate) out: Option<Flight>,
+    #[serde(rename = "out")]
+    pub(crate) in_flight: Option<CallRef>,
     /// First attempt that may have run, and its zone.
     pub(crate) may_have_run: Option<(Seconds, u16)>,
-    pub(crate) over: bool,
+    #[serde(rename = "over")]
+    pub(crate) done: bool,
     /// Rejected in a call with others: one of them cannot be used.
-    pub(crate) alone: bool,
+    #[serde(rename = "alone")]
+    pub(crate) unbatched: bool,
     /// Rejected by itself: no other attempt would fare better.
-    pub(crate) unusable: bool,
+    #[serde(rename = "unusable")]
+    pub(crate) undeliverable: bool,
     /// It came beyond its customer's share.
-    pub(crate) over_share: bool,
+    #[serde(rename = "over_share")]
+    pub(crate) over_quota: bool,
     /// An earlier life had taken it, and this one found it.
     #[serde(default)]
-    pub(crate) found: bool,
+    #[serde(rename = "found")]
+    pub(crate) recovered: bool,
 }
 
-impl Parcel {
+impl MessageState {
     /// Whether a restart found it and nobody has called with it so far.
-    pub(crate) fn untried(&self) -> bool {
-        self.found && self.attempts == 0
+    pub(crate) fn is_untried_recovery(&self) -> bool {
+        self.recovered && self.attempts == 0
     }
 
     pub(crate) fn new(message: Message, taken: Seconds, over_share: bool) -> Self {
         let (attempts, out, may_have_run) = (0, None, None);
         let (over, alone, unusable, found) = (false, false, false, false);
-        Parcel { message, taken, attempts, out, may_have_run, over, alone, unusable, over_share, found }
+        MessageState {
+            message,
+            accepted_at: taken,
+            attempts,
+            in_flight: out,
+            may_have_run,
+            done: over,
+            unbatched: alone,
+            undeliverable: unusable,
+            over_quota: over_share,
+            recovered: found,
+        }
     }
 }
 
@@ -206,34 +272,54 @@
 pub(crate) struct Call {
     pub(crate) endpoint: EndpointId,
     pub(crate) sent_at: Seconds,
-    pub(crate) messages: usize,
+    #[serde(rename = "messages")]
+    pub(crate) message_count: usize,
     /// The last message that joined it.
-    pub(crate) last: MessageId,
-    pub(crate) pending: usize,
+    #[serde(rename = "last")]
+    pub(crate) last_message: MessageId,
+    #[serde(rename = "pending")]
+    pub(crate) pending_messages: usize,
     /// How long its connection had been idle; 0 for a new one.
-    pub(crate) idle: Seconds,
+    #[serde(rename = "idle")]
+    pub(crate) connection_idle: Seconds,
     /// A message's time ends before the time that the call would get.
-    pub(crate) cut: bool,
+    #[serde(rename = "cut")]
+    pub(crate) deadline_limited: bool,
     /// It is waited for as long as its message lives ...
-    pub(crate) risky: bool,
+    #[serde(rename = "risky")]
+    pub(crate) carries_unsafe: bool,
     /// ... and any other call would have been given up by now.
     pub(crate) overdue: bool,
     /// It is broken off, and its end is awaited.
-    pub(crate) broken_off: bool,
+    #[serde(rename = "broken_off")]
+    pub(crate) cancelled: bool,
 }
 
 impl Call {
     pub(crate) fn new(endpoint: EndpointId, sent_at: Seconds, idle: Seconds, risky: bool) -> Self {
         let (messages, pending, cut, overdue, broken_off) = (0, 0, false, false, false);
         let last = MessageId(u64::MAX);
-        Call { endpoint, sent_at, messages, last, pending, idle, cut, risky, overdue, broken_off }
+        Call {
+            endpoint,
+            sent_at,
+            message_count: messages,
+            last_message: last,
+            pending_messages: pending,
+            connection_idle: idle,
+            deadline_limited: cut,
+            carries_unsafe: risky,
+            overdue,
+            cancelled: broken_off,
+        }
     }
 }
 
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Line {
-    pub(crate) queue: VecDeque<MessageId>,
-    pub(crate) rest_until: Seconds,
+pub(crate) struct KeyQueue {
+    #[serde(rename = "queue")]
+    pub(crate) messages: VecDeque<MessageId>,
+    #[serde(rename = "rest_until")]
+    pub(crate) cooldown_until: Seconds,
 }
 
 impl Destination {
@@ -249,15 +335,15 @@
 
     pub(crate) fn new(rate: Option<f64>, latency: f64, kind: usize, traits: DestinationKind) -> Self {
         Destination {
-            lane: Lane::new(rate, latency),
+            target: TargetState::new(rate, latency),
             endpoints: BTreeSet::new(),
-            held: BTreeSet::new(),
-            risky: 0,
-            demand: Rate::default(),
+            queued: BTreeSet::new(),
+            queued_unsafe: 0,
+            demand: DecayingRate::default(),
             kind,
-            apart: traits.independent_endpoints,
-            batch: traits.max_batch.max(1),
-            remembered: false,
+            independent_endpoints: traits.independent_endpoints,
+            max_batch: traits.max_batch.max(1),
+            outage_recorded: false,
         }
     }
 }
@@ -292,41 +378,64 @@
     pub(crate) settings: Settings,
     #[serde(serialize_with = "seed", deserialize_with = "seeded")]
     pub(crate) rng: fastrand::Rng,
-    pub(crate) parcels: BTreeMap<MessageId, Parcel>,
+    #[serde(rename = "parcels")]
+    pub(crate) messages: BTreeMap<MessageId, MessageState>,
     pub(crate) calls: BTreeMap<u64, Call>,
-    pub(crate) counter: u64,
+    #[serde(rename = "counter")]
+    pub(crate) last_number: u64,
     pub(crate) destinations: BTreeMap<DestinationId, Destination>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) lines: BTreeMap<OrderKey, Line>,
+    #[serde(rename = "lines")]
+    pub(crate) key_queues: BTreeMap<OrderKey, KeyQueue>,
     /// By customer.
-    pub(crate) purses: BTreeMap<usize, Purse>,
+    #[serde(rename = "purses")]
+    pub(crate) quota_balances: BTreeMap<usize, QuotaBalance>,
     /// Destinations with held messages; messages to look at this round; idle connections to close, when.
-    pub(crate) waiting: BTreeSet<DestinationId>,
-    pub(crate) review: Vec<MessageId>,
-    pub(crate) closing: Vec<(Seconds, EndpointId)>,
+    #[serde(rename = "waiting")]
+    pub(crate) queued_destinations: BTreeSet<DestinationId>,
+    #[serde(rename = "review")]
+    pub(crate) messages_to_review: Vec<MessageId>,
+    #[serde(rename = "closing")]
+    pub(crate) idle_closes: Vec<(Seconds, EndpointId)>,
     /// For how long an idle connection is kept, by kind, and since when that is known.
-    pub(crate) holds: BTreeMap<usize, (Seconds, Seconds, u32)>,
-    pub(crate) answer_at: Seconds,
-    pub(crate) silent_at: Seconds,
-    pub(crate) stalled_at: Seconds,
-    pub(crate) usual_latency: f64,
-    pub(crate) started: Option<Seconds>,
+    #[serde(rename = "holds")]
+    pub(crate) idle_limits: BTreeMap<usize, (Seconds, Seconds, u32)>,
+    #[serde(rename = "answer_at")]
+    pub(crate) next_review_at: Seconds,
+    #[serde(rename = "silent_at")]
+    pub(crate) next_silence_check_at: Seconds,
+    #[serde(rename = "stalled_at")]
+    pub(crate) last_stall_at: Seconds,
+    #[serde(rename = "usual_latency")]
+    pub(crate) mean_latency: f64,
+    #[serde(rename = "started")]
+    pub(crate) started_at: Option<Seconds>,
     /// What was decided between two rounds: ends of messages of no known class, outages to remember.
-    pub(crate) decided: Vec<Action>,
+    #[serde(rename = "decided")]
+    pub(crate) pending_actions: Vec<Action>,
     /// Out when an earlier life ended, and not listed in this one so far.
-    pub(crate) recalled: BTreeSet<DestinationId>,
-    pub(crate) ended: (BTreeSet<MessageId>, VecDeque<MessageId>),
-    pub(crate) ask_at: Seconds,
-    pub(crate) asked: bool,
-    pub(crate) asks: u32,
+    #[serde(rename = "recalled")]
+    pub(crate) recovered_outages: BTreeSet<DestinationId>,
+    #[serde(rename = "ended")]
+    pub(crate) ended_messages: (BTreeSet<MessageId>, VecDeque<MessageId>),
+    #[serde(rename = "ask_at")]
+    pub(crate) next_subscribe_at: Seconds,
+    #[serde(rename = "asked")]
+    pub(crate) subscribe_sent: bool,
+    #[serde(rename = "asks")]
+    pub(crate) failed_subscribes: u32,
     pub(crate) timer: Option<(u32, Seconds)>,
-    pub(crate) notes: Vec<String>,
-    pub(crate) noted: u32,
+    #[serde(rename = "notes")]
+    pub(crate) log_lines: Vec<String>,
+    #[serde(rename = "noted")]
+    pub(crate) log_line_count: u32,
     /// When this dispatcher stops.
-    pub(crate) closing_at: Seconds,
+    #[serde(rename = "closing_at")]
+    pub(crate) shutdown_at: Seconds,
     /// Whether calls can be put on record.
     #[serde(default)]
-    pub(crate) storage: Storage,
+    #[serde(rename = "storage")]
+    pub(crate) journal: Storage,
 }
 
 impl Dispatcher {
@@ -337,40 +446,40 @@
     /// If a setting makes no sense; the error names it.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        Ok(Dispatcher::empty(settings, seed, UNKNOWN_LATENCY))
+        Ok(Dispatcher::with_latency(settings, seed, UNKNOWN_LATENCY))
     }
 
-    fn empty(settings: Settings, seed: u64, latency: Seconds) -> Self {
+    fn with_latency(settings: Settings, seed: u64, latency: Seconds) -> Self {
         Dispatcher {
             settings,
             rng: fastrand::Rng::with_seed(seed),
-            parcels: BTreeMap::new(),
+            messages: BTreeMap::new(),
             calls: BTreeMap::new(),
-            counter: 0,
+            last_number: 0,
             destinations: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            lines: BTreeMap::new(),
-            purses: BTreeMap::new(),
-            waiting: BTreeSet::new(),
-            review: Vec::new(),
-            closing: Vec::new(),
-            holds: BTreeMap::new(),
-            answer_at: f64::INFINITY,
-            silent_at: f64::INFINITY,
-            stalled_at: f64::NEG_INFINITY,
-            usual_latency: latency,
-            storage: Storage::default(),
-            started: None,
-            decided: Vec::new(),
-            recalled: BTreeSet::new(),
-            ended: Default::default(),
-            ask_at: f64::NEG_INFINITY,
-            asked: false,
-            asks: 0,
+            key_queues: BTreeMap::new(),
+            quota_balances: BTreeMap::new(),
+            queued_destinations: BTreeSet::new(),
+            messages_to_review: Vec::new(),
+            idle_closes: Vec::new(),
+            idle_limits: BTreeMap::new(),
+            next_review_at: f64::INFINITY,
+            next_silence_check_at: f64::INFINITY,
+            last_stall_at: f64::NEG_INFINITY,
+            mean_latency: latency,
+            journal: Storage::default(),
+            started_at: None,
+            pending_actions: Vec::new(),
+            recovered_outages: BTreeSet::new(),
+            ended_messages: Default::default(),
+            next_subscribe_at: f64::NEG_INFINITY,
+            subscribe_sent: false,
+            failed_subscribes: 0,
             timer: None,
-            notes: Vec::new(),
-            noted: 0,
-            closing_at: f64::INFINITY,
+            log_lines: Vec::new(),
+            log_line_count: 0,
+            shutdown_at: f64::INFINITY,
         }
     }
 
@@ -381,13 +490,13 @@
 
     /// Whether a message is in mind that is not over.
     pub fn is_active(&self, id: MessageId) -> bool {
-        self.parcels.get(&id).is_some_and(|parcel| !parcel.over)
+        self.messages.get(&id).is_some_and(|parcel| !parcel.done)
     }
 
     /// The messages that are out, in the order of their ids.
     pub fn in_flight(&self) -> Vec<InFlightAttempt> {
-        let out = self.parcels.iter().filter_map(|(id, parcel)| Some((id, parcel, parcel.out?)));
-        let out = out.map(|(id, parcel, Flight { endpoint, call })| InFlightAttempt {
+        let out = self.messages.iter().filter_map(|(id, parcel)| Some((id, parcel, parcel.in_flight?)));
+        let out = out.map(|(id, parcel, CallRef { endpoint, call })| InFlightAttempt {
             id: *id,
             endpoint,
             attempt: parcel.attempts.saturating_sub(1),
@@ -397,68 +506,76 @@
     }
 
     /// The calls that carry one message: it, the attempt's number, the call and its endpoint's lane.
-    pub(crate) fn sole_calls(&mut self) -> impl Iterator<Item = (MessageId, u32, &mut Call, &Lane)> {
-        let (parcels, endpoints) = (&self.parcels, &self.endpoints);
-        self.calls.values_mut().filter(|call| call.messages == 1).filter_map(|call| {
-            let attempt = parcels.get(&call.last)?.attempts.saturating_sub(1);
-            let lane = &endpoints.get(&call.endpoint)?.lane;
-            Some((call.last, attempt, call, lane))
+    pub(crate) fn single_message_calls(
+        &mut self,
+    ) -> impl Iterator<Item = (MessageId, u32, &mut Call, &TargetState)> {
+        let (parcels, endpoints) = (&self.messages, &self.endpoints);
+        self.calls.values_mut().filter(|call| call.message_count == 1).filter_map(|call| {
+            let attempt = parcels.get(&call.last_message)?.attempts.saturating_sub(1);
+            let lane = &endpoints.get(&call.endpoint)?.target;
+            Some((call.last_message, attempt, call, lane))
         })
     }
 
     /// Another process goes on with this state, on the same clock: what the old one had pending with its surroundings
     /// (its timer, its subscription, its own end) is gone.
     pub fn resume_in_new_process(&mut self) {
-        (self.timer, self.closing_at) = (None, f64::INFINITY);
-        (self.ask_at, self.asked, self.asks) = (f64::NEG_INFINITY, false, 0);
+        (self.timer, self.shutdown_at) = (None, f64::INFINITY);
+        (self.next_subscribe_at, self.subscribe_sent, self.failed_subscribes) = (f64::NEG_INFINITY, false, 0);
     }
 
     /// Takes a message out of its call; gives the call once it was the last one in it.
-    pub(crate) fn landed(&mut self, flight: Flight) -> Option<Call> {
+    pub(crate) fn leave_call(&mut self, flight: CallRef) -> Option<Call> {
         let call = self.calls.get_mut(&flight.call)?;
-        call.pending -= 1;
-        if call.pending > 0 {
+        call.pending_messages -= 1;
+        if call.pending_messages > 0 {
             return None;
         }
         let call = self.calls.remove(&flight.call)?;
         if let Some(endpoint) = self.endpoints.get_mut(&flight.endpoint) {
-            endpoint.lane.landed(&call);
+            endpoint.target.call_finished(&call);
             if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
-                destination.lane.landed(&call);
+                destination.target.call_finished(&call);
             }
         }
         Some(call)
     }
 
     /// The lanes of a destination that count a limit: its own, or those of its endpoints, where they are apart, too.
-    pub(crate) fn limited_lanes(&mut self, number: DestinationId, mut with: impl FnMut(&mut Lane)) {
+    pub(crate) fn for_each_limited_target(
+        &mut self, number: DestinationId, mut with: impl FnMut(&mut TargetState),
+    ) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        with(&mut destination.lane);
-        for id in destination.endpoints.iter().filter(|_| destination.apart) {
-            self.endpoints.entry(*id).and_modify(|e| with(&mut e.lane));
+        with(&mut destination.target);
+        for id in destination.endpoints.iter().filter(|_| destination.independent_endpoints) {
+            self.endpoints.entry(*id).and_modify(|e| with(&mut e.target));
         }
     }
 
     /// The lanes that a call to the endpoint is booked on.
-    pub(crate) fn each_lane(
-        &mut self, endpoint: EndpointId, mut with: impl FnMut(&mut Lane, &SlowStart, &mut fastrand::Rng),
+    pub(crate) fn for_each_call_target(
+        &mut self, endpoint: EndpointId,
+        mut with: impl FnMut(&mut TargetState, &SlowStart, &mut fastrand::Rng),
     ) {
         let Some(e) = self.endpoints.get_mut(&endpoint) else { return };
-        with(&mut e.lane, &self.settings.slow_start, &mut self.rng);
-        if let Some(destination) = self.destinations.get_mut(&e.destination).filter(|d| !d.apart) {
-            with(&mut destination.lane, &self.settings.slow_start, &mut self.rng);
+        with(&mut e.target, &self.settings.slow_start, &mut self.rng);
+        if let Some(destination) =
+            self.destinations.get_mut(&e.destination).filter(|d| !d.independent_endpoints)
+        {
+            with(&mut destination.target, &self.settings.slow_start, &mut self.rng);
         }
     }
 
     /// A destination's own lane and those of its endpoints.
-    pub(crate) fn all_lanes(
-        &mut self, number: DestinationId, mut with: impl FnMut(&mut Lane, &SlowStart, &mut fastrand::Rng),
+    pub(crate) fn for_each_target(
+        &mut self, number: DestinationId,
+        mut with: impl FnMut(&mut TargetState, &SlowStart, &mut fastrand::Rng),
     ) {
         let Some(destination) = self.destinations.get_mut(&number) else { return };
-        with(&mut destination.lane, &self.settings.slow_start, &mut self.rng);
+        with(&mut destination.target, &self.settings.slow_start, &mut self.rng);
         for id in &destination.endpoints {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                with(&mut endpoint.lane, &self.settings.slow_start, &mut self.rng);
+                with(&mut endpoint.target, &self.settings.slow_start, &mut self.rng);
             }
         }
     }
@@ -471,71 +588,73 @@
     /// Whether nothing but trials goes to an endpoint now: it is out, it told a wait that runs, or its destination did.
     pub fn is_unavailable(&self, now: Seconds, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&endpoint) else { return false };
-        let out = |lane: &Lane| lane.outage.health == Health::Shut || lane.refusals.wait_until > now;
-        let destination = self.destinations.get(&endpoint.destination).filter(|d| !d.apart);
-        out(&endpoint.lane) || destination.is_some_and(|destination| out(&destination.lane))
+        let out = |lane: &TargetState| {
+            lane.outage.health == Health::Unavailable || lane.backoff.retry_after_until > now
+        };
+        let destination = self.destinations.get(&endpoint.destination).filter(|d| !d.independent_endpoints);
+        out(&endpoint.target) || destination.is_some_and(|destination| out(&destination.target))
     }
 
     /// The lane of an endpoint's limit: its own, or its destination's.
-    pub(crate) fn limited_lane(&self, endpoint: EndpointId) -> Option<&Lane> {
+    pub(crate) fn limited_target(&self, endpoint: EndpointId) -> Option<&TargetState> {
         let endpoint = self.endpoints.get(&endpoint)?;
-        let destination = self.destinations.get(&endpoint.destination).filter(|d| !d.apart);
-        Some(destination.map_or(&endpoint.lane, |destination| &destination.lane))
+        let destination = self.destinations.get(&endpoint.destination).filter(|d| !d.independent_endpoints);
+        Some(destination.map_or(&endpoint.target, |destination| &destination.target))
     }
 
     /// Counts a message of a customer now; whether it comes beyond its share.
-    pub(crate) fn counts_over(&mut self, now: Seconds, tenant: usize) -> bool {
+    pub(crate) fn count_against_quota(&mut self, now: Seconds, tenant: usize) -> bool {
         let Some(share) = self.quota_status(now, tenant) else { return false };
-        self.counted(now, tenant, share.remaining, now);
+        self.set_quota_balance(now, tenant, share.remaining, now);
         share.over
     }
 
     /// What an earlier life knew of a message.
-    pub(crate) fn recalled(
+    pub(crate) fn restore_message(
         &mut self, id: MessageId, taken: Seconds, attempts: u32, may_have_run: Option<(Seconds, u16)>,
     ) {
-        if let Some(parcel) = self.parcels.get_mut(&id) {
-            (parcel.taken, parcel.attempts, parcel.may_have_run) = (taken, attempts, may_have_run);
-            parcel.found = true;
+        if let Some(parcel) = self.messages.get_mut(&id) {
+            (parcel.accepted_at, parcel.attempts, parcel.may_have_run) = (taken, attempts, may_have_run);
+            parcel.recovered = true;
         }
     }
 
-    pub(crate) fn counted(&mut self, now: Seconds, tenant: usize, left: f64, at: Seconds) {
+    pub(crate) fn set_quota_balance(&mut self, now: Seconds, tenant: usize, left: f64, at: Seconds) {
         if tenant < self.settings.tenants.len() && left >= 0.0 {
-            self.purses.insert(tenant, Purse { left, at: at.min(now) });
+            self.quota_balances.insert(tenant, QuotaBalance { remaining: left, updated_at: at.min(now) });
         }
     }
 
     /// A timer for that time, where none is set that comes as early.
-    pub(crate) fn wake_at(&mut self, now: Seconds, wake: Seconds) -> Option<Action> {
+    pub(crate) fn schedule_timer(&mut self, now: Seconds, wake: Seconds) -> Option<Action> {
         if !wake.is_finite() || self.timer.is_some_and(|(_, at)| at <= wake && at >= now) {
             return None;
         }
-        self.counter += 1;
-        let (token, at) = (self.counter as u32, wake.max(now + 0.001));
+        self.last_number += 1;
+        let (token, at) = (self.last_number as u32, wake.max(now + 0.001));
         self.timer = Some((token, at));
         Some(Action::SetTimer { token, at })
     }
 
     /// Puts a message among the held ones of its destination.
-    pub(crate) fn hold(&mut self, message: &Message) {
-        self.waiting.insert(message.destination);
-        self.review.push(message.id);
+    pub(crate) fn enqueue(&mut self, message: &Message) {
+        self.queued_destinations.insert(message.destination);
+        self.messages_to_review.push(message.id);
         let Some(destination) = self.destinations.get_mut(&message.destination) else { return };
         let risky = self.settings.classes.get(message.class).is_some_and(|c| c.effect == Effect::Unsafe);
-        destination.risky += usize::from(destination.held.insert(message.id) && risky);
+        destination.queued_unsafe += usize::from(destination.queued.insert(message.id) && risky);
     }
 
     /// Takes a message from the held ones.
-    pub(crate) fn release_hold(&mut self, id: MessageId) {
-        let Some(parcel) = self.parcels.get(&id) else { return };
+    pub(crate) fn dequeue(&mut self, id: MessageId) {
+        let Some(parcel) = self.messages.get(&id) else { return };
         let number = parcel.message.destination;
         let Some(destination) = self.destinations.get_mut(&number) else { return };
         let risky =
             self.settings.classes.get(parcel.message.class).is_some_and(|c| c.effect == Effect::Unsafe);
-        destination.risky -= usize::from(destination.held.remove(&id) && risky);
-        if destination.held.is_empty() {
-            self.waiting.remove(&number);
+        destination.queued_unsafe -= usize::from(destination.queued.remove(&id) && risky);
+        if destination.queued.is_empty() {
+            self.queued_destinations.remove(&number);
             // Nothing is kept of a destination that was never listed.
             if destination.kind == usize::MAX {
                 self.destinations.remove(&number);
@@ -544,17 +663,19 @@
     }
 
     /// Nobody wants a message any more; one that is out is waited for.
-    pub(crate) fn withdrawn(&mut self, id: MessageId, kept: usize) {
-        if let Some(parcel) = self.parcels.get_mut(&id) {
-            parcel.over = true;
-            self.settle(id, kept);
+    pub(crate) fn withdraw(&mut self, id: MessageId, kept: usize) {
+        if let Some(parcel) = self.messages.get_mut(&id) {
+            parcel.done = true;
+            self.remove_if_settled(id, kept);
         }
     }
 
     /// Closes the idle connections that are due, and tells when the next ones are.
-    pub(crate) fn close_idle(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
+    pub(crate) fn close_idle_connections(
+        &mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds,
+    ) {
         let endpoints = &mut self.endpoints;
-        self.closing.retain(|(at, id)| {
+        self.idle_closes.retain(|(at, id)| {
             if now < *at {
                 *wake = wake.min(*at);
                 return true;
@@ -570,24 +691,27 @@
     }
 
     /// Drops a message that is over and has nothing out.
-    pub(crate) fn settle(&mut self, id: MessageId, kept: usize) {
-        self.release_hold(id);
-        let Some(parcel) = self.parcels.get(&id).filter(|p| p.over && p.out.is_none()) else { return };
-        if let Some(line) = parcel.message.key.and_then(|key| self.lines.get_mut(&key)) {
-            line.queue.retain(|other| *other != id);
+    pub(crate) fn remove_if_settled(&mut self, id: MessageId, kept: usize) {
+        self.dequeue(id);
+        let Some(parcel) = self.messages.get(&id).filter(|p| p.done && p.in_flight.is_none()) else { return };
+        if let Some(line) = parcel.message.key.and_then(|key| self.key_queues.get_mut(&key)) {
+            line.messages.retain(|other| *other != id);
         }
-        self.parcels.remove(&id);
-        self.ended.1.extend(self.ended.0.insert(id).then_some(id));
-        if self.ended.1.len() > kept
-            && let Some(old) = self.ended.1.pop_front()
+        self.messages.remove(&id);
+        self.ended_messages.1.extend(self.ended_messages.0.insert(id).then_some(id));
+        if self.ended_messages.1.len() > kept
+            && let Some(old) = self.ended_messages.1.pop_front()
         {
-            self.ended.0.remove(&old);
+            self.ended_messages.0.remove(&old);
         }
     }
 
     /// Drops an endpoint that is off the list once nothing is out there.
-    pub(crate) fn forget(&mut self, id: EndpointId) {
-        let Some(endpoint) = self.endpoints.get(&id).filter(|e| !e.ready && e.lane.out == 0) else { return };
+    pub(crate) fn remove_if_unlisted(&mut self, id: EndpointId) {
+        let Some(endpoint) = self.endpoints.get(&id).filter(|e| !e.ready && e.target.calls_in_flight == 0)
+        else {
+            return;
+        };
         if let Some(destination) = self.destinations.get_mut(&endpoint.destination) {
             destination.endpoints.remove(&id);
         }
@@ -595,17 +719,17 @@
     }
 
     /// Notes a change of health for the log.
-    pub(crate) fn note(
+    pub(crate) fn log_health_change(
         &mut self, most: u32, place: &str, number: u64, was: Health, is: Health, cause: Outcome,
     ) {
-        if std::mem::discriminant(&was) != std::mem::discriminant(&is) && self.noted < most {
-            self.noted += 1;
-            self.notes.push(format!("{place} {number}: {was:?} -> {is:?} after {cause:?}"));
+        if std::mem::discriminant(&was) != std::mem::discriminant(&is) && self.log_line_count < most {
+            self.log_line_count += 1;
+            self.log_lines.push(format!("{place} {number}: {was:?} -> {is:?} after {cause:?}"));
         }
     }
 
     /// Copies lines of the list.
-    pub(crate) fn enrol(&mut self, entries: Vec<EndpointEntry>, whole: bool, latency: Seconds) {
+    pub(crate) fn update_endpoints(&mut self, entries: Vec<EndpointEntry>, whole: bool, latency: Seconds) {
         if whole {
             self.endpoints.values_mut().for_each(|endpoint| endpoint.ready = false);
         }
@@ -616,16 +740,16 @@
                 Some(entry.rate).filter(|r| self.settings.use_listed_rates && r.is_finite() && *r > 0.0);
             let new = || Destination::new(rate, latency, entry.kind, kind);
             let destination = self.destinations.entry(entry.destination).or_insert_with(new);
-            (destination.kind, destination.apart, destination.batch) =
+            (destination.kind, destination.independent_endpoints, destination.max_batch) =
                 (entry.kind, kind.independent_endpoints, kind.max_batch.max(1));
             destination.endpoints.insert(entry.endpoint);
-            destination.lane.pace.capacity = rate.or(destination.lane.pace.capacity);
+            destination.target.rate_limiter.capacity = rate.or(destination.target.rate_limiter.capacity);
             let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Endpoint {
-                lane: Lane::new(rate, latency),
+                target: TargetState::new(rate, latency),
                 destination: entry.destination,
                 zone: entry.zone,
                 ready: false,
-                used_at: f64::NEG_INFINITY,
+                last_call_at: f64::NEG_INFINITY,
                 idle_since: None,
             });
             endpoint.ready = entry.state == EndpointState::Ready;
@@ -633,14 +757,17 @@
             changed.insert(entry.destination);
         }
         let old: Vec<_> = self.endpoints.iter().filter(|(_, e)| !e.ready).map(|(id, _)| *id).collect();
-        old.into_iter().for_each(|id| self.forget(id));
+        old.into_iter().for_each(|id| self.remove_if_unlisted(id));
         // Endpoints that share a limit take even parts of it.
         for number in changed {
-            let Some(destination) = self.destinations.get(&number).filter(|d| !d.apart) else { continue };
+            let Some(destination) = self.destinations.get(&number).filter(|d| !d.independent_endpoints)
+            else {
+                continue;
+            };
             let endpoints = destination.endpoints.len().max(1) as f64;
-            let part = destination.lane.pace.capacity.map(|rate| rate / endpoints);
+            let part = destination.target.rate_limiter.capacity.map(|rate| rate / endpoints);
             for id in &destination.endpoints {
-                self.endpoints.entry(*id).and_modify(|e| e.lane.pace.capacity = part);
+                self.endpoints.entry(*id).and_modify(|e| e.target.rate_limiter.capacity = part);
             }
         }
     }
