--- a/crates/waydoor/src/choice.rs
+++ b/crates/waydoor/src/choice.rs
@@ -137,7 +137,7 @@
         // Short of connections: the connect failed while other calls were out. Guards against taking a full
         // table for an outage. Harm: after a crash it may seem so for a while.
         let busy =
-            endpoint.target.calls_in_flight > 0 && endpoint.target.outage.consecutive_failures == 0 && !probe;
+            endpoint.target.in_flight > 0 && endpoint.target.outage.consecutive_failures == 0 && !probe;
         if outcome == Outcome::ConnectFailed && busy {
             endpoint.target.backoff.backoff_until = now + FULL_PAUSE;
             return;
--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/choice/attempts.rs
@@ -144,15 +144,11 @@
         self.for_each_call_target(endpoint, |lane, rule, rng| lane.book_call(now, rule, rng));
         let (mut idle, mut at) = (0.0, SILENT_LEAST);
         if let Some(e) = self.endpoints.get_mut(&endpoint) {
-            idle = e
-                .idle_since
-                .take()
-                .filter(|_| e.target.calls_in_flight == 0)
-                .map_or(0.0, |since| now - since);
-            (e.target.calls_in_flight, e.last_call_at) = (e.target.calls_in_flight + 1, now);
+            idle = e.idle_since.take().filter(|_| e.target.in_flight == 0).map_or(0.0, |since| now - since);
+            (e.target.in_flight, e.last_call_at) = (e.target.in_flight + 1, now);
             at = at.max(SILENT_MEANS * e.target.stats.expected_latency(now));
             if let Some(destination) = self.destinations.get_mut(&e.destination) {
-                destination.target.calls_in_flight += 1;
+                destination.target.in_flight += 1;
                 at = at.min(SILENT_LEAST.max(SILENT_MEANS * destination.target.stats.expected_latency(now)));
             }
         }
@@ -212,7 +208,7 @@
                 Admission::Open => whole_trial,
             };
             let lane = if destination.independent_endpoints { &endpoint.target } else { &destination.target };
-            let TargetState { outage, stats: service, calls_in_flight: out, .. } = &endpoint.target;
+            let TargetState { outage, stats: service, in_flight: out, .. } = &endpoint.target;
             if risky && trial && !outage.probe_succeeded && now < alone_at {
                 // An unsafe message is no trial: a probe goes first.
                 probe = Some(*id).filter(|_| self.settings.probes);
--- a/crates/waydoor/src/choice/order.rs
+++ b/crates/waydoor/src/choice/order.rs
@@ -172,9 +172,9 @@
             || lane.stats.expected_failure_share(now) > SICK_SHARE
             || lane.outage.health != Health::Healthy
         {
-            lane.calls_in_flight > 0 && (lane.calls_in_flight + 1) as f64 > SICK_SLOT_SHARE * slots
+            lane.in_flight > 0 && (lane.in_flight + 1) as f64 > SICK_SLOT_SHARE * slots
         } else {
-            lane.calls_in_flight as f64 >= SLOT_SHARE * slots
+            lane.in_flight as f64 >= SLOT_SHARE * slots
         }
     }
 
--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/choice/pace.rs
@@ -122,16 +122,12 @@
         if rate.is_finite() {
             open_at = open_at.max(self.rate_limiter.next_send_at - (burst - 1.0) / rate);
         }
-        if self
-            .backoff
-            .current_concurrency_limit(now)
-            .is_some_and(|calls| self.calls_in_flight as f64 >= calls)
-        {
+        if self.backoff.current_concurrency_limit(now).is_some_and(|calls| self.in_flight as f64 >= calls) {
             open_at = f64::INFINITY;
         }
         let trial = matches!(self.outage.health, Health::Suspect | Health::Unavailable);
         if trial {
-            let tries = self.calls_in_flight.saturating_sub(self.overdue_calls);
+            let tries = self.in_flight.saturating_sub(self.overdue_calls);
             open_at = open_at.max(if tries < TRIALS_OUT { self.outage.next_trial_at } else { f64::INFINITY });
         }
         match (now < open_at, trial) {
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/choice/refusal.rs
@@ -48,7 +48,7 @@
         // What is out still once one has been refused is what a place without a limit takes at once.
         if pace.unlimited {
             let least = refusals.current_concurrency_limit(now).map_or(1.0, |calls| calls * PACE_CUT);
-            refusals.concurrency_limit = Some(((self.calls_in_flight as f64).max(least), now));
+            refusals.concurrency_limit = Some(((self.in_flight as f64).max(least), now));
         }
         let again = refusals.count_overload(now, latency);
         let own = pace.own_capacity();
