--- a/crates/node/src/space.rs
+++ b/crates/node/src/compaction.rs
@@ -8,7 +8,7 @@
 
 /// What the steps took.
 #[derive(Default)]
-pub struct Space {
+pub struct Compactor {
     steps: u64,
     time: Duration,
     longest: Duration,
@@ -16,39 +16,39 @@
     told: (u64, u64),
 }
 
-impl Space {
+impl Compactor {
     /// One step, where there is work.
-    pub fn work(&mut self, node: &Node) {
+    pub fn step(&mut self, node: &Node) {
         let begun = Instant::now();
         let mut journal = node.journal.borrow_mut();
-        match journal.step() {
+        match journal.compact_step() {
             Ok(false) => {}
             Ok(true) => {
                 let took = begun.elapsed();
                 (self.steps, self.time, self.longest) =
                     (self.steps + 1, self.time + took, self.longest.max(took));
             }
-            Err(error) => node.record(Err(error)),
+            Err(error) => node.observe_journal_write(Err(error)),
         }
-        let counts = journal.counts();
+        let counts = journal.counters();
         let since = *self.reported.get_or_insert(begun);
-        if begun - since >= REPORT && self.told != (counts.removed, counts.refused) {
-            (self.reported, self.told) = (Some(begun), (counts.removed, counts.refused));
+        if begun - since >= REPORT && self.told != (counts.segments_removed, counts.rejected_messages) {
+            (self.reported, self.told) = (Some(begun), (counts.segments_removed, counts.rejected_messages));
             let segments = journal.segments();
             let (bytes, live) =
                 segments.iter().fold((0, 0), |(b, l), (_, length, live)| (b + length, l + live));
-            log::line(format_args!(
+            log::info_limited(format_args!(
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
                  {:.3} ms on average and {:.3} at most; {} removed, {} messages refused for room, {} calls failed",
                 segments.len(),
-                counts.written,
-                counts.copied,
+                counts.bytes_written,
+                counts.bytes_copied,
                 self.steps,
                 self.time.as_secs_f64() * 1e3 / self.steps.max(1) as f64,
                 self.longest.as_secs_f64() * 1e3,
-                counts.removed,
-                counts.refused,
-                counts.failed
+                counts.segments_removed,
+                counts.rejected_messages,
+                counts.failed_calls
             ));
         }
     }
