--- a/crates/waydoor/src/choice/answers.rs
+++ b/crates/waydoor/src/choice/answers.rs
@@ -1,11 +1,11 @@
 //! Final answers: what is given up on, when, and what its client may make of it.
 //! Guards messages against an end that comes late or promises too much. Harm: some are given up too early.
 
-use super::outage::TRIAL;
+use super::outage::FIRST_TRIAL_INTERVAL_SECONDS;
 use super::*;
 
 /// Time kept before the deadline for the final answer.
-pub(super) const ANSWER_MARGIN: f64 = 0.03;
+pub(super) const ANSWER_MARGIN_SECONDS: f64 = 0.03;
 
 impl Dispatcher {
     /// Final answers: refused where that is lawful, else failed.
@@ -21,8 +21,9 @@
                 continue;
             };
             let usual = self.destinations.get(&parcel.message.destination);
-            let usual =
-                usual.map_or(UNKNOWN_LATENCY, |d| d.target.stats.expected_latency(now)).max(ANSWER_MARGIN);
+            let usual = usual
+                .map_or(DEFAULT_LATENCY_SECONDS, |d| d.target.stats.expected_latency(now))
+                .max(ANSWER_MARGIN_SECONDS);
             let last =
                 self.before_shutdown((parcel.message.deadline - usual).min(self.key_expires_at(parcel)));
             let effect = self.settings.classes[parcel.message.class].effect;
@@ -37,7 +38,9 @@
 
     /// When a client should come again: once the destination is open and has served what it holds.
     pub fn retry_after(&self, now: Seconds, destination: DestinationId) -> Seconds {
-        let Some(destination) = self.destinations.get(&destination) else { return TRIAL };
+        let Some(destination) = self.destinations.get(&destination) else {
+            return FIRST_TRIAL_INTERVAL_SECONDS;
+        };
         let lane = &destination.target;
         let closed = match lane.admission(now, &self.settings.slow_start) {
             Admission::ClosedUntil(until) if until.is_finite() => until - now,
@@ -55,6 +58,6 @@
         let harmless = !parcel.undeliverable && (repeats || parcel.may_have_run.is_none());
         actions.push(if harmless { Action::Reject(id) } else { Action::Fail(id) });
         parcel.done = true;
-        self.remove_if_settled(id, ENDED_KEPT);
+        self.remove_if_settled(id, MAX_ENDED_MESSAGES);
     }
 }
--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/choice/attempts.rs
@@ -1,92 +1,104 @@
-//! Attempts: the endpoint for a message, how long a call may take, whether there is another, the end.
-//! Guards against calls where none may go, twice, or without an end. Harm: some are given up too early.
+//! Attempts: selects the endpoint for a message, limits the time of a call, and handles the end of an
+//! attempt.
+//!
+//! Prevents calls to endpoints that must get none, second calls that could take effect twice, and calls
+//! without an end. The cost is that some calls are given up too early.
 
-use super::answers::ANSWER_MARGIN;
-use super::connections::{CONNECT_COST, IDLE_UNSAFE};
-use super::order::SAMPLE;
-use super::outage::{SILENT_LEAST, SILENT_MEANS, TRIAL, TRIAL_MOST};
+use super::answers::ANSWER_MARGIN_SECONDS;
+use super::connections::{CONNECT_COST_SECONDS, MAX_IDLE_FOR_UNSAFE_SECONDS};
+use super::order::SAMPLE_WEIGHT;
+use super::outage::{
+    FIRST_TRIAL_INTERVAL_SECONDS, MAX_TRIAL_INTERVAL_SECONDS, MIN_SILENCE_SECONDS, SILENCE_LATENCY_MULTIPLE,
+};
 use super::*;
 
-/// Calls vary widely around their mean; one in hundreds lasts longer than this many means.
-pub(super) const TIMEOUT_MEANS: f64 = 8.0;
-/// No time-out is shorter: connecting and one pause of the other side fit into it.
-pub(super) const TIMEOUT_LEAST: f64 = 0.8;
-/// Share of `TIMEOUT_LEAST` for a call that takes the last slot. Guards against silent ones. Harm: repeats.
-const TIMEOUT_BUSY: f64 = 0.5;
-/// Each failure in a row doubles the time-out, up to this often: slow is told from silent by waiting longer.
-const TIMEOUT_DOUBLES: u32 = 3;
-/// A call is broken off after this many means and this time, where others overtook it and its slot is wanted.
-const OVERTAKEN_MEANS: f64 = 7.0;
-const OVERTAKEN_LEAST: f64 = 0.3;
-/// Share of failures above which nothing unsafe is risked.
-const UNSAFE_SHARE: f64 = 0.3;
-/// Time that a send takes to arrive, kept before the end of a key's memory.
-const KEY_MARGIN: f64 = 0.25;
+/// Latencies vary widely around their mean; one call in some hundreds takes longer than this many means.
+pub(super) const TIMEOUT_LATENCY_MULTIPLE: f64 = 8.0;
+/// Shortest time-out: it leaves time for connecting and for one pause of the endpoint.
+pub(super) const MIN_TIMEOUT_SECONDS: f64 = 0.8;
+/// Share of the shortest time-out for a call that takes the last slot, so that unanswered calls do not fill
+/// the slots. The cost is repeated calls.
+const LAST_SLOT_TIMEOUT_SHARE: f64 = 0.5;
+/// Each consecutive failure doubles the time-out, at most this often: waiting longer tells a slow endpoint
+/// from one that does not answer.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
+/// A call that later ones overtook is cancelled after this multiple of the mean latency, but not before this
+/// time, if its slot is needed.
+const OVERTAKEN_LATENCY_MULTIPLE: f64 = 7.0;
+const MIN_OVERTAKEN_SECONDS: f64 = 0.3;
+/// No unsafe message is sent to a target with a larger share of failures.
+const MAX_FAILURE_SHARE_FOR_UNSAFE: f64 = 0.3;
+/// Time reserved for the request to arrive before its idempotency key expires.
+const KEY_EXPIRY_MARGIN_SECONDS: f64 = 0.25;
 
 impl Dispatcher {
     pub(super) fn attempt_ended(&mut self, now: Seconds, end: AttemptEnd) {
-        let Some(parcel) = self.messages.get_mut(&end.id) else { return };
-        let Some(flight) = parcel.in_flight.filter(|_| parcel.attempts == end.attempt + 1) else { return };
-        parcel.in_flight = None;
+        let Some(state) = self.messages.get_mut(&end.id) else { return };
+        let Some(attempt) = state.in_flight.filter(|_| state.attempts == end.attempt + 1) else { return };
+        state.in_flight = None;
         if end.outcome == Outcome::NotRecorded {
-            parcel.attempts -= 1;
+            state.attempts -= 1;
             self.journal.write_failed(now);
         }
-        let (sent_at, messages) =
-            self.calls.get(&flight.call).map_or((now, 1), |call| (call.sent_at, call.message_count));
+        let (sent_at, message_count) =
+            self.calls.get(&attempt.call).map_or((now, 1), |call| (call.sent_at, call.message_count));
         if end.outcome == Outcome::InvalidRequest {
-            // One bad message turns away its whole call.
-            (parcel.unbatched, parcel.undeliverable) = (true, messages == 1);
+            // One invalid message causes the rejection of its whole call.
+            (state.unbatched, state.undeliverable) = (true, message_count == 1);
         } else if !end.outcome.never_ran() {
-            let zone = self.endpoints.get(&flight.endpoint).map_or(0, |e| e.zone);
-            parcel.may_have_run.get_or_insert((sent_at, zone));
+            let zone = self.endpoints.get(&attempt.endpoint).map_or(0, |e| e.zone);
+            state.may_have_run.get_or_insert((sent_at, zone));
         }
-        parcel.done |= end.settled || end.outcome == Outcome::Served;
+        state.done |= end.settled || end.outcome == Outcome::Served;
         if matches!(end.outcome, Outcome::TimedOut | Outcome::ConnectionReset | Outcome::Cancelled)
-            && let Some(line) = parcel.message.key.and_then(|key| self.key_queues.get_mut(&key))
+            && let Some(queue) = state.message.key.and_then(|key| self.key_queues.get_mut(&key))
         {
-            line.cooldown_until = line.cooldown_until.max(now + self.settings.order_key_cooldown);
+            queue.cooldown_until = queue.cooldown_until.max(now + self.settings.order_key_cooldown);
         }
-        let (over, message) = (parcel.done, parcel.message);
-        if over {
-            self.remove_if_settled(end.id, ENDED_KEPT)
+        let (done, message) = (state.done, state.message);
+        if done {
+            self.remove_if_settled(end.id, MAX_ENDED_MESSAGES)
         } else {
             self.enqueue(&message)
         }
-        self.apply_retry_after(now, flight.endpoint, end.retry_after.unwrap_or(0.0));
-        let Some(Call { connection_idle: idle, deadline_limited: cut, .. }) = self.leave_call(flight) else {
-            return;
-        };
+        self.apply_retry_after(now, attempt.endpoint, end.retry_after.unwrap_or(0.0));
+        let Some(Call { connection_idle, deadline_limited, .. }) = self.leave_call(attempt) else { return };
         if end.outcome == Outcome::Served && self.last_stall_at != now {
-            self.mean_latency += SAMPLE * (end.latency - self.mean_latency) * 0.5;
+            self.mean_latency += SAMPLE_WEIGHT * (end.latency - self.mean_latency) * 0.5;
         }
-        // An endpoint may close what is idle. Guards against taking closed connections for an outage.
-        let closed_idle = end.connection_reused && end.outcome == Outcome::ConnectionReset;
+        // An endpoint may close an idle connection; that is not an outage.
+        let idle_connection_closed = end.connection_reused && end.outcome == Outcome::ConnectionReset;
         let unsent = matches!(end.outcome, Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotRecorded);
-        if closed_idle || unsent {
-            self.for_each_call_target(flight.endpoint, |lane, rule, _| lane.refund_call(now, rule));
+        if idle_connection_closed || unsent {
+            self.for_each_call_target(attempt.endpoint, |target, slow_start, _| {
+                target.refund_call(now, slow_start)
+            });
         }
         if end.outcome == Outcome::NotSent && end.settled || end.outcome == Outcome::NotRecorded {
-            self.for_each_call_target(flight.endpoint, |lane, _, _| lane.allow_trial_now(now));
+            self.for_each_call_target(attempt.endpoint, |target, _, _| target.allow_trial_now(now));
         }
-        // What its message's time cut off was not given the time that the place is due. Harm: others tell.
-        let outcome = if cut && end.outcome == Outcome::TimedOut { Outcome::Cancelled } else { end.outcome };
-        if self.update_idle_connection(now, flight.endpoint, end.outcome, idle, end.connection_kept)
-            && !closed_idle
+        // A call that ended early at its message's deadline did not get its full time-out, so it is no
+        // evidence of an outage; other calls are.
+        let outcome = if deadline_limited && end.outcome == Outcome::TimedOut {
+            Outcome::Cancelled
+        } else {
+            end.outcome
+        };
+        if self.track_idle_connection(
+            now,
+            attempt.endpoint,
+            end.outcome,
+            connection_idle,
+            end.connection_kept,
+        ) && !idle_connection_closed
         {
-            self.record_call_outcome(
-                now,
-                flight.endpoint,
-                outcome,
-                end.latency,
-                end.rate_limit_report,
-                false,
-            );
+            self.record_outcome(now, attempt.endpoint, outcome, end.latency, end.rate_limit_report, false);
         }
-        self.remove_if_unlisted(flight.endpoint);
+        self.remove_if_unlisted(attempt.endpoint);
     }
 
-    /// A call that later ones overtook is broken off for its slot. Harm: what was only slow goes twice.
+    /// Cancels calls that later ones overtook, to free their slots. The cost is that a call which was only
+    /// slow is repeated.
     pub(super) fn cancel_overtaken(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         if !self.settings.cancel
             || self.calls.len() < self.settings.max_concurrent_calls
@@ -94,10 +106,11 @@
         {
             return;
         }
-        for (id, attempt, call, TargetState { stats: service, outage, .. }) in self.single_message_calls() {
-            let long = (OVERTAKEN_MEANS * service.expected_latency(now)).max(OVERTAKEN_LEAST);
-            let passed = outage.last_success_sent_at - call.sent_at;
-            let overtaken = now - call.sent_at >= long && passed >= long / 2.0;
+        for (id, attempt, call, TargetState { stats, outage, .. }) in self.single_message_calls() {
+            let min_age =
+                (OVERTAKEN_LATENCY_MULTIPLE * stats.expected_latency(now)).max(MIN_OVERTAKEN_SECONDS);
+            let overtaken_by = outage.last_success_sent_at - call.sent_at;
+            let overtaken = now - call.sent_at >= min_age && overtaken_by >= min_age / 2.0;
             if overtaken && !call.carries_unsafe && !std::mem::replace(&mut call.cancelled, true) {
                 actions.push(Action::CancelAttempt { id, attempt });
             }
@@ -106,168 +119,188 @@
 
     /// How long an attempt at an endpoint may take.
     fn call_timeout(&self, now: Seconds, class: usize, endpoint: EndpointId) -> Seconds {
-        let known =
+        let stats =
             |e: &Endpoint| (e.target.stats.expected_latency(now), e.target.outage.consecutive_failures);
-        let (latency, fails) = self.endpoints.get(&endpoint).map_or((UNKNOWN_LATENCY, 0), known);
-        let busy = match self.settings.classes[class].effect {
-            // Its time-out would be its end, and an answer may come while it lives. Harm: a slot is kept.
+        let (latency, failures) = self.endpoints.get(&endpoint).map_or((DEFAULT_LATENCY_SECONDS, 0), stats);
+        let slot_factor = match self.settings.classes[class].effect {
+            // A time-out would end the message for good, while an answer may still come before the deadline.
+            // The cost is an occupied slot.
             Effect::Unsafe => return self.settings.classes[class].deadline,
-            _ if self.calls.len() >= self.settings.max_concurrent_calls => TIMEOUT_BUSY,
+            _ if self.calls.len() >= self.settings.max_concurrent_calls => LAST_SLOT_TIMEOUT_SHARE,
             _ => 1.0,
         };
-        let stretch = 2f64.powi(fails.min(TIMEOUT_DOUBLES) as i32);
-        stretch * (TIMEOUT_MEANS * latency).max(TIMEOUT_LEAST * busy)
+        let retry_factor = 2f64.powi(failures.min(MAX_TIMEOUT_DOUBLINGS) as i32);
+        retry_factor * (TIMEOUT_LATENCY_MULTIPLE * latency).max(MIN_TIMEOUT_SECONDS * slot_factor)
     }
 
     pub(super) fn send(
         &mut self, now: Seconds, id: MessageId, endpoint: EndpointId, call: u64, actions: &mut Vec<Action>,
     ) {
         self.dequeue(id);
-        let Some(class) = self.messages.get(&id).map(|parcel| parcel.message.class) else { return };
+        let Some(class) = self.messages.get(&id).map(|state| state.message.class) else { return };
         let timeout = self.call_timeout(now, class, endpoint);
-        let Some(parcel) = self.messages.get_mut(&id) else { return };
-        let left = (parcel.message.deadline - ANSWER_MARGIN - now).max(0.001);
-        let attempt = parcel.attempts;
-        (parcel.attempts, parcel.in_flight) = (attempt + 1, Some(CallRef { endpoint, call }));
+        let Some(state) = self.messages.get_mut(&id) else { return };
+        let remaining = (state.message.deadline - ANSWER_MARGIN_SECONDS - now).max(0.001);
+        let attempt = state.attempts;
+        (state.attempts, state.in_flight) = (attempt + 1, Some(CallRef { endpoint, call }));
         if let Some(call) = self.calls.get_mut(&call) {
             (call.message_count, call.pending_messages, call.last_message) =
                 (call.message_count + 1, call.pending_messages + 1, id);
-            call.deadline_limited |= left < timeout;
+            call.deadline_limited |= remaining < timeout;
         }
-        let (timeout, alone) = (timeout.min(left), parcel.unbatched);
-        actions.push(Action::Send { id, endpoint, attempt, timeout, unbatched: alone });
+        let (timeout, unbatched) = (timeout.min(remaining), state.unbatched);
+        actions.push(Action::Send { id, endpoint, attempt, timeout, unbatched });
     }
 
     pub(super) fn open_call(
-        &mut self, now: Seconds, endpoint: EndpointId, risky: bool, actions: &mut Vec<Action>,
+        &mut self, now: Seconds, endpoint: EndpointId, carries_unsafe: bool, actions: &mut Vec<Action>,
     ) -> u64 {
-        self.for_each_call_target(endpoint, |lane, rule, rng| lane.book_call(now, rule, rng));
-        let (mut idle, mut at) = (0.0, SILENT_LEAST);
+        self.for_each_call_target(endpoint, |target, slow_start, rng| target.book_call(now, slow_start, rng));
+        let (mut connection_idle, mut silence_limit) = (0.0, MIN_SILENCE_SECONDS);
         if let Some(e) = self.endpoints.get_mut(&endpoint) {
-            idle = e.idle_since.take().filter(|_| e.target.in_flight == 0).map_or(0.0, |since| now - since);
+            connection_idle =
+                e.idle_since.take().filter(|_| e.target.in_flight == 0).map_or(0.0, |since| now - since);
             (e.target.in_flight, e.last_call_at) = (e.target.in_flight + 1, now);
-            at = at.max(SILENT_MEANS * e.target.stats.expected_latency(now));
+            silence_limit =
+                silence_limit.max(SILENCE_LATENCY_MULTIPLE * e.target.stats.expected_latency(now));
             if let Some(destination) = self.destinations.get_mut(&e.destination) {
                 destination.target.in_flight += 1;
-                at = at.min(SILENT_LEAST.max(SILENT_MEANS * destination.target.stats.expected_latency(now)));
+                silence_limit = silence_limit.min(
+                    MIN_SILENCE_SECONDS
+                        .max(SILENCE_LATENCY_MULTIPLE * destination.target.stats.expected_latency(now)),
+                );
             }
         }
-        if risky && idle > IDLE_UNSAFE {
+        if carries_unsafe && connection_idle > MAX_IDLE_FOR_UNSAFE_SECONDS {
             actions.push(Action::CloseIdle(endpoint));
-            idle = 0.0;
+            connection_idle = 0.0;
         }
-        self.next_silence_check_at = self.next_silence_check_at.min(now + at);
+        self.next_silence_check_at = self.next_silence_check_at.min(now + silence_limit);
         self.last_number += 1;
-        self.calls.insert(self.last_number, Call::new(endpoint, now, idle, risky));
+        self.calls.insert(self.last_number, Call::new(endpoint, now, connection_idle, carries_unsafe));
         self.last_number
     }
 
-    /// The endpoint for a message, and whether it is a trial; or when to look again, and what to probe.
+    /// Selects the endpoint for a message and tells whether the call is a trial; otherwise returns when to
+    /// try again and which endpoint to probe.
     pub(super) fn select_endpoint(
-        &self, now: Seconds, parcel: &MessageState,
+        &self, now: Seconds, state: &MessageState,
     ) -> Result<(EndpointId, bool), (Seconds, Option<EndpointId>)> {
-        let rule = &self.settings.slow_start;
-        let destination = self.destinations.get(&parcel.message.destination);
+        let slow_start = &self.settings.slow_start;
+        let destination = self.destinations.get(&state.message.destination);
         let Some(destination) = destination else { return Err((f64::INFINITY, None)) };
-        let risky = self.settings.classes[parcel.message.class].effect == Effect::Unsafe;
-        let alone_at = if risky { self.unsafe_trial_at(parcel, destination) } else { 0.0 };
-        let mut whole_trial = false;
+        let is_unsafe = self.settings.classes[state.message.class].effect == Effect::Unsafe;
+        let unsafe_trial_at = if is_unsafe { self.unsafe_trial_at(state, destination) } else { 0.0 };
+        let mut destination_trial = false;
         if !destination.independent_endpoints {
-            match destination.target.admission(now, rule) {
+            match destination.target.admission(now, slow_start) {
                 Admission::ClosedUntil(until) => return Err((until, None)),
-                Admission::TrialOnly => whole_trial = true,
+                Admission::TrialOnly => destination_trial = true,
                 Admission::Open => {}
             }
         }
         let mut best: Option<(bool, f64, EndpointId)> = None;
-        let mut wake = f64::INFINITY;
+        let mut wake_at = f64::INFINITY;
         let mut probe = None;
         for id in &destination.endpoints {
-            let Some(endpoint) = self.endpoints.get(id).filter(|_| self.is_eligible(parcel, *id)) else {
-                continue;
-            };
-            // A call that outlives this process may have run and nobody knows: it is left to the next life.
-            if now + self.call_timeout(now, parcel.message.class, *id) > self.shutdown_at {
+            let Some(endpoint) = self.endpoints.get(id).filter(|_| self.allows(state, *id)) else { continue };
+            // A call that outlasts this process may have run without anyone knowing: it is left to the next
+            // process.
+            if now + self.call_timeout(now, state.message.class, *id) > self.shutdown_at {
                 continue;
             }
-            // Where the place as a whole is out or cold, its own budget binds; endpoints only pause.
-            let whole =
+            // While the destination as a whole is unavailable or recovering, its own budget applies, and an
+            // endpoint is excluded only by its backoff or retry-after.
+            let destination_unhealthy =
                 !destination.independent_endpoints && destination.target.outage.health != Health::Healthy;
-            let paused = endpoint.target.backoff.backoff_until.max(endpoint.target.backoff.retry_after_until);
-            let gate = match endpoint.target.admission(now, rule) {
-                Admission::ClosedUntil(_) if whole && now >= paused => Admission::Open,
-                Admission::ClosedUntil(_) if whole => Admission::ClosedUntil(paused),
+            let paused_until =
+                endpoint.target.backoff.backoff_until.max(endpoint.target.backoff.retry_after_until);
+            let admission = match endpoint.target.admission(now, slow_start) {
+                Admission::ClosedUntil(_) if destination_unhealthy && now >= paused_until => Admission::Open,
+                Admission::ClosedUntil(_) if destination_unhealthy => Admission::ClosedUntil(paused_until),
                 other => other,
             };
-            let trial = match gate {
+            let is_trial = match admission {
                 Admission::ClosedUntil(until) => {
-                    wake = wake.min(until);
+                    wake_at = wake_at.min(until);
                     continue;
                 }
                 Admission::TrialOnly => true,
-                Admission::Open => whole_trial,
+                Admission::Open => destination_trial,
             };
-            let lane = if destination.independent_endpoints { &endpoint.target } else { &destination.target };
-            let TargetState { outage, stats: service, in_flight: out, .. } = &endpoint.target;
-            if risky && trial && !outage.probe_succeeded && now < alone_at {
-                // An unsafe message is no trial: a probe goes first.
+            let limited =
+                if destination.independent_endpoints { &endpoint.target } else { &destination.target };
+            let TargetState { outage, stats, in_flight, .. } = &endpoint.target;
+            if is_unsafe && is_trial && !outage.probe_succeeded && now < unsafe_trial_at {
+                // An unsafe message must not be the trial: a probe is sent first.
                 probe = Some(*id).filter(|_| self.settings.probes);
-                wake = wake.min(alone_at);
+                wake_at = wake_at.min(unsafe_trial_at);
                 continue;
             }
-            if risky
-                && lane.stats.expected_failure_share(now) > UNSAFE_SHARE
+            if is_unsafe
+                && limited.stats.expected_failure_share(now) > MAX_FAILURE_SHARE_FOR_UNSAFE
                 && !outage.probe_succeeded
-                && now < alone_at
+                && now < unsafe_trial_at
             {
-                wake = wake.min(alone_at).min(now + TRIAL);
+                wake_at = wake_at.min(unsafe_trial_at).min(now + FIRST_TRIAL_INTERVAL_SECONDS);
                 continue;
             }
-            let idle = endpoint.idle_since.is_some() && *out == 0;
-            let cost = service.expected_latency(now) * (1.0 + *out as f64)
-                + if idle { 0.0 } else { CONNECT_COST }
-                + if endpoint.zone == self.settings.zone { 0.0 } else { CONNECT_COST };
-            // Trials of a place as a whole go round its endpoints: some may be back before others.
-            let cost = if whole_trial { endpoint.last_call_at } else { cost };
-            let cost = if whole && outage.health == Health::Unavailable { cost + TRIAL_MOST } else { cost };
-            // A due trial of one endpoint goes first, or its recovery would never be seen.
-            let trial = trial && !whole;
-            if best.is_none_or(|(t, c, _)| (trial && !t) || (trial == t && cost < c)) {
-                best = Some((trial, cost, *id));
+            let has_idle_connection = endpoint.idle_since.is_some() && *in_flight == 0;
+            let cost = stats.expected_latency(now) * (1.0 + *in_flight as f64)
+                + if has_idle_connection { 0.0 } else { CONNECT_COST_SECONDS }
+                + if endpoint.zone == self.settings.zone { 0.0 } else { CONNECT_COST_SECONDS };
+            // Trials of a destination rotate over its endpoints, since some may recover before others.
+            let cost = if destination_trial { endpoint.last_call_at } else { cost };
+            let cost = if destination_unhealthy && outage.health == Health::Unavailable {
+                cost + MAX_TRIAL_INTERVAL_SECONDS
+            } else {
+                cost
+            };
+            // A due trial of one endpoint has precedence; otherwise its recovery would never be noticed.
+            let is_trial = is_trial && !destination_unhealthy;
+            if best.is_none_or(|(t, c, _)| (is_trial && !t) || (is_trial == t && cost < c)) {
+                best = Some((is_trial, cost, *id));
             }
         }
-        best.map(|(trial, _, id)| (id, trial || whole_trial)).ok_or((wake, probe))
+        best.map(|(is_trial, _, id)| (id, is_trial || destination_trial)).ok_or((wake_at, probe))
     }
 
-    /// From when on an unsafe message is a trial after all, where nothing else opens a place. Harm: its loss.
-    fn unsafe_trial_at(&self, parcel: &MessageState, destination: &Destination) -> Seconds {
-        let only = !self.settings.probes && destination.queued_unsafe == destination.queued.len();
-        if only {
-            parcel.accepted_at + self.settings.classes[parcel.message.class].target_latency
+    /// From when on an unsafe message may be the trial after all, if no other message and no probe can be.
+    /// The cost is that it may be lost.
+    fn unsafe_trial_at(&self, state: &MessageState, destination: &Destination) -> Seconds {
+        let only_unsafe_queued =
+            !self.settings.probes && destination.queued_unsafe == destination.queued.len();
+        if only_unsafe_queued {
+            state.accepted_at + self.settings.classes[state.message.class].target_latency
         } else {
             f64::INFINITY
         }
     }
 
-    /// Whether a call may begin now that its connection is up. Guards waits, ends, times that came meanwhile.
+    /// Whether a call may still start, now that its connection is open: retry-after, ends and deadlines may
+    /// have changed meanwhile.
     pub fn may_start_call(&self, now: Seconds, endpoint: EndpointId, ids: &[MessageId]) -> bool {
-        let waits = self.limited_target(endpoint).is_some_and(|lane| lane.backoff.retry_after_until > now);
-        let in_time = |p: &MessageState| !p.done && now < p.message.deadline.min(self.key_expires_at(p));
-        !waits && ids.iter().all(|id| self.messages.get(id).is_some_and(in_time))
+        let must_wait =
+            self.limited_target(endpoint).is_some_and(|target| target.backoff.retry_after_until > now);
+        let in_time = |state: &MessageState| {
+            !state.done && now < state.message.deadline.min(self.key_expires_at(state))
+        };
+        !must_wait && ids.iter().all(|id| self.messages.get(id).is_some_and(in_time))
     }
 
-    /// Until when a message may go out by the memory of its key.
-    pub(super) fn key_expires_at(&self, parcel: &MessageState) -> Seconds {
-        match (self.settings.classes[parcel.message.class].effect, parcel.may_have_run) {
-            (Effect::Keyed { window, .. }, Some((first, _))) => first + window - KEY_MARGIN,
+    /// Until when a message may be sent again before the receiver forgets its key.
+    pub(super) fn key_expires_at(&self, state: &MessageState) -> Seconds {
+        match (self.settings.classes[state.message.class].effect, state.may_have_run) {
+            (Effect::Keyed { window, .. }, Some((first, _))) => first + window - KEY_EXPIRY_MARGIN_SECONDS,
             _ => f64::INFINITY,
         }
     }
 
-    /// Whether the list and the memory of keys let a message go to an endpoint.
-    pub(super) fn is_eligible(&self, parcel: &MessageState, endpoint: EndpointId) -> bool {
+    /// Whether the list of endpoints and the zone that remembers the message's key allow a call to an
+    /// endpoint.
+    pub(super) fn allows(&self, state: &MessageState, endpoint: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&endpoint).filter(|e| e.ready) else { return false };
-        match (self.settings.classes[parcel.message.class].effect, parcel.may_have_run) {
+        match (self.settings.classes[state.message.class].effect, state.may_have_run) {
             (Effect::Keyed { by_zone: true, .. }, Some((_, zone))) => zone == endpoint.zone,
             _ => true,
         }
--- a/crates/waydoor/src/choice/listing.rs
+++ b/crates/waydoor/src/choice/listing.rs
@@ -1,19 +1,19 @@
 //! The list of endpoints: taking it, and asking for it.
 //! Guards the rule on drains, and discovery against a fleet that asks in one moment. Harm: late news.
 
-use super::pace::FEW;
+use super::pace::SMALL_FLEET_SIZE;
 use super::*;
 
-/// First pause before asking for the list again; doubles up to `ASK_MOST`.
-pub(super) const ASK: f64 = 0.3;
+/// First pause before asking for the list again; doubles up to `MAX_SUBSCRIBE_BACKOFF_SHARE`.
+pub(super) const FIRST_SUBSCRIBE_BACKOFF_SECONDS: f64 = 0.3;
 /// Longest mean pause before asking again, and wait for an answer, as a share of the rule's time.
-pub(super) const ASK_MOST: f64 = 0.5;
+pub(super) const MAX_SUBSCRIBE_BACKOFF_SHARE: f64 = 0.5;
 /// Many dispatchers spread what they ask over this share of the rule's time: enough for one call of each.
-const ASK_SPREAD: f64 = 0.8;
+const SUBSCRIBE_SPREAD_SHARE: f64 = 0.8;
 /// A standing subscription is asked for anew after this share of the rule's time, in case it died unseen.
-const ASK_AGAIN: f64 = 0.8;
+const RENEWAL_SHARE: f64 = 0.8;
 /// A destination without endpoints, messages or demand for so long is forgotten.
-const DESTINATION_KEPT: f64 = 120.0;
+const UNUSED_DESTINATION_SECONDS: f64 = 120.0;
 
 impl Dispatcher {
     pub(super) fn apply_list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, whole: bool) {
@@ -21,12 +21,14 @@
         if self.subscribe_sent {
             self.subscription_confirmed(now);
         }
-        self.update_endpoints(entries, whole, UNKNOWN_LATENCY);
+        self.update_endpoints(entries, whole, DEFAULT_LATENCY_SECONDS);
         for number in self.recovered_outages.clone() {
             self.restore_outage(now, number);
         }
         self.destinations.retain(|_, d| {
-            !(d.endpoints.is_empty() && d.queued.is_empty() && now - d.demand.updated_at > DESTINATION_KEPT)
+            !(d.endpoints.is_empty()
+                && d.queued.is_empty()
+                && now - d.demand.updated_at > UNUSED_DESTINATION_SECONDS)
         });
     }
 
@@ -40,17 +42,22 @@
         }
         if now >= self.next_subscribe_at {
             actions.push(Action::Subscribe);
-            (self.next_subscribe_at, self.subscribe_sent) =
-                (now + ASK_MOST * self.settings.discovery_mode.max_renewal_interval(), true);
+            (self.next_subscribe_at, self.subscribe_sent) = (
+                now + MAX_SUBSCRIBE_BACKOFF_SHARE * self.settings.discovery_mode.max_renewal_interval(),
+                true,
+            );
         }
         *wake = wake.min(self.next_subscribe_at);
     }
 
     /// When it is the own turn to ask, by seeded chance: a line that outlasts all patience serves nobody.
     pub(super) fn subscribe_jitter(&mut self) -> Seconds {
-        let crowd = (1.0 - FEW / f64::from(self.settings.dispatcher_count)).max(0.0);
+        let crowd = (1.0 - SMALL_FLEET_SIZE / f64::from(self.settings.dispatcher_count)).max(0.0);
         if crowd > 0.0 {
-            crowd * ASK_SPREAD * self.settings.discovery_mode.max_renewal_interval() * self.rng.f64()
+            crowd
+                * SUBSCRIBE_SPREAD_SHARE
+                * self.settings.discovery_mode.max_renewal_interval()
+                * self.rng.f64()
         } else {
             0.0
         }
@@ -58,6 +65,6 @@
 
     pub(super) fn subscription_confirmed(&mut self, now: Seconds) {
         (self.next_subscribe_at, self.failed_subscribes) =
-            (now + ASK_AGAIN * self.settings.discovery_mode.max_renewal_interval(), 0);
+            (now + RENEWAL_SHARE * self.settings.discovery_mode.max_renewal_interval(), 0);
     }
 }
--- a/crates/waydoor/src/choice/order.rs
+++ b/crates/waydoor/src/choice/order.rs
@@ -2,34 +2,34 @@
 //! Guards slots and room against what earns little, a sick or greedy destination, who is over a share.
 //! Harm: what ranks low waits, and is refused where room runs out.
 
-use super::outage::SICK_SHARE;
+use super::outage::UNHEALTHY_FAILURE_SHARE;
 use super::*;
 
 /// Weight of a new sample in a decayed mean: about the last five calls count.
-pub(super) const SAMPLE: f64 = 0.2;
+pub(super) const SAMPLE_WEIGHT: f64 = 0.2;
 /// Learned latency and failure shares fall back by half in this time: no old reading freezes anyone out.
-pub(super) const FORGET: f64 = 8.0;
+pub(super) const STATS_HALF_LIFE_SECONDS: f64 = 8.0;
 /// A destination is skipped once it holds this share of the slots (design page) ...
-const SLOT_SHARE: f64 = 0.75;
+const MAX_SLOT_SHARE: f64 = 0.75;
 /// ... or this one, if it fails or is slow.
-const SICK_SLOT_SHARE: f64 = 0.5;
+const MAX_UNHEALTHY_SLOT_SHARE: f64 = 0.5;
 /// Slow is this many times the mean of all destinations: well outside the spread of healthy ones.
-const SLOW_TIMES: f64 = 3.0;
+const SLOW_LATENCY_MULTIPLE: f64 = 3.0;
 /// What has less time left than this many means of a call may well not end in it.
-pub(super) const LAST_CALL: f64 = 2.0;
+pub(super) const LAST_CALL_LATENCY_MULTIPLE: f64 = 2.0;
 /// Places kept free for new messages: those refused at the door are not chosen by rank.
-const ROOM_KEPT: usize = 1;
+const RESERVED_MESSAGES: usize = 1;
 /// A customer's share is counted over this time: clumps that are no more than that are inside it.
-const SHARE_TIME: f64 = 10.0;
+const QUOTA_WINDOW_SECONDS: f64 = 10.0;
 
 impl ServiceStats {
     fn age_weight(&self, now: Seconds) -> f64 {
-        0.5f64.powf((now - self.updated_at).max(0.0) / FORGET)
+        0.5f64.powf((now - self.updated_at).max(0.0) / STATS_HALF_LIFE_SECONDS)
     }
 
     /// Expected service time; old readings age back to the unknown one.
     pub(super) fn expected_latency(&self, now: Seconds) -> f64 {
-        UNKNOWN_LATENCY + (self.mean_latency - UNKNOWN_LATENCY) * self.age_weight(now)
+        DEFAULT_LATENCY_SECONDS + (self.mean_latency - DEFAULT_LATENCY_SECONDS) * self.age_weight(now)
     }
 
     pub(super) fn expected_failure_share(&self, now: Seconds) -> f64 {
@@ -38,8 +38,8 @@
 
     pub(super) fn record_sample(&mut self, now: Seconds, latency: Option<f64>, failed: f64) {
         let (old, share) = (self.expected_latency(now), self.expected_failure_share(now));
-        self.mean_latency = latency.map_or(old, |l| old + SAMPLE * (l - old));
-        self.failure_share = share + SAMPLE * (failed - share);
+        self.mean_latency = latency.map_or(old, |l| old + SAMPLE_WEIGHT * (l - old));
+        self.failure_share = share + SAMPLE_WEIGHT * (failed - share);
         self.updated_at = now;
     }
 }
@@ -83,7 +83,7 @@
             } else if !self.exceeds_slot_share(now, destination) {
                 let rate = self.service_rate(now, destination);
                 let parcels = destination.queued.iter().filter_map(|id| self.messages.get(id));
-                let usual = LAST_CALL * destination.target.stats.expected_latency(now);
+                let usual = LAST_CALL_LATENCY_MULTIPLE * destination.target.stats.expected_latency(now);
                 held.extend(parcels.map(|p| {
                     let late = p.message.deadline - now < usual;
                     (
@@ -127,7 +127,7 @@
                     && *alike == risky
                     && destination.endpoints.contains(endpoint)
                     && self.calls.get(call).is_some_and(|c| c.pending_messages < batch)
-                    && self.is_eligible(parcel, *endpoint)
+                    && self.allows(parcel, *endpoint)
             });
             let (endpoint, call) = if let Some(((endpoint, _), call)) = joined {
                 (*endpoint, *call)
@@ -167,14 +167,15 @@
     fn exceeds_slot_share(&self, now: Seconds, destination: &Destination) -> bool {
         let lane = &destination.target;
         let slots = self.settings.max_concurrent_calls as f64;
-        let slow = lane.stats.expected_latency(now) > SLOW_TIMES * self.mean_latency.max(UNKNOWN_LATENCY);
+        let slow = lane.stats.expected_latency(now)
+            > SLOW_LATENCY_MULTIPLE * self.mean_latency.max(DEFAULT_LATENCY_SECONDS);
         if slow
-            || lane.stats.expected_failure_share(now) > SICK_SHARE
+            || lane.stats.expected_failure_share(now) > UNHEALTHY_FAILURE_SHARE
             || lane.outage.health != Health::Healthy
         {
-            lane.in_flight > 0 && (lane.in_flight + 1) as f64 > SICK_SLOT_SHARE * slots
+            lane.in_flight > 0 && (lane.in_flight + 1) as f64 > MAX_UNHEALTHY_SLOT_SHARE * slots
         } else {
-            lane.in_flight as f64 >= SLOT_SHARE * slots
+            lane.in_flight as f64 >= MAX_SLOT_SHARE * slots
         }
     }
 
@@ -196,7 +197,7 @@
             // No new message is taken on, and an end that is not on record is forgotten by a kill.
             return;
         }
-        let excess = (self.messages.len() + ROOM_KEPT).saturating_sub(self.settings.max_messages);
+        let excess = (self.messages.len() + RESERVED_MESSAGES).saturating_sub(self.settings.max_messages);
         let mut ranked = Vec::new();
         for number in self.queued_destinations.iter().filter(|_| excess > 0) {
             let Some(destination) = self.destinations.get(number) else { continue };
@@ -216,7 +217,7 @@
     /// How a message would stand with its customer's share, evenly divided; none where no share binds.
     pub fn quota_status(&self, now: Seconds, tenant: usize) -> Option<QuotaStatus> {
         let own = self.settings.tenants.get(tenant)?.quota / f64::from(self.settings.dispatcher_count);
-        let most = (own * SHARE_TIME).max(1.0);
+        let most = (own * QUOTA_WINDOW_SECONDS).max(1.0);
         let purse = self
             .quota_balances
             .get(&tenant)
--- a/crates/waydoor/src/choice/outage.rs
+++ b/crates/waydoor/src/choice/outage.rs
@@ -1,43 +1,43 @@
 //! Outages and returns: when a place counts as out, who tries it, and how it is filled again.
 //! Guards a cold place against what is held, and messages against one that is out. Harm: false outages cost.
 
-use super::attempts::{TIMEOUT_LEAST, TIMEOUT_MEANS};
+use super::attempts::{MIN_TIMEOUT_SECONDS, TIMEOUT_LATENCY_MULTIPLE};
 use super::*;
 
 /// Unanswered for this many means, with nothing else served since, a destination is suspect.
-pub(super) const SILENT_MEANS: f64 = 5.0;
-/// And not before this time, for the same reason as `TIMEOUT_LEAST`.
-pub(super) const SILENT_LEAST: f64 = 1.2;
+pub(super) const SILENCE_LATENCY_MULTIPLE: f64 = 5.0;
+/// And not before this time, for the same reason as `MIN_TIMEOUT_SECONDS`.
+pub(super) const MIN_SILENCE_SECONDS: f64 = 1.2;
 /// Failures in a row that shut a destination: one may be chance ...
-const FAILS_TO_SHUT: u32 = 2;
+const MIN_FAILURE_ROW: u32 = 2;
 /// ... and so may more, at a place that always loses some calls: the row has less than this chance there.
-const ROW_CHANCE: f64 = 0.002;
+const MAX_FAILURE_ROW_CHANCE: f64 = 0.002;
 /// Weight of a call in the share that a place loses on usual days: fifty calls count, an outage hardly.
-const USUAL_SAMPLE: f64 = 0.02;
+const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
 /// A place that is not known to lose calls may lose this share, and no more is usual at any.
-const USUAL_LEAST: f64 = 0.02;
-const USUAL_MOST: f64 = 0.2;
+const MIN_BASELINE_LOSS: f64 = 0.02;
+const MAX_BASELINE_LOSS: f64 = 0.2;
 /// A gap between two served calls that is shorter is no outage: nothing restarts and goes cold so fast.
-const OUTAGE_LEAST: f64 = 1.0;
+const MIN_OUTAGE_SECONDS: f64 = 1.0;
 /// Share of failures above which it is out: the rule says most calls; this errs on the safe side.
-pub(super) const SICK_SHARE: f64 = 0.4;
-/// First interval between trials of a shut destination; it grows by a fifth each up to `TRIAL_MOST`.
-pub(super) const TRIAL: f64 = 0.5;
-pub(super) const TRIAL_MOST: f64 = 0.9;
+pub(super) const UNHEALTHY_FAILURE_SHARE: f64 = 0.4;
+/// First interval between trials of a shut destination; it grows by a fifth each up to `MAX_TRIAL_INTERVAL_SECONDS`.
+pub(super) const FIRST_TRIAL_INTERVAL_SECONDS: f64 = 0.5;
+pub(super) const MAX_TRIAL_INTERVAL_SECONDS: f64 = 0.9;
 /// Trials out at once: more would fill the slots while a place is silent.
-pub(super) const TRIALS_OUT: usize = 2;
+pub(super) const MAX_TRIALS_IN_FLIGHT: usize = 2;
 /// Share of the returning budget that is used: parts of uneven dispatchers may add up to more than the whole.
-const RAMP_SHARE: f64 = 0.9;
+const RECOVERY_BUDGET_USE: f64 = 0.9;
 /// The same for the trials of a few, before the return is found.
-const TRIAL_SHARE: f64 = 0.85;
+const TRIAL_BUDGET_USE: f64 = 0.85;
 /// The same before a crowd has found the return: new messages are trials besides.
-const CROWD_TRIALS: f64 = 0.65;
+const LARGE_FLEET_TRIAL_USE: f64 = 0.65;
 /// Those trials and the chances of new messages, which grow with the load, together.
-const CROWD_TRIES: f64 = 1.2;
+const LARGE_FLEET_TOTAL_USE: f64 = 1.2;
 /// The most that all together ask of a place, over its limit, as far as one's own load tells.
-const CROWD_LOAD_MOST: f64 = 1.5;
+const MAX_LARGE_FLEET_LOAD: f64 = 1.5;
 /// A gap between failure and success that is longer than this part of the cold time dates no return.
-const DATED_MOST: f64 = 0.5;
+const MAX_RECOVERY_GAP_SHARE: f64 = 0.5;
 
 impl TargetState {
     fn mark_unproven(&mut self, now: Seconds) {
@@ -54,7 +54,8 @@
 
     /// Each of a crowd spends its own part of the cold budget, by seeded chance. Harm: a return is seen late.
     pub(super) fn trial_interval(&self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) -> Seconds {
-        let alone = (TRIAL * 1.2f64.powi(self.outage.trial_count.min(8) as i32)).min(TRIAL_MOST);
+        let alone = (FIRST_TRIAL_INTERVAL_SECONDS * 1.2f64.powi(self.outage.trial_count.min(8) as i32))
+            .min(MAX_TRIAL_INTERVAL_SECONDS);
         let turn = 1.0 / self.recovery_budget(now, rule).1;
         let crowd =
             if self.rate_limiter.is_large_fleet() { turn } else { (turn - rule.overload_window).max(0.0) };
@@ -71,17 +72,18 @@
             * self.rate_limiter.total_capacity()
             * rule.overload_window;
         let slack = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
-        let chances = TRIAL_SHARE * allowed * self.rate_limiter.own_share / self.rate_limiter.even_share;
-        let trials = (TRIAL_SHARE * (allowed + slack) - chances).max(TRIAL_SHARE * allowed);
+        let chances = TRIAL_BUDGET_USE * allowed * self.rate_limiter.own_share / self.rate_limiter.even_share;
+        let trials = (TRIAL_BUDGET_USE * (allowed + slack) - chances).max(TRIAL_BUDGET_USE * allowed);
         rule.overload_window / (self.rate_limiter.even_share * trials)
     }
 
     /// The share of the budget that each of a crowd may use for trials: chances come on top, by its load.
     fn large_fleet_trial_share(&self) -> f64 {
         // Some get several times the mean: what they send is no measure of what all do.
-        CROWD_TRIALS.min(
-            CROWD_TRIES
-                / (1.0 + (self.rate_limiter.own_share / self.rate_limiter.even_share).min(CROWD_LOAD_MOST)),
+        LARGE_FLEET_TRIAL_USE.min(
+            LARGE_FLEET_TOTAL_USE
+                / (1.0
+                    + (self.rate_limiter.own_share / self.rate_limiter.even_share).min(MAX_LARGE_FLEET_LOAD)),
         )
     }
 
@@ -93,10 +95,16 @@
     /// While shut or cold: the share of a warm place's traffic that may go there; the own part.
     pub(super) fn recovery_budget(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
         let (warm, used) = match self.outage.health {
-            Health::Recovering(since) => (((now - since) / rule.warm_up_time).clamp(0.0, 1.0), RAMP_SHARE),
+            Health::Recovering(since) => {
+                (((now - since) / rule.warm_up_time).clamp(0.0, 1.0), RECOVERY_BUDGET_USE)
+            }
             _ => (
                 0.0,
-                if self.rate_limiter.is_large_fleet() { self.large_fleet_trial_share() } else { TRIAL_SHARE },
+                if self.rate_limiter.is_large_fleet() {
+                    self.large_fleet_trial_share()
+                } else {
+                    TRIAL_BUDGET_USE
+                },
             ),
         };
         let share = used
@@ -108,7 +116,10 @@
     /// A new message may go at once with the chance that keeps all dispatchers together inside the budget.
     pub(super) fn admit_by_chance(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
         let (share, own) = self.recovery_budget(now, rule);
-        if self.outage.health != Health::Healthy && own * TRIAL_MOST < 1.0 && rng.f64() < share {
+        if self.outage.health != Health::Healthy
+            && own * MAX_TRIAL_INTERVAL_SECONDS < 1.0
+            && rng.f64() < share
+        {
             (self.outage.next_trial_at, self.rate_limiter.next_send_at) = (now, now);
         }
     }
@@ -122,8 +133,8 @@
             Outcome::Served => {
                 self.stats.record_sample(now, Some(latency), 0.0);
                 // A short gap was a limit, lost calls or a full table of connections, not an outage.
-                let out =
-                    now - self.outage.last_success_at > OUTAGE_LEAST || self.stats.failure_share > SICK_SHARE;
+                let out = now - self.outage.last_success_at > MIN_OUTAGE_SECONDS
+                    || self.stats.failure_share > UNHEALTHY_FAILURE_SHARE;
                 self.update_baseline_loss(0.0);
                 let own = &mut self.outage;
                 own.last_success_sent_at = own.last_success_sent_at.max(now - latency);
@@ -140,8 +151,8 @@
                     // It is back since some time after the last failure, as likely early as late.
                     Health::Unavailable | Health::Suspect if out => {
                         let found = now - latency;
-                        let gap =
-                            (found - own.last_failure_sent_at).clamp(0.0, DATED_MOST * rule.warm_up_time);
+                        let gap = (found - own.last_failure_sent_at)
+                            .clamp(0.0, MAX_RECOVERY_GAP_SHARE * rule.warm_up_time);
                         own.recovery_seen_at = found;
                         Health::Recovering(found - gap / 2.0)
                     }
@@ -158,12 +169,15 @@
                 self.outage.consecutive_failures += u32::from(!stale);
                 let doubted = self.outage.health == Health::Unavailable && !stale;
                 // Guards against ramps after outages that were none. Harm: an outage costs a call more.
-                let lost = self.outage.baseline_loss.max(USUAL_LEAST);
-                let row = (FAILS_TO_SHUT as f64).max((ROW_CHANCE.ln() / lost.ln()).ceil());
+                let lost = self.outage.baseline_loss.max(MIN_BASELINE_LOSS);
+                let row = (MIN_FAILURE_ROW as f64).max((MAX_FAILURE_ROW_CHANCE.ln() / lost.ln()).ceil());
                 self.update_baseline_loss(1.0);
                 let OutageState { consecutive_failures: fails, baseline_loss: lost, health, .. } =
                     self.outage;
-                if f64::from(fails) >= row || self.stats.failure_share > SICK_SHARE + lost || doubted {
+                if f64::from(fails) >= row
+                    || self.stats.failure_share > UNHEALTHY_FAILURE_SHARE + lost
+                    || doubted
+                {
                     self.mark_unavailable(now, rule, rng);
                 } else if fails > 0 && self.rate_limiter.is_large_fleet() && health == Health::Healthy {
                     // One try more of each of a crowd is too much for a place that comes back cold.
@@ -185,8 +199,8 @@
     fn update_baseline_loss(&mut self, failed: f64) {
         if self.outage.health == Health::Healthy {
             self.outage.baseline_loss = (self.outage.baseline_loss
-                + USUAL_SAMPLE * (failed - self.outage.baseline_loss))
-                .min(USUAL_MOST);
+                + BASELINE_SAMPLE_WEIGHT * (failed - self.outage.baseline_loss))
+                .min(MAX_BASELINE_LOSS);
         }
     }
 
@@ -249,8 +263,9 @@
             let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { continue };
             let Some(destination) = self.destinations.get_mut(&endpoint.destination) else { continue };
             let since = call.sent_at.max(self.last_stall_at);
-            let due =
-                since + (TIMEOUT_MEANS * destination.target.stats.expected_latency(now)).max(TIMEOUT_LEAST);
+            let due = since
+                + (TIMEOUT_LATENCY_MULTIPLE * destination.target.stats.expected_latency(now))
+                    .max(MIN_TIMEOUT_SECONDS);
             if call.carries_unsafe && !call.overdue && now >= due {
                 // It is waited for, but others need not wait for it. Guards a place that is back against
                 // staying shut for as long as those messages live. Harm: slots, within the share.
@@ -261,11 +276,13 @@
                 self.next_silence_check_at = self.next_silence_check_at.min(due);
             }
             for lane in [&mut endpoint.target, &mut destination.target] {
-                let at = since + (SILENT_MEANS * lane.stats.expected_latency(now)).max(SILENT_LEAST);
+                let at = since
+                    + (SILENCE_LATENCY_MULTIPLE * lane.stats.expected_latency(now)).max(MIN_SILENCE_SECONDS);
                 let own = &mut lane.outage;
                 let silent = own.health == Health::Healthy && own.last_success_at < call.sent_at;
                 if silent && now >= at {
-                    (own.health, own.next_trial_at, own.trial_count) = (Health::Suspect, now + TRIAL, 0);
+                    (own.health, own.next_trial_at, own.trial_count) =
+                        (Health::Suspect, now + FIRST_TRIAL_INTERVAL_SECONDS, 0);
                 } else if silent {
                     self.next_silence_check_at = self.next_silence_check_at.min(at);
                 }
--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/choice/pace.rs
@@ -1,34 +1,34 @@
 //! The pace at a limit that many share.
 //! Guards a told limit against all dispatchers together: each keeps to a part. Harm: unused parts lie idle.
 
-use super::outage::TRIALS_OUT;
+use super::outage::MAX_TRIALS_IN_FLIGHT;
 use super::*;
 
 /// The pace grows by this share a second while nothing is refused.
-pub(super) const PACE_GROWTH: f64 = 0.15;
+pub(super) const RATE_GROWTH_PER_SECOND: f64 = 0.15;
 /// The pace never falls below this share of the own part, so that a small sender keeps its place.
-pub(super) const PACE_LEAST: f64 = 0.6;
+pub(super) const MIN_RATE_SHARE: f64 = 0.6;
 /// Time over which one of many may gather calls to send at once.
-const PACE_SPAN: f64 = 4.0;
+const BURST_WINDOW_SECONDS: f64 = 4.0;
 /// One of many grows by this part of it for each call that it expects to make.
-const PACE_CROWD_GROWTH: f64 = 0.2;
+const RATE_GROWTH_PER_CALL: f64 = 0.2;
 /// Calls that the pace lets through at once.
-const PACE_BURST: f64 = 2.0;
+const MAX_BURST_CALLS: f64 = 2.0;
 /// An answer that tells what is left for all moves the pace by this, times how far it is from ...
-const PACE_DRIFT: f64 = 0.1;
+const REPORT_GAIN: f64 = 0.1;
 /// ... what is left on the mean where a limit is all but used.
-const PACE_LEFT: f64 = 0.4;
+const MEAN_REMAINING_SHARE: f64 = 0.4;
 /// A pace that is not used tells nothing: it is no more than this times what is sent, or the fair one.
-const PACE_UNUSED: f64 = 1.5;
+const MAX_UNUSED_RATE_MULTIPLE: f64 = 1.5;
 /// Time over which the own sending rate is measured.
-const RATE_TIME: f64 = 3.0;
+const SEND_RATE_WINDOW_SECONDS: f64 = 3.0;
 /// So few dispatchers fill no table with unused connections, and the rule's slack covers a call of each.
-pub(super) const FEW: f64 = 6.0;
+pub(super) const SMALL_FLEET_SIZE: f64 = 6.0;
 
 impl RateLimiter {
     /// What the place takes from all, and the own part of it, calls a second.
     pub(super) fn total_capacity(&self) -> f64 {
-        self.capacity.unwrap_or(SMALL_CAPACITY)
+        self.capacity.unwrap_or(DEFAULT_CAPACITY)
     }
 
     pub(super) fn own_capacity(&self) -> f64 {
@@ -37,12 +37,12 @@
 
     /// Whether so many dispatchers share the place that rates meant for one do not add up.
     pub(super) fn is_large_fleet(&self) -> bool {
-        self.even_share * FEW < 1.0
+        self.even_share * SMALL_FLEET_SIZE < 1.0
     }
 
     /// How much of a crowd all dispatchers are: 0 for a few, close to 1 for many.
     pub(super) fn fleet_factor(&self) -> f64 {
-        (1.0 - FEW * self.even_share).max(0.0)
+        (1.0 - SMALL_FLEET_SIZE * self.even_share).max(0.0)
     }
 
     /// The part taken of what all may do: an even one, or the own demand less that, which others leave.
@@ -53,13 +53,13 @@
     /// The pace before anything is learned: the own part, and the more above it the fewer they are.
     pub(super) fn initial_rate(&self) -> f64 {
         let whole = self.capacity.filter(|_| self.enforces_limit && !self.unlimited).unwrap_or(f64::INFINITY);
-        whole * self.budget_share() * (1.0 + FEW * self.even_share / self.fleet_factor())
+        whole * self.budget_share() * (1.0 + SMALL_FLEET_SIZE * self.even_share / self.fleet_factor())
     }
 
     /// It grows while nothing is refused; one of many by the calls that may be expected to have told of it.
     pub(super) fn current_rate(&self, now: Seconds) -> f64 {
-        let told = |rate: f64| 1.0 - self.fleet_factor() * (1.0 - PACE_CROWD_GROWTH * rate.min(1.0));
-        let grown = |rate: f64, at| rate * (1.0 + PACE_GROWTH * told(rate)).powf(now - at);
+        let told = |rate: f64| 1.0 - self.fleet_factor() * (1.0 - RATE_GROWTH_PER_CALL * rate.min(1.0));
+        let grown = |rate: f64, at| rate * (1.0 + RATE_GROWTH_PER_SECOND * told(rate)).powf(now - at);
         self.learned_rate.map_or(self.initial_rate(), |(rate, at)| grown(rate, at))
     }
 
@@ -77,16 +77,19 @@
         // What is left for all tells each of many what its own few calls can't.
         let pace = self.current_rate(now);
         if let Some(left) = told.remaining_share.filter(|_| self.fleet_factor() > 0.0 && pace.is_finite()) {
-            let moved = pace * (self.fleet_factor() * PACE_DRIFT * (left - PACE_LEFT)).exp();
-            let used =
-                self.initial_rate().max(PACE_UNUSED * self.sent_rate.value_at(now, RATE_TIME)).min(told.rate);
-            self.learned_rate = Some((moved.min(used).max(PACE_LEAST * self.even_share * told.rate), now));
+            let moved = pace * (self.fleet_factor() * REPORT_GAIN * (left - MEAN_REMAINING_SHARE)).exp();
+            let used = self
+                .initial_rate()
+                .max(MAX_UNUSED_RATE_MULTIPLE * self.sent_rate.value_at(now, SEND_RATE_WINDOW_SECONDS))
+                .min(told.rate);
+            self.learned_rate =
+                Some((moved.min(used).max(MIN_RATE_SHARE * self.even_share * told.rate), now));
         }
     }
 
     /// Calls at once: of many dispatchers, no more than their part of what a limit lets through in a while.
     pub(super) fn burst(&self, now: Seconds) -> f64 {
-        (PACE_SPAN * self.current_rate(now)).clamp(2.0 - self.fleet_factor(), PACE_BURST)
+        (BURST_WINDOW_SECONDS * self.current_rate(now)).clamp(2.0 - self.fleet_factor(), MAX_BURST_CALLS)
     }
 
     /// Its turn at a place that is new here comes at random. Guards a small limit against the first calls of
@@ -128,7 +131,11 @@
         let trial = matches!(self.outage.health, Health::Suspect | Health::Unavailable);
         if trial {
             let tries = self.in_flight.saturating_sub(self.overdue_calls);
-            open_at = open_at.max(if tries < TRIALS_OUT { self.outage.next_trial_at } else { f64::INFINITY });
+            open_at = open_at.max(if tries < MAX_TRIALS_IN_FLIGHT {
+                self.outage.next_trial_at
+            } else {
+                f64::INFINITY
+            });
         }
         match (now < open_at, trial) {
             (true, _) => Admission::ClosedUntil(open_at),
@@ -141,7 +148,7 @@
     pub(super) fn book_call(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
         let (rate, _) = self.allowed_rate(now, rule);
         self.rate_limiter.next_send_at = self.rate_limiter.next_send_at.max(now) + 1.0 / rate;
-        self.rate_limiter.sent_rate.record_event(now, RATE_TIME);
+        self.rate_limiter.sent_rate.record_event(now, SEND_RATE_WINDOW_SECONDS);
         if matches!(self.outage.health, Health::Suspect | Health::Unavailable) {
             self.outage.next_trial_at = now + self.trial_interval(now, rule, rng);
             (self.outage.trial_count, self.outage.probe_succeeded) = (self.outage.trial_count + 1, false);
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/choice/refusal.rs
@@ -1,33 +1,33 @@
 //! What a refusal means: a limit, a door that is shut, or a full house.
 //! Guards limits that refused calls use up, and waits that were told. Harm: pauses longer than need be.
 
-use super::order::FORGET;
-use super::pace::{PACE_GROWTH, PACE_LEAST};
+use super::order::STATS_HALF_LIFE_SECONDS;
+use super::pace::{MIN_RATE_SHARE, RATE_GROWTH_PER_SECOND};
 use super::*;
 
-/// Refusals in a row, over at least `SHUT_FULL_TIME`, that look like a shut door rather than a limit.
-const SHUT_FULLS: u32 = 4;
+/// Refusals in a row, over at least `MIN_OVERLOAD_OUTAGE_SECONDS`, that look like a shut door rather than a limit.
+const MIN_OVERLOADS_FOR_OUTAGE: u32 = 4;
 /// No span of a limit lasts as long without room for anyone.
-const SHUT_FULL_TIME: f64 = 4.0;
+const MIN_OVERLOAD_OUTAGE_SECONDS: f64 = 4.0;
 /// First pause after an untold refusal, or the own turn at the limit if that is longer; doubles each time.
-pub(super) const FULL_PAUSE: f64 = 0.15;
+pub(super) const MIN_OVERLOAD_BACKOFF_SECONDS: f64 = 0.15;
 /// Longest such pause: longer than the spans in which limits are counted ...
-const FULL_PAUSE_MOST: f64 = 1.6;
+const MAX_OVERLOAD_BACKOFF_SECONDS: f64 = 1.6;
 /// ... or so many in which the limit lets one call of every dispatcher through, if that is longer ...
-const CROWD_PAUSES: f64 = 2.0;
+const LARGE_FLEET_BACKOFF_TURNS: f64 = 2.0;
 /// ... and no longer than this, which leaves a message several attempts.
-const CROWD_PAUSE_MOST: f64 = 9.0;
+const MAX_LARGE_FLEET_BACKOFF_SECONDS: f64 = 9.0;
 /// A refusal cuts the pace to this share of what was sent.
-const PACE_CUT: f64 = 0.8;
+const OVERLOAD_RATE_FACTOR: f64 = 0.8;
 
 impl OverloadBackoff {
     pub(super) fn current_concurrency_limit(&self, now: Seconds) -> Option<f64> {
-        self.concurrency_limit.map(|(calls, at)| calls * (1.0 + PACE_GROWTH).powf(now - at))
+        self.concurrency_limit.map(|(calls, at)| calls * (1.0 + RATE_GROWTH_PER_SECOND).powf(now - at))
     }
 
     /// Counts a refusal; false for what was sent before the last one was heard: it is the same once more.
     fn count_overload(&mut self, now: Seconds, latency: Seconds) -> bool {
-        if self.consecutive_overloads == 0 || now - self.backoff_until > FORGET {
+        if self.consecutive_overloads == 0 || now - self.backoff_until > STATS_HALF_LIFE_SECONDS {
             (self.consecutive_overloads, self.overloaded_since) = (0, now);
         }
         let again = self.consecutive_overloads == 0 || now - latency >= self.last_overload_at;
@@ -47,16 +47,22 @@
         outage.last_failure_sent_at = outage.last_failure_sent_at.max(now - latency);
         // What is out still once one has been refused is what a place without a limit takes at once.
         if pace.unlimited {
-            let least = refusals.current_concurrency_limit(now).map_or(1.0, |calls| calls * PACE_CUT);
+            let least =
+                refusals.current_concurrency_limit(now).map_or(1.0, |calls| calls * OVERLOAD_RATE_FACTOR);
             refusals.concurrency_limit = Some(((self.in_flight as f64).max(least), now));
         }
         let again = refusals.count_overload(now, latency);
         let own = pace.own_capacity();
         let doubled = 2f64.powi(refusals.consecutive_overloads.min(8) as i32 - 1);
         // Refused calls may use up the limit: all retries together must stay well below it.
-        let crowd = CROWD_PAUSES / (pace.even_share * pace.total_capacity());
-        let first = if pace.unlimited { 2.0 * FULL_PAUSE } else { FULL_PAUSE.max(1.0 / own) };
-        let pause = (first * doubled).min(crowd.clamp(FULL_PAUSE_MOST, CROWD_PAUSE_MOST));
+        let crowd = LARGE_FLEET_BACKOFF_TURNS / (pace.even_share * pace.total_capacity());
+        let first = if pace.unlimited {
+            2.0 * MIN_OVERLOAD_BACKOFF_SECONDS
+        } else {
+            MIN_OVERLOAD_BACKOFF_SECONDS.max(1.0 / own)
+        };
+        let pause =
+            (first * doubled).min(crowd.clamp(MAX_OVERLOAD_BACKOFF_SECONDS, MAX_LARGE_FLEET_BACKOFF_SECONDS));
         // Many that were refused at once come back at any time in twice the pause.
         let jitter = 1.0 + (0.5 + 1.5 * pace.fleet_factor()) * (rng.f64() - 0.5);
         refusals.backoff_until = refusals.backoff_until.max(now + pause * jitter);
@@ -67,14 +73,15 @@
         {
             let sent = pace.current_rate(now).min(pace.sent_rate.per_second.max(own));
             let cut = if refusals.consecutive_overloads == 1 {
-                PACE_CUT
+                OVERLOAD_RATE_FACTOR
             } else {
-                PACE_CUT.powf(pace.fleet_factor())
+                OVERLOAD_RATE_FACTOR.powf(pace.fleet_factor())
             };
-            pace.learned_rate = Some(((sent * cut).max(PACE_LEAST * own.min(pace.initial_rate())), now));
+            pace.learned_rate = Some(((sent * cut).max(MIN_RATE_SHARE * own.min(pace.initial_rate())), now));
         }
-        let long = now - refusals.overloaded_since.max(self.outage.last_success_at) > SHUT_FULL_TIME;
-        if refusals.consecutive_overloads >= SHUT_FULLS && long {
+        let long =
+            now - refusals.overloaded_since.max(self.outage.last_success_at) > MIN_OVERLOAD_OUTAGE_SECONDS;
+        if refusals.consecutive_overloads >= MIN_OVERLOADS_FOR_OUTAGE && long {
             self.mark_unavailable(now, rule, rng);
         }
     }
@@ -89,7 +96,9 @@
         let limited = destination.map_or(&mut endpoint.target, |destination| &mut destination.target);
         limited.backoff.retry_after_until = limited.backoff.retry_after_until.max(now + wait);
         // No limit tells so long a wait: the door is shut, and opens cold to all who waited for one moment.
-        if wait > SHUT_FULL_TIME && limited.backoff.retry_after_until > limited.rate_limiter.next_send_at {
+        if wait > MIN_OVERLOAD_OUTAGE_SECONDS
+            && limited.backoff.retry_after_until > limited.rate_limiter.next_send_at
+        {
             let rule = &self.settings.slow_start;
             limited.outage.health = Health::Recovering(limited.backoff.retry_after_until);
             limited.outage.recovery_seen_at = limited.backoff.retry_after_until;
--- a/crates/waydoor/src/choice/storage.rs
+++ b/crates/waydoor/src/choice/storage.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 /// After a start that could not be recorded, the next one is tried so much later.
-const STORAGE_PAUSE: Seconds = 0.1;
+const WRITE_RETRY_SECONDS: Seconds = 0.1;
 
 /// Whether starts of calls can be put on record, as far as that was tried.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -16,7 +16,7 @@
 impl Storage {
     /// A start could not be put on record.
     pub(super) fn write_failed(&mut self, now: Seconds) {
-        self.paused_until = Some(now + STORAGE_PAUSE);
+        self.paused_until = Some(now + WRITE_RETRY_SECONDS);
     }
 
     /// Until when calls of this class have to wait; none where they need not.
@@ -26,6 +26,6 @@
 
     /// Whether writes failed a moment ago.
     pub(super) fn is_failing(&self, now: Seconds) -> bool {
-        self.paused_until.is_some_and(|until| now < until + STORAGE_PAUSE)
+        self.paused_until.is_some_and(|until| now < until + WRITE_RETRY_SECONDS)
     }
 }
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -1,7 +1,7 @@
 //! The state of a dispatcher: plain data and its bookkeeping, without decisions or tuned constants. The
 //! modules under `src/choice` read and change it.
 
-use crate::choice::UNKNOWN_LATENCY;
+use crate::choice::DEFAULT_LATENCY_SECONDS;
 use crate::choice::storage::Storage;
 use crate::interface::*;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -361,7 +361,7 @@
     pub(crate) fn unlisted() -> Self {
         Destination::new(
             None,
-            UNKNOWN_LATENCY,
+            DEFAULT_LATENCY_SECONDS,
             usize::MAX,
             DestinationKind { independent_endpoints: false, max_batch: 1 },
         )
@@ -497,7 +497,7 @@
     /// If a setting is out of its range; the error names it.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        Ok(Dispatcher::with_latency(settings, seed, UNKNOWN_LATENCY))
+        Ok(Dispatcher::with_latency(settings, seed, DEFAULT_LATENCY_SECONDS))
     }
 
     fn with_latency(settings: Settings, seed: u64, latency: Seconds) -> Self {
@@ -748,8 +748,8 @@
     pub(crate) fn remove_if_settled(&mut self, id: MessageId, max_kept: usize) {
         self.dequeue(id);
         let Some(state) = self.messages.get(&id).filter(|p| p.done && p.in_flight.is_none()) else { return };
-        if let Some(queue) = state.message.key.and_then(|key| self.key_queues.get_mut(&key)) {
-            queue.messages.retain(|other| *other != id);
+        if let Some(key_queue) = state.message.key.and_then(|key| self.key_queues.get_mut(&key)) {
+            key_queue.messages.retain(|other| *other != id);
         }
         self.messages.remove(&id);
         self.ended_messages.1.extend(self.ended_messages.0.insert(id).then_some(id));
@@ -814,12 +814,10 @@
         removed.into_iter().for_each(|id| self.remove_if_unlisted(id));
         // Endpoints that share a limit get equal parts of it.
         for id in changed {
-            let Some(shared) = self.destinations.get(&id).filter(|d| !d.independent_endpoints) else {
-                continue;
-            };
-            let endpoint_count = shared.endpoints.len().max(1) as f64;
-            let equal_part = shared.target.rate_limiter.capacity.map(|rate| rate / endpoint_count);
-            for endpoint in &shared.endpoints {
+            let Some(d) = self.destinations.get(&id).filter(|d| !d.independent_endpoints) else { continue };
+            let endpoint_count = d.endpoints.len().max(1) as f64;
+            let equal_part = d.target.rate_limiter.capacity.map(|rate| rate / endpoint_count);
+            for endpoint in &d.endpoints {
                 self.endpoints.entry(*endpoint).and_modify(|e| e.target.rate_limiter.capacity = equal_part);
             }
         }
