--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/choice/pace.rs
@@ -1,99 +1,113 @@
-//! The pace at a limit that many share.
-//! Guards a told limit against all dispatchers together: each keeps to a part. Harm: unused parts lie idle.
+//! The send rate to a target whose rate limit is shared by all dispatchers.
+//!
+//! Keeps all dispatchers together within a reported limit: each uses its share. The cost is that unused
+//! shares stay idle.
 
 use super::outage::MAX_TRIALS_IN_FLIGHT;
 use super::*;
 
-/// The pace grows by this share a second while nothing is refused.
+/// Growth of the rate per second while nothing is rejected, as a share of it.
 pub(super) const RATE_GROWTH_PER_SECOND: f64 = 0.15;
-/// The pace never falls below this share of the own part, so that a small sender keeps its place.
+/// The rate does not fall below this part of the own share, so that a dispatcher with few messages is not
+/// displaced.
 pub(super) const MIN_RATE_SHARE: f64 = 0.6;
-/// Time over which one of many may gather calls to send at once.
+/// Time over which a dispatcher of a large fleet may save up calls for a burst.
 const BURST_WINDOW_SECONDS: f64 = 4.0;
-/// One of many grows by this part of it for each call that it expects to make.
+/// In a large fleet, the part of that growth for each call a second that the dispatcher expects to send.
 const RATE_GROWTH_PER_CALL: f64 = 0.2;
-/// Calls that the pace lets through at once.
+/// Largest number of calls in a burst.
 const MAX_BURST_CALLS: f64 = 2.0;
-/// An answer that tells what is left for all moves the pace by this, times how far it is from ...
+/// A report of the remaining limit changes the rate by this factor times the difference to the mean below.
 const REPORT_GAIN: f64 = 0.1;
-/// ... what is left on the mean where a limit is all but used.
+/// Mean remaining share of a limit that is almost used up.
 const MEAN_REMAINING_SHARE: f64 = 0.4;
-/// A pace that is not used tells nothing: it is no more than this times what is sent, or the fair one.
+/// A rate that is not used proves nothing: it is limited to this multiple of what is sent, or to the initial
+/// rate.
 const MAX_UNUSED_RATE_MULTIPLE: f64 = 1.5;
-/// Time over which the own sending rate is measured.
+/// Time constant of the measured send rate.
 const SEND_RATE_WINDOW_SECONDS: f64 = 3.0;
-/// So few dispatchers fill no table with unused connections, and the rule's slack covers a call of each.
+/// Up to this size, idle connections of all dispatchers fill no connection table, and the tolerance of a
+/// recovering target covers one call of each dispatcher.
 pub(super) const SMALL_FLEET_SIZE: f64 = 6.0;
 
 impl RateLimiter {
-    /// What the place takes from all, and the own part of it, calls a second.
+    /// Calls a second that the target accepts from all dispatchers; the next function returns the own share
+    /// of it.
     pub(super) fn total_capacity(&self) -> f64 {
         self.capacity.unwrap_or(DEFAULT_CAPACITY)
     }
 
+    /// The own share of it.
     pub(super) fn own_capacity(&self) -> f64 {
         self.own_share * self.total_capacity()
     }
 
-    /// Whether so many dispatchers share the place that rates meant for one do not add up.
+    /// Whether so many dispatchers share the target that rates meant for one of them add up to too much.
     pub(super) fn is_large_fleet(&self) -> bool {
         self.even_share * SMALL_FLEET_SIZE < 1.0
     }
 
-    /// How much of a crowd all dispatchers are: 0 for a few, close to 1 for many.
+    /// 0 for a small fleet, close to 1 for a large one.
     pub(super) fn fleet_factor(&self) -> f64 {
         (1.0 - SMALL_FLEET_SIZE * self.even_share).max(0.0)
     }
 
-    /// The part taken of what all may do: an even one, or the own demand less that, which others leave.
+    /// Share of the common budget that this dispatcher uses: an equal share, or the excess of its own share
+    /// over it, since the others leave that much unused.
     pub(super) fn budget_share(&self) -> f64 {
         self.even_share.max(self.own_share - self.even_share)
     }
 
-    /// The pace before anything is learned: the own part, and the more above it the fewer they are.
+    /// The rate before anything was learned: the own share, and more than that in a small fleet.
     pub(super) fn initial_rate(&self) -> f64 {
-        let whole = self.capacity.filter(|_| self.enforces_limit && !self.unlimited).unwrap_or(f64::INFINITY);
-        whole * self.budget_share() * (1.0 + SMALL_FLEET_SIZE * self.even_share / self.fleet_factor())
+        let limit = self.capacity.filter(|_| self.enforces_limit && !self.unlimited).unwrap_or(f64::INFINITY);
+        limit * self.budget_share() * (1.0 + SMALL_FLEET_SIZE * self.even_share / self.fleet_factor())
     }
 
-    /// It grows while nothing is refused; one of many by the calls that may be expected to have told of it.
+    /// The rate grows while nothing is rejected; in a large fleet, in proportion to the calls that could have
+    /// been rejected.
     pub(super) fn current_rate(&self, now: Seconds) -> f64 {
-        let told = |rate: f64| 1.0 - self.fleet_factor() * (1.0 - RATE_GROWTH_PER_CALL * rate.min(1.0));
-        let grown = |rate: f64, at| rate * (1.0 + RATE_GROWTH_PER_SECOND * told(rate)).powf(now - at);
-        self.learned_rate.map_or(self.initial_rate(), |(rate, at)| grown(rate, at))
+        let growth_share =
+            |rate: f64| 1.0 - self.fleet_factor() * (1.0 - RATE_GROWTH_PER_CALL * rate.min(1.0));
+        let grow = |rate: f64, at| rate * (1.0 + RATE_GROWTH_PER_SECOND * growth_share(rate)).powf(now - at);
+        self.learned_rate.map_or(self.initial_rate(), |(rate, at)| grow(rate, at))
     }
 
-    /// Heeds what the place tells of its limit: the pace is as good a share of the new one. Harm: a wrong
-    /// report misleads until the next.
-    pub(super) fn apply_report(&mut self, now: Seconds, told: RateLimitReport) {
-        self.unlimited = told.rate <= 0.0;
+    /// Applies a report about the rate limit: the rate keeps its share of the limit. The cost is that a wrong
+    /// report misleads until the next one.
+    pub(super) fn apply_report(&mut self, now: Seconds, report: RateLimitReport) {
+        self.unlimited = report.rate <= 0.0;
         if self.unlimited {
             return;
         }
-        if let (Some(was), Some((pace, at))) = (self.capacity, self.learned_rate) {
-            self.learned_rate = Some((pace * told.rate / was, at));
+        if let (Some(old_limit), Some((rate, at))) = (self.capacity, self.learned_rate) {
+            self.learned_rate = Some((rate * report.rate / old_limit, at));
         }
-        self.capacity = Some(told.rate);
-        // What is left for all tells each of many what its own few calls can't.
-        let pace = self.current_rate(now);
-        if let Some(left) = told.remaining_share.filter(|_| self.fleet_factor() > 0.0 && pace.is_finite()) {
-            let moved = pace * (self.fleet_factor() * REPORT_GAIN * (left - MEAN_REMAINING_SHARE)).exp();
-            let used = self
+        self.capacity = Some(report.rate);
+        // The remaining limit tells each dispatcher of a large fleet what its few own calls cannot.
+        let rate = self.current_rate(now);
+        if let Some(remaining_share) =
+            report.remaining_share.filter(|_| self.fleet_factor() > 0.0 && rate.is_finite())
+        {
+            let adjusted =
+                rate * (self.fleet_factor() * REPORT_GAIN * (remaining_share - MEAN_REMAINING_SHARE)).exp();
+            let max_rate = self
                 .initial_rate()
                 .max(MAX_UNUSED_RATE_MULTIPLE * self.sent_rate.value_at(now, SEND_RATE_WINDOW_SECONDS))
-                .min(told.rate);
+                .min(report.rate);
             self.learned_rate =
-                Some((moved.min(used).max(MIN_RATE_SHARE * self.even_share * told.rate), now));
+                Some((adjusted.min(max_rate).max(MIN_RATE_SHARE * self.even_share * report.rate), now));
         }
     }
 
-    /// Calls at once: of many dispatchers, no more than their part of what a limit lets through in a while.
+    /// Calls that may be sent at once: in a large fleet, no more than the dispatcher's part of what the limit
+    /// accepts in some seconds.
     pub(super) fn burst(&self, now: Seconds) -> f64 {
         (BURST_WINDOW_SECONDS * self.current_rate(now)).clamp(2.0 - self.fleet_factor(), MAX_BURST_CALLS)
     }
 
-    /// Its turn at a place that is new here comes at random. Guards a small limit against the first calls of
-    /// all.
+    /// Delays the first call to a new target at random, so that the first calls of all dispatchers do not
+    /// exceed a small limit together.
     pub(super) fn randomize_phase(&mut self, now: Seconds, rng: &mut fastrand::Rng) {
         if self.fleet_factor() > 0.0 && self.initial_rate().is_finite() {
             self.next_send_at = now + self.fleet_factor() * rng.f64() * self.burst(now) / self.initial_rate();
@@ -102,67 +116,76 @@
 }
 
 impl TargetState {
-    /// A call that reached no process took no turn. Guards against spending half of a limit on connections
-    /// that have been closed unseen. Harm: if the place counts it all the same, a refusal corrects the pace.
-    pub(super) fn refund_call(&mut self, now: Seconds, rule: &SlowStart) {
+    /// Returns the rate that was booked for a call which reached no process, so that connections which were
+    /// closed unnoticed do not use up half of a limit. If the target counts such calls, a rejection corrects
+    /// the rate.
+    pub(super) fn refund_call(&mut self, now: Seconds, slow_start: &SlowStart) {
         let healthy = self.outage.health == Health::Healthy;
-        self.rate_limiter.next_send_at -= if healthy { 1.0 / self.allowed_rate(now, rule).0 } else { 0.0 };
+        self.rate_limiter.next_send_at -=
+            if healthy { 1.0 / self.allowed_rate(now, slow_start).0 } else { 0.0 };
     }
 
-    /// The rate that is allowed now, and how many calls at once. While shut, the trials' own interval binds.
-    fn allowed_rate(&self, now: Seconds, rule: &SlowStart) -> (f64, f64) {
+    /// The rate that is allowed now, and the calls that may be sent at once. While the target is unavailable,
+    /// the interval between trials limits them further.
+    fn allowed_rate(&self, now: Seconds, slow_start: &SlowStart) -> (f64, f64) {
         match self.outage.health {
             Health::Recovering(_) => {
-                (self.rate_limiter.current_rate(now).min(self.recovery_budget(now, rule).1), 1.0)
+                (self.rate_limiter.current_rate(now).min(self.recovery_budget(now, slow_start).1), 1.0)
             }
             _ => (self.rate_limiter.current_rate(now), self.rate_limiter.burst(now)),
         }
     }
 
-    pub(super) fn admission(&self, now: Seconds, rule: &SlowStart) -> Admission {
+    /// Whether a call may be sent now.
+    pub(super) fn admission(&self, now: Seconds, slow_start: &SlowStart) -> Admission {
         let mut open_at = self.backoff.retry_after_until.max(self.backoff.backoff_until);
-        let (rate, burst) = self.allowed_rate(now, rule);
+        let (rate, burst) = self.allowed_rate(now, slow_start);
         if rate.is_finite() {
             open_at = open_at.max(self.rate_limiter.next_send_at - (burst - 1.0) / rate);
         }
-        if self.backoff.current_concurrency_limit(now).is_some_and(|calls| self.in_flight as f64 >= calls) {
+        if self
+            .backoff
+            .current_concurrency_limit(now)
+            .is_some_and(|max_calls| self.in_flight as f64 >= max_calls)
+        {
             open_at = f64::INFINITY;
         }
-        let trial = matches!(self.outage.health, Health::Suspect | Health::Unavailable);
-        if trial {
-            let tries = self.in_flight.saturating_sub(self.overdue_calls);
-            open_at = open_at.max(if tries < MAX_TRIALS_IN_FLIGHT {
+        let is_trial = matches!(self.outage.health, Health::Suspect | Health::Unavailable);
+        if is_trial {
+            let trials = self.in_flight.saturating_sub(self.overdue_calls);
+            open_at = open_at.max(if trials < MAX_TRIALS_IN_FLIGHT {
                 self.outage.next_trial_at
             } else {
                 f64::INFINITY
             });
         }
-        match (now < open_at, trial) {
+        match (now < open_at, is_trial) {
             (true, _) => Admission::ClosedUntil(open_at),
             (false, true) => Admission::TrialOnly,
             (false, false) => Admission::Open,
         }
     }
 
-    /// Books a call or a probe that goes out.
-    pub(super) fn book_call(&mut self, now: Seconds, rule: &SlowStart, rng: &mut fastrand::Rng) {
-        let (rate, _) = self.allowed_rate(now, rule);
+    /// Books a call or a probe that is sent.
+    pub(super) fn book_call(&mut self, now: Seconds, slow_start: &SlowStart, rng: &mut fastrand::Rng) {
+        let (rate, _) = self.allowed_rate(now, slow_start);
         self.rate_limiter.next_send_at = self.rate_limiter.next_send_at.max(now) + 1.0 / rate;
         self.rate_limiter.sent_rate.record_event(now, SEND_RATE_WINDOW_SECONDS);
         if matches!(self.outage.health, Health::Suspect | Health::Unavailable) {
-            self.outage.next_trial_at = now + self.trial_interval(now, rule, rng);
+            self.outage.next_trial_at = now + self.trial_interval(now, slow_start, rng);
             (self.outage.trial_count, self.outage.probe_succeeded) = (self.outage.trial_count + 1, false);
         }
     }
 }
 
 impl Dispatcher {
-    /// What an earlier life left goes at the own part's pace at first. Guards a place that had told its limit
-    /// or was cold against a clump of all that is held. Harm: what waited for the restart waits longer.
-    pub(super) fn limit_backlog_rate(&mut self, now: Seconds, number: DestinationId) {
-        self.for_each_limited_target(number, |TargetState { rate_limiter: pace, .. }| {
-            let own = pace.capacity.map(|capacity| (pace.own_share * capacity, now));
-            pace.learned_rate = pace.learned_rate.or(own);
+    /// Limits the rate of recovered messages to the own share at first, so that a whole backlog does not hit
+    /// a target that had reported its limit or was cold. The cost is that messages which waited for the
+    /// restart wait longer.
+    pub(super) fn limit_backlog_rate(&mut self, now: Seconds, id: DestinationId) {
+        self.for_each_limited_target(id, |TargetState { rate_limiter, .. }| {
+            let own_rate = rate_limiter.capacity.map(|capacity| (rate_limiter.own_share * capacity, now));
+            rate_limiter.learned_rate = rate_limiter.learned_rate.or(own_rate);
         });
     }
 }
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/choice/refusal.rs
@@ -1,23 +1,26 @@
-//! What a refusal means: a limit, a door that is shut, or a full house.
-//! Guards limits that refused calls use up, and waits that were told. Harm: pauses longer than need be.
+//! Rejections because of overload: a rate limit, an outage, or too many concurrent calls.
+//!
+//! Keeps rejected calls from using up a rate limit, and honours retry-after. The cost is that pauses are
+//! longer than necessary.
 
 use super::order::STATS_HALF_LIFE_SECONDS;
 use super::pace::{MIN_RATE_SHARE, RATE_GROWTH_PER_SECOND};
 use super::*;
 
-/// Refusals in a row, over at least `MIN_OVERLOAD_OUTAGE_SECONDS`, that look like a shut door rather than a limit.
+/// Consecutive rejections, over at least the time below, that look like an outage and not like a rate limit.
 const MIN_OVERLOADS_FOR_OUTAGE: u32 = 4;
-/// No span of a limit lasts as long without room for anyone.
+/// No rate limit leaves its callers without any capacity for as long.
 const MIN_OVERLOAD_OUTAGE_SECONDS: f64 = 4.0;
-/// First pause after an untold refusal, or the own turn at the limit if that is longer; doubles each time.
+/// First backoff after a rejection without retry-after, unless one call at this dispatcher's part of the
+/// limit takes longer; it doubles each time.
 pub(super) const MIN_OVERLOAD_BACKOFF_SECONDS: f64 = 0.15;
-/// Longest such pause: longer than the spans in which limits are counted ...
+/// Longest such backoff: longer than the windows in which rate limits are counted ...
 const MAX_OVERLOAD_BACKOFF_SECONDS: f64 = 1.6;
-/// ... or so many in which the limit lets one call of every dispatcher through, if that is longer ...
+/// ... or the time in which the limit accepts this many calls of each dispatcher, if that is longer ...
 const LARGE_FLEET_BACKOFF_TURNS: f64 = 2.0;
-/// ... and no longer than this, which leaves a message several attempts.
+/// ... but no longer than this, which leaves a message several attempts.
 const MAX_LARGE_FLEET_BACKOFF_SECONDS: f64 = 9.0;
-/// A refusal cuts the pace to this share of what was sent.
+/// A rejection reduces the rate to this share of the rate at which calls were sent.
 const OVERLOAD_RATE_FACTOR: f64 = 0.8;
 
 impl OverloadBackoff {
@@ -25,89 +28,99 @@
         self.concurrency_limit.map(|(calls, at)| calls * (1.0 + RATE_GROWTH_PER_SECOND).powf(now - at))
     }
 
-    /// Counts a refusal; false for what was sent before the last one was heard: it is the same once more.
+    /// Counts a rejection; returns false for a call that was sent before the last counted rejection arrived,
+    /// which has the same cause.
     fn count_overload(&mut self, now: Seconds, latency: Seconds) -> bool {
         if self.consecutive_overloads == 0 || now - self.backoff_until > STATS_HALF_LIFE_SECONDS {
             (self.consecutive_overloads, self.overloaded_since) = (0, now);
         }
-        let again = self.consecutive_overloads == 0 || now - latency >= self.last_overload_at;
-        if again {
+        let is_new = self.consecutive_overloads == 0 || now - latency >= self.last_overload_at;
+        if is_new {
             (self.consecutive_overloads, self.last_overload_at) = (self.consecutive_overloads + 1, now);
         }
-        again
+        is_new
     }
 }
 
 impl TargetState {
-    /// Learns from a refusal. `own_limit`: the limit is counted on this lane.
+    /// Applies a rejection. `own_limit`: the rate limit applies to this target.
     pub(super) fn record_overload(
-        &mut self, now: Seconds, latency: f64, own_limit: bool, rule: &SlowStart, rng: &mut fastrand::Rng,
+        &mut self, now: Seconds, latency: f64, own_limit: bool, slow_start: &SlowStart,
+        rng: &mut fastrand::Rng,
     ) {
-        let TargetState { rate_limiter: pace, backoff: refusals, outage, .. } = self;
+        let TargetState { rate_limiter, backoff, outage, .. } = self;
         outage.last_failure_sent_at = outage.last_failure_sent_at.max(now - latency);
-        // What is out still once one has been refused is what a place without a limit takes at once.
-        if pace.unlimited {
-            let least =
-                refusals.current_concurrency_limit(now).map_or(1.0, |calls| calls * OVERLOAD_RATE_FACTOR);
-            refusals.concurrency_limit = Some(((self.in_flight as f64).max(least), now));
+        // A target without a rate limit accepts as many calls at once as are still in flight after a
+        // rejection.
+        if rate_limiter.unlimited {
+            let min_limit =
+                backoff.current_concurrency_limit(now).map_or(1.0, |calls| calls * OVERLOAD_RATE_FACTOR);
+            backoff.concurrency_limit = Some(((self.in_flight as f64).max(min_limit), now));
         }
-        let again = refusals.count_overload(now, latency);
-        let own = pace.own_capacity();
-        let doubled = 2f64.powi(refusals.consecutive_overloads.min(8) as i32 - 1);
-        // Refused calls may use up the limit: all retries together must stay well below it.
-        let crowd = LARGE_FLEET_BACKOFF_TURNS / (pace.even_share * pace.total_capacity());
-        let first = if pace.unlimited {
+        let is_new = backoff.count_overload(now, latency);
+        let own_capacity = rate_limiter.own_capacity();
+        let doubling = 2f64.powi(backoff.consecutive_overloads.min(8) as i32 - 1);
+        // Rejected calls may count against the limit: the retries of all dispatchers must stay well below it.
+        let fleet_interval =
+            LARGE_FLEET_BACKOFF_TURNS / (rate_limiter.even_share * rate_limiter.total_capacity());
+        let first_backoff = if rate_limiter.unlimited {
             2.0 * MIN_OVERLOAD_BACKOFF_SECONDS
         } else {
-            MIN_OVERLOAD_BACKOFF_SECONDS.max(1.0 / own)
+            MIN_OVERLOAD_BACKOFF_SECONDS.max(1.0 / own_capacity)
         };
-        let pause =
-            (first * doubled).min(crowd.clamp(MAX_OVERLOAD_BACKOFF_SECONDS, MAX_LARGE_FLEET_BACKOFF_SECONDS));
-        // Many that were refused at once come back at any time in twice the pause.
-        let jitter = 1.0 + (0.5 + 1.5 * pace.fleet_factor()) * (rng.f64() - 0.5);
-        refusals.backoff_until = refusals.backoff_until.max(now + pause * jitter);
+        let delay = (first_backoff * doubling)
+            .min(fleet_interval.clamp(MAX_OVERLOAD_BACKOFF_SECONDS, MAX_LARGE_FLEET_BACKOFF_SECONDS));
+        // Calls of a large fleet that were rejected together are spread over up to twice the backoff.
+        let jitter = 1.0 + (0.5 + 1.5 * rate_limiter.fleet_factor()) * (rng.f64() - 0.5);
+        backoff.backoff_until = backoff.backoff_until.max(now + delay * jitter);
         if own_limit
-            && again
-            && !pace.unlimited
-            && (refusals.consecutive_overloads == 1 || pace.fleet_factor() > 0.0)
+            && is_new
+            && !rate_limiter.unlimited
+            && (backoff.consecutive_overloads == 1 || rate_limiter.fleet_factor() > 0.0)
         {
-            let sent = pace.current_rate(now).min(pace.sent_rate.per_second.max(own));
-            let cut = if refusals.consecutive_overloads == 1 {
+            let sent_rate =
+                rate_limiter.current_rate(now).min(rate_limiter.sent_rate.per_second.max(own_capacity));
+            let factor = if backoff.consecutive_overloads == 1 {
                 OVERLOAD_RATE_FACTOR
             } else {
-                OVERLOAD_RATE_FACTOR.powf(pace.fleet_factor())
+                OVERLOAD_RATE_FACTOR.powf(rate_limiter.fleet_factor())
             };
-            pace.learned_rate = Some(((sent * cut).max(MIN_RATE_SHARE * own.min(pace.initial_rate())), now));
+            rate_limiter.learned_rate = Some((
+                (sent_rate * factor).max(MIN_RATE_SHARE * own_capacity.min(rate_limiter.initial_rate())),
+                now,
+            ));
         }
-        let long =
-            now - refusals.overloaded_since.max(self.outage.last_success_at) > MIN_OVERLOAD_OUTAGE_SECONDS;
-        if refusals.consecutive_overloads >= MIN_OVERLOADS_FOR_OUTAGE && long {
-            self.mark_unavailable(now, rule, rng);
+        let lasts_long =
+            now - backoff.overloaded_since.max(self.outage.last_success_at) > MIN_OVERLOAD_OUTAGE_SECONDS;
+        if backoff.consecutive_overloads >= MIN_OVERLOADS_FOR_OUTAGE && lasts_long {
+            self.mark_unavailable(now, slow_start, rng);
         }
     }
 }
 
 impl Dispatcher {
-    /// A wait that a place tells.
-    pub(super) fn apply_retry_after(&mut self, now: Seconds, id: EndpointId, wait: Seconds) {
-        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|_| wait > 0.0) else { return };
+    /// Applies a retry-after.
+    pub(super) fn apply_retry_after(&mut self, now: Seconds, id: EndpointId, delay: Seconds) {
+        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|_| delay > 0.0) else { return };
         let destination =
             self.destinations.get_mut(&endpoint.destination).filter(|d| !d.independent_endpoints);
         let limited = destination.map_or(&mut endpoint.target, |destination| &mut destination.target);
-        limited.backoff.retry_after_until = limited.backoff.retry_after_until.max(now + wait);
-        // No limit tells so long a wait: the door is shut, and opens cold to all who waited for one moment.
-        if wait > MIN_OVERLOAD_OUTAGE_SECONDS
+        limited.backoff.retry_after_until = limited.backoff.retry_after_until.max(now + delay);
+        // Such a long wait is an outage, not a rate limit. The target will be cold, and all dispatchers that
+        // wait for the same moment would call at once.
+        if delay > MIN_OVERLOAD_OUTAGE_SECONDS
             && limited.backoff.retry_after_until > limited.rate_limiter.next_send_at
         {
-            let rule = &self.settings.slow_start;
+            let slow_start = &self.settings.slow_start;
             limited.outage.health = Health::Recovering(limited.backoff.retry_after_until);
             limited.outage.recovery_seen_at = limited.backoff.retry_after_until;
-            let turn = if limited.rate_limiter.is_large_fleet() {
-                1.0 / limited.recovery_budget(now, rule).1
+            let max_offset = if limited.rate_limiter.is_large_fleet() {
+                1.0 / limited.recovery_budget(now, slow_start).1
             } else {
                 0.0
             };
-            limited.rate_limiter.next_send_at = limited.backoff.retry_after_until + turn * self.rng.f64();
+            limited.rate_limiter.next_send_at =
+                limited.backoff.retry_after_until + max_offset * self.rng.f64();
         }
     }
 }
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -58,7 +58,7 @@
     /// independent.
     #[serde(rename = "limited")]
     pub(crate) enforces_limit: bool,
-    /// The target reported that it has no rate limit.
+    /// The target reported that it has no rate limit, so only its capacity bounds it.
     #[serde(rename = "uncounted")]
     pub(crate) unlimited: bool,
     /// Share of the capacity that this dispatcher uses, from its part of the demand.
