--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/choice/attempts.rs
@@ -34,8 +34,8 @@
 impl Dispatcher {
     pub(super) fn attempt_ended(&mut self, now: Seconds, end: AttemptEnd) {
         let Some(state) = self.messages.get_mut(&end.id) else { return };
-        let Some(attempt) = state.in_flight.filter(|_| state.attempts == end.attempt + 1) else { return };
-        state.in_flight = None;
+        let Some(attempt) = state.call.filter(|_| state.attempts == end.attempt + 1) else { return };
+        state.call = None;
         if end.outcome == Outcome::NotRecorded {
             state.attempts -= 1;
             self.journal.write_failed(now);
@@ -142,7 +142,7 @@
         let Some(state) = self.messages.get_mut(&id) else { return };
         let remaining = (state.message.deadline - ANSWER_MARGIN_SECONDS - now).max(0.001);
         let attempt = state.attempts;
-        (state.attempts, state.in_flight) = (attempt + 1, Some(CallRef { endpoint, call }));
+        (state.attempts, state.call) = (attempt + 1, Some(CallRef { endpoint, call }));
         if let Some(call) = self.calls.get_mut(&call) {
             (call.message_count, call.pending_messages, call.last_message) =
                 (call.message_count + 1, call.pending_messages + 1, id);
--- a/crates/waydoor/src/choice/closing.rs
+++ b/crates/waydoor/src/choice/closing.rs
@@ -1,25 +1,30 @@
-//! The end of this process: what is still taken on, and what must have its answer before.
-//! Guards messages against being held for a life that comes too late. Harm: they are handed in elsewhere.
+//! The shutdown of this process: which messages are still accepted, and which must end before it.
+//!
+//! Prevents messages from waiting for a process that starts too late. The cost is that clients send them
+//! elsewhere.
 
 use super::attempts::MIN_TIMEOUT_SECONDS;
 use super::order::LAST_CALL_LATENCY_MULTIPLE;
 use super::*;
 
-/// From the last call here until the next life's first: kill, pause and start (protocol page), the journal.
+/// Time between the last call of this process and the first of the next one: kill, pause, start, and reading
+/// the journal.
 const RESTART_SECONDS: f64 = 2.0;
 
 impl Dispatcher {
-    /// Whether a message is taken on: it can go before this process ends, or has time left in the next life.
+    /// Whether to accept a message: it can be sent before this process ends, or has time left in the next
+    /// one.
     pub fn can_accept(&self, now: Seconds, message: Message) -> bool {
-        let at_once = || self.select_endpoint(now, &MessageState::new(message, now, false)).is_ok();
+        let can_send_now = || self.select_endpoint(now, &MessageState::new(message, now, false)).is_ok();
         self.shutdown_at == f64::INFINITY
             || message.deadline
                 >= self.shutdown_at + RESTART_SECONDS + LAST_CALL_LATENCY_MULTIPLE * DEFAULT_LATENCY_SECONDS
             || self.calls.len() + self.queued_destinations.len() < self.settings.max_concurrent_calls
-                && at_once()
+                && can_send_now()
     }
 
-    /// When a held message gets its answer that is due by `last`: no call of use begins at the very end.
+    /// When to end a queued message that has to end by `last`: no useful call begins right before the
+    /// shutdown.
     pub(super) fn before_shutdown(&self, last: Seconds) -> Seconds {
         if last < self.shutdown_at + RESTART_SECONDS {
             last.min(self.shutdown_at - MIN_TIMEOUT_SECONDS)
--- a/crates/waydoor/src/choice/connections.rs
+++ b/crates/waydoor/src/choice/connections.rs
@@ -1,61 +1,72 @@
-//! Connections: which idle one is kept, and when one is closed.
-//! Guards small tables against a fleet, calls against connections that died unseen. Harm: new ones cost.
+//! Idle connections: how long one is kept.
+//!
+//! Keeps the connections of a large fleet from filling small connection tables, and calls from using
+//! connections that were dropped unnoticed. The cost is the time for new connections.
 
 use super::pace::SMALL_FLEET_SIZE;
 use super::*;
 
-/// A connection that is idle for less than this is as good as in use.
+/// A connection that was idle for a shorter time counts as in use.
 const MIN_IDLE_SECONDS: f64 = 0.2;
-/// What was learned of idle connections doubles back to the listed time in this time.
+/// The learned idle limit doubles in this time, up to the configured keep-alive.
 const IDLE_LIMIT_DOUBLING_SECONDS: f64 = 15.0;
-/// An unsafe message goes on no connection that has been idle for longer.
+/// An unsafe message does not use a connection that was idle for longer.
 pub(super) const MAX_IDLE_FOR_UNSAFE_SECONDS: f64 = 1.0;
-/// After a failed connect idle connections are kept for half of this at most: others wait for a place.
+/// After a failed connect in a large fleet, idle connections are kept for half of this at most: other
+/// dispatchers wait for a connection.
 const MAX_IDLE_IN_SHORTAGE_SECONDS: f64 = 1.0;
-/// Failures of idle connections in a row that tell of their being dropped: fewer may be the place's.
+/// Consecutive failures of idle connections that show that they are dropped; fewer may be the endpoint's
+/// failures.
 const MIN_IDLE_DROPS: u32 = 2;
-/// Expected uses of an idle connection that are worth its place.
+/// Expected uses from which on an idle connection is kept.
 const MIN_EXPECTED_USES: f64 = 0.3;
-/// Expected time of a new connection, as a handicap of endpoints without an idle one.
+/// Expected time to open a connection; it counts against endpoints without an idle one.
 pub(super) const CONNECT_COST_SECONDS: f64 = 0.1;
 
 impl Dispatcher {
-    /// An idle one stays while its like prove good and a use is likely. False where a failure tells of it.
+    /// Decides how long the connection of an ended call is kept: as long as idle ones prove usable and a use
+    /// is likely. Returns false if the failure was caused by the idle connection.
     pub(super) fn track_idle_connection(
-        &mut self, now: Seconds, id: EndpointId, outcome: Outcome, idle: Seconds, kept: bool,
+        &mut self, now: Seconds, id: EndpointId, outcome: Outcome, idle_time: Seconds, kept: bool,
     ) -> bool {
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return true };
         let Some(destination) = self.destinations.get(&endpoint.destination) else { return true };
-        let most = self.settings.keepalive.unwrap_or(f64::INFINITY);
-        let hold = self.idle_limits.entry(destination.kind).or_insert((most, now, 0));
-        let known = (hold.0 * 2f64.powf((now - hold.1) / IDLE_LIMIT_DOUBLING_SECONDS)).min(most);
+        let keepalive = self.settings.keepalive.unwrap_or(f64::INFINITY);
+        let idle_limit = self.idle_limits.entry(destination.kind).or_insert((keepalive, now, 0));
+        let learned_limit =
+            (idle_limit.0 * 2f64.powf((now - idle_limit.1) / IDLE_LIMIT_DOUBLING_SECONDS)).min(keepalive);
         let broke = matches!(outcome, Outcome::ConnectionReset | Outcome::TimedOut);
-        let drops = match idle > MIN_IDLE_SECONDS {
-            true if broke => hold.2 + 1,
+        let drop_count = match idle_time > MIN_IDLE_SECONDS {
+            true if broke => idle_limit.2 + 1,
             true if outcome == Outcome::Served => 0,
-            _ => hold.2,
+            _ => idle_limit.2,
         };
-        let stale = broke && idle > MIN_IDLE_SECONDS && drops >= MIN_IDLE_DROPS;
-        let crowd = outcome == Outcome::ConnectFailed && endpoint.target.rate_limiter.is_large_fleet();
-        let keep = if crowd { known.min(MAX_IDLE_IN_SHORTAGE_SECONDS) / 2.0 } else { known };
-        let keep = if stale { keep.min(idle / 2.0) } else { keep };
-        *hold = (keep, now, drops);
+        let was_dropped = broke && idle_time > MIN_IDLE_SECONDS && drop_count >= MIN_IDLE_DROPS;
+        let in_shortage = outcome == Outcome::ConnectFailed && endpoint.target.rate_limiter.is_large_fleet();
+        let keep_time =
+            if in_shortage { learned_limit.min(MAX_IDLE_IN_SHORTAGE_SECONDS) / 2.0 } else { learned_limit };
+        let keep_time = if was_dropped { keep_time.min(idle_time / 2.0) } else { keep_time };
+        *idle_limit = (keep_time, now, drop_count);
         if kept {
-            let own = destination.demand.value_at(now, DEMAND_WINDOW_SECONDS) - 1.0 / DEMAND_WINDOW_SECONDS;
-            let even =
+            let own_rate =
+                destination.demand.value_at(now, DEMAND_WINDOW_SECONDS) - 1.0 / DEMAND_WINDOW_SECONDS;
+            let even_rate =
                 destination.target.rate_limiter.even_share * destination.target.rate_limiter.total_capacity();
-            let shares = (destination.max_batch * destination.endpoints.len().max(1)) as f64;
-            let rate = own.max(even) / shares;
-            // All idle ones are no more than the calls out, or than any table: so long that lets one stay.
-            let room = (destination.target.rate_limiter.even_share * SMALL_FLEET_SIZE)
+            let divisor = (destination.max_batch * destination.endpoints.len().max(1)) as f64;
+            let rate = own_rate.max(even_rate) / divisor;
+            // The idle connections of the whole fleet must not outnumber its calls in flight, or the number
+            // that fits into every connection table: the time limits the probability that this dispatcher has
+            // one.
+            let max_idle = (destination.target.rate_limiter.even_share * SMALL_FLEET_SIZE)
                 .max(rate * endpoint.target.stats.expected_latency(now));
-            let keep = if room < 1.0 { keep.min(-(1.0 - room).ln() / rate) } else { keep };
-            let used = rate * keep >= MIN_EXPECTED_USES;
+            let keep_time =
+                if max_idle < 1.0 { keep_time.min(-(1.0 - max_idle).ln() / rate) } else { keep_time };
+            let worth_keeping = rate * keep_time >= MIN_EXPECTED_USES;
             endpoint.idle_since = Some(now);
-            if keep < most || !used {
-                self.idle_closes.push((if used { now + keep } else { now }, id));
+            if keep_time < keepalive || !worth_keeping {
+                self.idle_closes.push((if worth_keeping { now + keep_time } else { now }, id));
             }
         }
-        !(stale && endpoint.target.outage.consecutive_failures == 0)
+        !(was_dropped && endpoint.target.outage.consecutive_failures == 0)
     }
 }
--- a/crates/waydoor/src/choice/listing.rs
+++ b/crates/waydoor/src/choice/listing.rs
@@ -1,29 +1,33 @@
-//! The list of endpoints: taking it, and asking for it.
-//! Guards the rule on drains, and discovery against a fleet that asks in one moment. Harm: late news.
+//! The list of endpoints: applies it and keeps the subscription to it alive.
+//!
+//! Has the dispatcher learn of drains in time, and keeps a large fleet from subscribing at one moment. The
+//! cost is that a change may arrive late.
 
 use super::pace::SMALL_FLEET_SIZE;
 use super::*;
 
-/// First pause before asking for the list again; doubles up to `MAX_SUBSCRIBE_BACKOFF_SHARE`.
+/// First pause before the next subscription request after a failure; it doubles up to the maximum below.
 pub(super) const FIRST_SUBSCRIBE_BACKOFF_SECONDS: f64 = 0.3;
-/// Longest mean pause before asking again, and wait for an answer, as a share of the rule's time.
+/// Longest mean pause after a failure, and longest wait for an answer, as a share of the renewal interval.
 pub(super) const MAX_SUBSCRIBE_BACKOFF_SHARE: f64 = 0.5;
-/// Many dispatchers spread what they ask over this share of the rule's time: enough for one call of each.
+/// A large fleet spreads its requests over this share of the renewal interval, enough for one of each
+/// dispatcher.
 const SUBSCRIBE_SPREAD_SHARE: f64 = 0.8;
-/// A standing subscription is asked for anew after this share of the rule's time, in case it died unseen.
+/// A subscription is renewed after this share of the renewal interval, in case it broke unnoticed.
 const RENEWAL_SHARE: f64 = 0.8;
-/// A destination without endpoints, messages or demand for so long is forgotten.
+/// A destination without endpoints, messages and demand is removed after this time.
 const UNUSED_DESTINATION_SECONDS: f64 = 120.0;
 
 impl Dispatcher {
-    pub(super) fn apply_list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, whole: bool) {
-        // The saved list of an earlier life is no subscription.
+    /// Applies entries of the list.
+    pub(super) fn apply_list(&mut self, now: Seconds, entries: Vec<EndpointEntry>, snapshot: bool) {
+        // A list that was restored from disk does not confirm a subscription.
         if self.subscribe_sent {
             self.subscription_confirmed(now);
         }
-        self.update_endpoints(entries, whole, DEFAULT_LATENCY_SECONDS);
-        for number in self.recovered_outages.clone() {
-            self.restore_outage(now, number);
+        self.update_endpoints(entries, snapshot, DEFAULT_LATENCY_SECONDS);
+        for id in self.recovered_outages.clone() {
+            self.restore_outage(now, id);
         }
         self.destinations.retain(|_, d| {
             !(d.endpoints.is_empty()
@@ -32,8 +36,10 @@
         });
     }
 
-    /// The list: subscribe where it must be asked for, again after each failure.
-    pub(super) fn renew_subscription(&mut self, now: Seconds, actions: &mut Vec<Action>, wake: &mut Seconds) {
+    /// Subscribes to the list if it is not pushed, and again after each failure.
+    pub(super) fn renew_subscription(
+        &mut self, now: Seconds, actions: &mut Vec<Action>, wake_at: &mut Seconds,
+    ) {
         if self.settings.discovery_mode == DiscoveryMode::Pushed {
             return;
         }
@@ -47,14 +53,15 @@
                 true,
             );
         }
-        *wake = wake.min(self.next_subscribe_at);
+        *wake_at = wake_at.min(self.next_subscribe_at);
     }
 
-    /// When it is the own turn to ask, by seeded chance: a line that outlasts all patience serves nobody.
+    /// Random delay of a subscription request in a large fleet: a queue of requests longer than their
+    /// time-out would serve nobody.
     pub(super) fn subscribe_jitter(&mut self) -> Seconds {
-        let crowd = (1.0 - SMALL_FLEET_SIZE / f64::from(self.settings.dispatcher_count)).max(0.0);
-        if crowd > 0.0 {
-            crowd
+        let fleet_factor = (1.0 - SMALL_FLEET_SIZE / f64::from(self.settings.dispatcher_count)).max(0.0);
+        if fleet_factor > 0.0 {
+            fleet_factor
                 * SUBSCRIBE_SPREAD_SHARE
                 * self.settings.discovery_mode.max_renewal_interval()
                 * self.rng.f64()
@@ -63,6 +70,7 @@
         }
     }
 
+    /// Schedules the next renewal of a subscription that is alive.
     pub(super) fn subscription_confirmed(&mut self, now: Seconds) {
         (self.next_subscribe_at, self.failed_subscribes) =
             (now + RENEWAL_SHARE * self.settings.discovery_mode.max_renewal_interval(), 0);
--- a/crates/waydoor/src/choice/storage.rs
+++ b/crates/waydoor/src/choice/storage.rs
@@ -1,30 +1,32 @@
-//! The folder that lasts refuses writes: what may not go out without a record waits for it.
-//! Guards what may not be repeated freely against calls that no later life knows of. Harm: it waits.
+//! Whether attempts can be recorded in the journal, and which ones wait while they cannot.
+//!
+//! Prevents calls that may not be repeated freely and that no later process would know of. The cost is that
+//! they wait.
 
 use super::*;
 
-/// After a start that could not be recorded, the next one is tried so much later.
+/// Pause after a failure to record the start of an attempt.
 const WRITE_RETRY_SECONDS: Seconds = 0.1;
 
-/// Whether starts of calls can be put on record, as far as that was tried.
+/// The state of the journal, as far as attempts have shown it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Storage {
-    /// Until then nothing that needs a record is sent.
+pub(crate) struct JournalHealth {
+    /// Until then, nothing that needs a record is sent.
     paused_until: Option<Seconds>,
 }
 
-impl Storage {
-    /// A start could not be put on record.
+impl JournalHealth {
+    /// The start of an attempt could not be recorded.
     pub(super) fn write_failed(&mut self, now: Seconds) {
         self.paused_until = Some(now + WRITE_RETRY_SECONDS);
     }
 
-    /// Until when calls of this class have to wait; none where they need not.
+    /// Until when calls of this class have to wait, if they have to.
     pub(super) fn blocked_until(&self, now: Seconds, effect: Effect) -> Option<Seconds> {
         self.paused_until.filter(|until| now < *until && effect != Effect::Safe)
     }
 
-    /// Whether writes failed a moment ago.
+    /// Whether a write failed a moment ago.
     pub(super) fn is_failing(&self, now: Seconds) -> bool {
         self.paused_until.is_some_and(|until| now < until + WRITE_RETRY_SECONDS)
     }
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -2,7 +2,7 @@
 //! modules under `src/choice` read and change it.
 
 use crate::choice::DEFAULT_LATENCY_SECONDS;
-use crate::choice::storage::Storage;
+use crate::choice::storage::JournalHealth;
 use crate::interface::*;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -250,7 +250,7 @@
     pub(crate) attempts: u32,
     /// The call of the current attempt.
     #[serde(rename = "out")]
-    pub(crate) in_flight: Option<CallRef>,
+    pub(crate) call: Option<CallRef>,
     /// When the first attempt that may have run was sent, and the zone of its endpoint.
     pub(crate) may_have_run: Option<(Seconds, u16)>,
     /// It needs no further attempt.
@@ -278,13 +278,13 @@
     }
 
     pub(crate) fn new(message: Message, accepted_at: Seconds, over_quota: bool) -> Self {
-        let (attempts, in_flight, may_have_run) = (0, None, None);
+        let (attempts, call, may_have_run) = (0, None, None);
         let (done, unbatched, undeliverable, recovered) = (false, false, false, false);
         MessageState {
             message,
             accepted_at,
             attempts,
-            in_flight,
+            call,
             may_have_run,
             done,
             unbatched,
@@ -486,7 +486,7 @@
     /// Whether attempts can be recorded.
     #[serde(default)]
     #[serde(rename = "storage")]
-    pub(crate) journal: Storage,
+    pub(crate) journal: JournalHealth,
 }
 
 impl Dispatcher {
@@ -519,7 +519,7 @@
             next_silence_check_at: f64::INFINITY,
             last_stall_at: f64::NEG_INFINITY,
             mean_latency: latency,
-            journal: Storage::default(),
+            journal: JournalHealth::default(),
             started_at: None,
             pending_actions: Vec::new(),
             recovered_outages: BTreeSet::new(),
@@ -546,7 +546,7 @@
 
     /// The attempts in call_ref, in the order of their message ids.
     pub fn in_flight(&self) -> Vec<InFlightAttempt> {
-        let attempts = self.messages.iter().filter_map(|(id, state)| Some((id, state, state.in_flight?)));
+        let attempts = self.messages.iter().filter_map(|(id, state)| Some((id, state, state.call?)));
         let attempts = attempts.map(|(id, state, CallRef { endpoint, call })| InFlightAttempt {
             id: *id,
             endpoint,
@@ -747,7 +747,7 @@
     /// Removes a message that is done and has no attempt in flight.
     pub(crate) fn remove_if_settled(&mut self, id: MessageId, max_kept: usize) {
         self.dequeue(id);
-        let Some(state) = self.messages.get(&id).filter(|p| p.done && p.in_flight.is_none()) else { return };
+        let Some(state) = self.messages.get(&id).filter(|s| s.done && s.call.is_none()) else { return };
         if let Some(key_queue) = state.message.key.and_then(|key| self.key_queues.get_mut(&key)) {
             key_queue.messages.retain(|other| *other != id);
         }
