--- a/crates/waydoor/src/choice/answers.rs
+++ b/crates/waydoor/src/choice/answers.rs
@@ -19,21 +19,19 @@
             self.next_review_at = f64::INFINITY;
         }
         for id in ids {
-            let Some(state) = self.messages.get(&id).filter(|s| s.call.is_none() && !s.done) else {
-                continue;
-            };
-            let call_time = self.destinations.get(&state.message.destination);
+            let Some(open) = self.messages.get(&id).filter(|s| s.call.is_none() && !s.done) else { continue };
+            let call_time = self.destinations.get(&open.message.destination);
             let call_time = call_time
                 .map_or(DEFAULT_LATENCY_SECONDS, |d| d.target.stats.expected_latency(now))
                 .max(ANSWER_MARGIN_SECONDS);
             let last_send_at =
-                self.before_shutdown((state.message.deadline - call_time).min(self.key_expires_at(state)));
-            let effect = self.settings.classes[state.message.class].effect;
-            let may_not_repeat = effect == Effect::Unsafe && state.may_have_run.is_some();
+                self.before_shutdown((open.message.deadline - call_time).min(self.key_expires_at(open)));
+            let effect = self.settings.classes[open.message.class].effect;
+            let may_not_repeat = effect == Effect::Unsafe && open.may_have_run.is_some();
             if now >= last_send_at
                 || may_not_repeat
-                || state.undeliverable
-                || state.attempts >= self.settings.max_attempts
+                || open.undeliverable
+                || open.attempts >= self.settings.max_attempts
             {
                 self.end_message(id, actions);
             } else {
