--- a/crates/waydoor/src/lib.rs
+++ b/crates/waydoor/src/lib.rs
@@ -1,7 +1,8 @@
-//! waydoor makes the decisions of a delivery service for outbound messages to other firms' systems.
+//! The decisions of a delivery service that sends messages to systems of other organisations.
 //!
-//! It does no I/O: feed a [`Dispatcher`] what happened with [`Dispatcher::handle`], then ask once for
-//! what to do with [`Dispatcher::decide`]. All decisions live in one module.
+//! The crate does no I/O. Pass events to a [`Dispatcher`] with [`Dispatcher::handle`], and call
+//! [`Dispatcher::decide`] once after them for the actions to take. All decisions are made in the module
+//! `policy`.
 //!
 //! ```
 //! use waydoor::*;
@@ -43,7 +44,7 @@
 //! let state = EndpointState::Ready;
 //! let mut actions = Vec::new();
 //!
-//! // One round: all that happened, then one decision.
+//! // A round: all events, then the decisions.
 //! dispatcher.handle(
 //!     0.0,
 //!     Event::ListSnapshot(vec![EndpointEntry { endpoint, destination, kind: 0, zone: 0, rate: 5.0, state }]),
@@ -55,7 +56,7 @@
 //! let sent = actions.iter().any(|a| matches!(a, Action::Send { id: MessageId(1), .. }));
 //! assert!(sent);
 //!
-//! // The next round, when the call has ended.
+//! // The next round, after the call has ended.
 //! actions.clear();
 //! dispatcher.handle(
 //!     0.3,
@@ -77,8 +78,8 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
-mod choice;
 mod interface;
+mod policy;
 mod state;
 
 pub use interface::*;
--- a/crates/waydoor/src/choice.rs
+++ b/crates/waydoor/src/policy.rs
@@ -1,26 +1,26 @@
 //! The policy of the delivery service: every decision between the events and actions of `src/interface.rs`,
 //! on the state in `src/state.rs`. Each submodule has one part of it.
 //!
-//! The regular path follows Dalal and Jordan (`order`): while all slots are in use, a slot that becomes free
-//! goes to the queued message with the highest product of value, decayed freshness and service rate; what
-//! cannot be delivered is rejected before it is sent. The other submodules handle conditions that the paper
-//! does not treat; each says which failure it prevents and what that costs.
+//! The regular path (`scheduling`) follows Dalal and Jordan: while all slots are in use, a slot that becomes
+//! free goes to the queued message with the highest product of value, decayed freshness and service rate;
+//! what cannot be delivered is rejected before it is sent. The other submodules handle conditions that the
+//! paper does not treat; each says which failure it prevents and what that costs.
 
-mod answers;
 mod attempts;
-mod closing;
 mod connections;
-mod listing;
-mod order;
+mod endpoint_list;
+pub(crate) mod journaling;
 mod outage;
-mod pace;
-mod refusal;
-pub(crate) mod storage;
+mod overload;
+mod rate_limit;
+mod scheduling;
+mod shutdown;
+mod undelivered;
 
 use crate::interface::*;
 use crate::state::*;
-use listing::{FIRST_SUBSCRIBE_BACKOFF_SECONDS, MAX_SUBSCRIBE_BACKOFF_SHARE};
-use refusal::MIN_OVERLOAD_BACKOFF_SECONDS;
+use endpoint_list::{FIRST_SUBSCRIBE_BACKOFF_SECONDS, MAX_SUBSCRIBE_BACKOFF_SHARE};
+use overload::MIN_OVERLOAD_BACKOFF_SECONDS;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 pub(crate) const DEFAULT_LATENCY_SECONDS: f64 = 0.25;
 /// Assumed capacity of a destination without a listed or reported rate, in calls a second: a small one, so
 /// that it is not overloaded while it recovers.
-const DEFAULT_CAPACITY: f64 = 1.0;
+const DEFAULT_CAPACITY_PER_SECOND: f64 = 1.0;
 /// Time constant of the measured demand; longer than a burst of messages.
 const DEMAND_WINDOW_SECONDS: f64 = 10.0;
 /// The own share of a shared capacity is never taken to be below this part of an equal share.
@@ -50,8 +50,8 @@
         match event {
             Event::Accepted(message) => self.accept(now, message, true),
             Event::Recovered { message, accepted_at, attempts, may_have_run } => {
-                // The effect of a repeat is unknown without the class: rejecting the message would promise
-                // that it did not run.
+                // Without its class, the effect of a repeat is unknown: a rejection would promise that a
+                // repeat is harmless.
                 if may_have_run.is_some() && message.class >= self.settings.classes.len() {
                     return self.pending_actions.push(Action::Fail(message.id));
                 }
--- a/crates/waydoor/src/choice/attempts.rs
+++ b/crates/waydoor/src/policy/attempts.rs
@@ -4,12 +4,12 @@
 //! Prevents calls to endpoints that must get none, second calls that could take effect twice, and calls
 //! without an end. The cost is that some calls are given up too early.
 
-use super::answers::ANSWER_MARGIN_SECONDS;
 use super::connections::{CONNECT_COST_SECONDS, MAX_IDLE_FOR_UNSAFE_SECONDS};
-use super::order::SAMPLE_WEIGHT;
 use super::outage::{
     FIRST_TRIAL_INTERVAL_SECONDS, MAX_TRIAL_INTERVAL_SECONDS, MIN_SILENCE_SECONDS, SILENCE_LATENCY_MULTIPLE,
 };
+use super::scheduling::SAMPLE_WEIGHT;
+use super::undelivered::ANSWER_MARGIN_SECONDS;
 use super::*;
 
 /// Latencies vary widely around their mean; one call in some hundreds takes longer than this many means.
--- a/crates/waydoor/src/choice/connections.rs
+++ b/crates/waydoor/src/policy/connections.rs
@@ -3,7 +3,7 @@
 //! Keeps the connections of a large fleet from filling small connection tables, and calls from using
 //! connections that were dropped unnoticed. The cost is the time for new connections.
 
-use super::pace::SMALL_FLEET_SIZE;
+use super::rate_limit::SMALL_FLEET_SIZE;
 use super::*;
 
 /// A connection that was idle for a shorter time counts as in use.
--- a/crates/waydoor/src/choice/listing.rs
+++ b/crates/waydoor/src/policy/endpoint_list.rs
@@ -3,7 +3,7 @@
 //! Has the dispatcher learn of drains in time, and keeps a large fleet from subscribing at one moment. The
 //! cost is that a change may arrive late.
 
-use super::pace::SMALL_FLEET_SIZE;
+use super::rate_limit::SMALL_FLEET_SIZE;
 use super::*;
 
 /// First pause before the next subscription request after a failure; it doubles up to the maximum below.
--- a/crates/waydoor/src/choice/refusal.rs
+++ b/crates/waydoor/src/policy/overload.rs
@@ -3,8 +3,8 @@
 //! Keeps rejected calls from using up a rate limit, and honours retry-after. The cost is that pauses are
 //! longer than necessary.
 
-use super::order::STATS_HALF_LIFE_SECONDS;
-use super::pace::{MIN_RATE_SHARE, RATE_GROWTH_PER_SECOND};
+use super::rate_limit::{MIN_RATE_SHARE, RATE_GROWTH_PER_SECOND};
+use super::scheduling::STATS_HALF_LIFE_SECONDS;
 use super::*;
 
 /// Consecutive rejections, over at least the time below, that look like an outage and not like a rate limit.
--- a/crates/waydoor/src/choice/pace.rs
+++ b/crates/waydoor/src/policy/rate_limit.rs
@@ -34,7 +34,7 @@
     /// Calls a second that the target accepts from all dispatchers; the next function returns the own share
     /// of it.
     pub(super) fn total_capacity(&self) -> f64 {
-        self.capacity.unwrap_or(DEFAULT_CAPACITY)
+        self.capacity.unwrap_or(DEFAULT_CAPACITY_PER_SECOND)
     }
 
     /// The own share of it.
--- a/crates/waydoor/src/choice/closing.rs
+++ b/crates/waydoor/src/policy/shutdown.rs
@@ -4,7 +4,7 @@
 //! elsewhere.
 
 use super::attempts::MIN_TIMEOUT_SECONDS;
-use super::order::LAST_CALL_LATENCY_MULTIPLE;
+use super::scheduling::LAST_CALL_LATENCY_MULTIPLE;
 use super::*;
 
 /// Time between the last call of this process and the first of the next one: kill, pause, start, and reading
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -1,9 +1,9 @@
 //! The state of a dispatcher: plain data and its bookkeeping, without decisions or tuned constants. The
-//! modules under `src/choice` read and change it.
+//! modules under `src/policy` read and change it.
 
-use crate::choice::DEFAULT_LATENCY_SECONDS;
-use crate::choice::storage::JournalHealth;
 use crate::interface::*;
+use crate::policy::DEFAULT_LATENCY_SECONDS;
+use crate::policy::journaling::JournalHealth;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/waydoor/tests/limits.rs
+++ b/crates/waydoor/tests/limits.rs
@@ -1,25 +1,25 @@
-//! The decisions stay in modules of one job each, all of which the deploy file lists.
+//! Limits the size of the policy modules, and checks that the deployment file lists all of them.
 
-const ROOMS: [(&str, &str); 11] = [
-    ("choice.rs", include_str!("../src/choice.rs")),
-    ("choice/answers.rs", include_str!("../src/choice/answers.rs")),
-    ("choice/attempts.rs", include_str!("../src/choice/attempts.rs")),
-    ("choice/closing.rs", include_str!("../src/choice/closing.rs")),
-    ("choice/connections.rs", include_str!("../src/choice/connections.rs")),
-    ("choice/listing.rs", include_str!("../src/choice/listing.rs")),
-    ("choice/order.rs", include_str!("../src/choice/order.rs")),
-    ("choice/outage.rs", include_str!("../src/choice/outage.rs")),
-    ("choice/pace.rs", include_str!("../src/choice/pace.rs")),
-    ("choice/refusal.rs", include_str!("../src/choice/refusal.rs")),
-    ("choice/storage.rs", include_str!("../src/choice/storage.rs")),
+const POLICY_MODULES: [(&str, &str); 11] = [
+    ("policy.rs", include_str!("../src/policy.rs")),
+    ("policy/attempts.rs", include_str!("../src/policy/attempts.rs")),
+    ("policy/connections.rs", include_str!("../src/policy/connections.rs")),
+    ("policy/endpoint_list.rs", include_str!("../src/policy/endpoint_list.rs")),
+    ("policy/journaling.rs", include_str!("../src/policy/journaling.rs")),
+    ("policy/outage.rs", include_str!("../src/policy/outage.rs")),
+    ("policy/overload.rs", include_str!("../src/policy/overload.rs")),
+    ("policy/rate_limit.rs", include_str!("../src/policy/rate_limit.rs")),
+    ("policy/scheduling.rs", include_str!("../src/policy/scheduling.rs")),
+    ("policy/shutdown.rs", include_str!("../src/policy/shutdown.rs")),
+    ("policy/undelivered.rs", include_str!("../src/policy/undelivered.rs")),
 ];
 
 #[test]
-fn the_module_keeps_its_limits() {
-    for (name, text) in ROOMS {
-        let own = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(text.starts_with("//! "), "{name}: its first line tells its job");
-        assert!(own <= 300, "{name}: {own} non-blank lines are more than one job");
+fn policy_modules_keep_their_limits() {
+    for (name, text) in POLICY_MODULES {
+        let line_count = text.lines().filter(|line| !line.trim().is_empty()).count();
+        assert!(text.starts_with("//! "), "{name}: the first line is not a module doc comment");
+        assert!(line_count <= 300, "{name}: {line_count} non-blank lines, more than 300");
         for (i, line) in text.lines().enumerate() {
             assert!(line.chars().count() <= 110, "{name}: line {} is too long", i + 1);
         }
@@ -27,18 +27,21 @@
 }
 
 #[test]
-fn every_room_is_counted() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/src/choice");
-    let mut found: Vec<String> = std::fs::read_dir(folder)
+fn every_policy_module_is_listed() {
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/src/policy");
+    let mut found: Vec<String> = std::fs::read_dir(directory)
         .unwrap()
-        .map(|file| format!("choice/{}", file.unwrap().file_name().to_string_lossy()))
+        .map(|file| format!("policy/{}", file.unwrap().file_name().to_string_lossy()))
         .collect();
     found.sort();
-    let counted: Vec<&str> = ROOMS.iter().skip(1).map(|(name, _)| *name).collect();
-    assert_eq!(found, counted);
+    let listed: Vec<&str> = POLICY_MODULES.iter().skip(1).map(|(name, _)| *name).collect();
+    assert_eq!(found, listed);
     let deploy = include_str!("../../../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy")).unwrap();
-    for (name, _) in ROOMS {
-        assert!(policy.contains(&format!("\"crates/waydoor/src/{name}\"")), "{name} is not under policy");
+    for (name, _) in POLICY_MODULES {
+        assert!(
+            policy.contains(&format!("\"crates/waydoor/src/{name}\"")),
+            "{name} is missing in the policy list"
+        );
     }
 }
