--- a/crates/waydoor/src/policy/outage.rs
+++ b/crates/waydoor/src/policy/outage.rs
@@ -23,7 +23,7 @@
 const MAX_BASELINE_LOSS: f64 = 0.2;
 /// A shorter gap between two served calls is no outage: no target restarts and gets cold so fast.
 const MIN_OUTAGE_SECONDS: f64 = 1.0;
-/// Share of failures above which a target is unavailable; the destinations say "most calls", which is more.
+/// Share of failures above which a target is unavailable; on the safe side of the rule's "most calls".
 pub(super) const UNHEALTHY_FAILURE_SHARE: f64 = 0.4;
 /// First interval between trials of an unavailable target; each is a fifth longer, up to the maximum.
 pub(super) const FIRST_TRIAL_INTERVAL_SECONDS: f64 = 0.5;
@@ -40,7 +40,7 @@
 const LARGE_FLEET_TOTAL_USE: f64 = 1.2;
 /// Largest demand for a target, relative to its limit, that is derived from the own share of it.
 const MAX_LARGE_FLEET_LOAD: f64 = 1.5;
-/// The gap between failure and success counts up to this part of the warm-up time.
+/// The gap between failure and success dates a recovery, up to this part of the warm-up time.
 const MAX_RECOVERY_GAP_SHARE: f64 = 0.5;
 
 impl TargetState {
--- a/crates/waydoor/src/policy/rate_limit.rs
+++ b/crates/waydoor/src/policy/rate_limit.rs
@@ -31,13 +31,12 @@
 pub(super) const SMALL_FLEET_SIZE: f64 = 6.0;
 
 impl RateLimiter {
-    /// Calls a second that the target accepts from all dispatchers; the next function returns the own share
-    /// of it.
+    /// Calls a second that the target accepts from all dispatchers.
     pub(super) fn total_capacity(&self) -> f64 {
         self.capacity.unwrap_or(DEFAULT_CAPACITY_PER_SECOND)
     }
 
-    /// The own share of it.
+    /// The own share of the capacity, in calls a second.
     pub(super) fn own_capacity(&self) -> f64 {
         self.own_share * self.total_capacity()
     }
--- a/crates/waydoor/src/policy/scheduling.rs
+++ b/crates/waydoor/src/policy/scheduling.rs
@@ -1,7 +1,8 @@
-//! Scheduling: which queued message is sent next, by the priority of the paper, and the rules that limit it.
+//! Scheduling: which queued message is sent next, by the priority of Dalal and Jordan (see the parent
+//! module), and the rules that limit it.
 //!
-//! Keeps slots and queue capacity from messages of low value, from destinations that are unhealthy or get too
-//! much, and from tenants beyond their quota. The cost is that messages of low priority wait, and are
+//! Prevents messages of low value, destinations that are unhealthy or take too much, and tenants beyond their
+//! quota from filling the slots and the queue. The cost is that messages of low priority wait, and are
 //! rejected when capacity runs out.
 
 use super::outage::UNHEALTHY_FAILURE_SHARE;
@@ -107,7 +108,7 @@
         // If slots are free, only rate limits delay messages. Where the value falls linearly, all lose the
         // same by waiting, so the one that expires first goes first. The cost is that all are late where
         // capacity stays low.
-        let has_spare_slots = self.calls.len() + open_destinations < self.settings.max_concurrent_calls
+        let order_by_deadline = self.calls.len() + open_destinations < self.settings.max_concurrent_calls
             && self.settings.decay == ValueDecay::Linear;
         // Messages that may not end in time go last, and those that a restart recovered and nobody attempted
         // go first: they would have a lower priority than new ones.
@@ -116,7 +117,7 @@
              (other_priority, other_accepted_at, other_demotion, other_message)| {
                 let by_deadline =
                     demotion.cmp(other_demotion).then(message.deadline.total_cmp(&other_message.deadline));
-                let ordering = if has_spare_slots {
+                let ordering = if order_by_deadline {
                     by_deadline
                 } else {
                     demotion.0.cmp(&other_demotion.0).then(other_priority.total_cmp(priority))
