--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -115,7 +115,7 @@
             journal.quota_levels().filter(|_| !self.adopted_state)
         {
             let Some(tenant) = self.tenant_index(&customer) else { continue };
-            self.send_event(Event::QuotaRecovered {
+            self.send_event(Event::QuotaUpdate {
                 tenant,
                 remaining: f64::from(left) / 1000.0,
                 at: self.to_monotonic(at),
--- a/crates/waydoor/tests/restart.rs
+++ b/crates/waydoor/tests/restart.rs
@@ -202,17 +202,17 @@
         "the balance of ten seconds of an even part of the quota"
     );
     assert_eq!(harness.dispatcher.quota_status(harness.now, 7), None, "a tenant that is not in the settings");
-    harness.handle(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: harness.now });
+    harness.handle(Event::QuotaUpdate { tenant: 0, remaining: 0.25, at: harness.now });
     assert!(harness.dispatcher.quota_status(harness.now, 0).unwrap().over);
     // Three seconds later in the next process; a clock that went back counts as no time passed.
     let mut next_process = Harness::new(settings);
-    next_process.handle(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: next_process.now - 3.0 });
+    next_process.handle(Event::QuotaUpdate { tenant: 0, remaining: 0.25, at: next_process.now - 3.0 });
     let quota = next_process.dispatcher.quota_status(next_process.now, 0).unwrap();
     assert_eq!((quota.over, quota.remaining), (false, 2.25));
-    next_process.handle(Event::QuotaRecovered { tenant: 0, remaining: 0.25, at: next_process.now + 50.0 });
+    next_process.handle(Event::QuotaUpdate { tenant: 0, remaining: 0.25, at: next_process.now + 50.0 });
     assert!(next_process.dispatcher.quota_status(next_process.now, 0).unwrap().over, "no time has passed");
-    next_process.handle(Event::QuotaRecovered { tenant: 9, remaining: 0.25, at: next_process.now });
-    next_process.handle(Event::QuotaRecovered { tenant: 0, remaining: f64::NAN, at: next_process.now });
+    next_process.handle(Event::QuotaUpdate { tenant: 9, remaining: 0.25, at: next_process.now });
+    next_process.handle(Event::QuotaUpdate { tenant: 0, remaining: f64::NAN, at: next_process.now });
     assert_eq!(next_process.dispatcher.quota_status(next_process.now, 9), None);
 }
 
