--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,6 +1,6 @@
 //! What the decisions ask for, carried out: calls and their ends, final answers, probes.
 
-use crate::calls::{self, Call, CallEnd, Item};
+use crate::calls::{self, Call, CallEnd, CallMessage};
 use crate::directory::Place;
 use crate::event_loop::Input;
 use crate::serving::Phase;
@@ -37,20 +37,20 @@
 
 /// Makes a call, and sees to it that its end is known to whoever owns by then.
 pub async fn run_call(node: Rc<Node>, call: Call, sent_at: Seconds) {
-    let one = call.items.first().filter(|_| call.items.len() == 1).map(|item| item.number);
+    let one = call.messages.first().filter(|_| call.messages.len() == 1).map(|item| item.number);
     let broken_off = Rc::new(Notify::new());
     one.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, broken_off.clone())));
     let ended = |outcome: Outcome| {
-        let end = |item: &Item| calls::MessageEnd {
+        let end = |item: &CallMessage| calls::MessageEnd {
             number: item.number,
             attempt: item.attempt,
             outcome,
             settled: false,
         };
-        CallEnd::without_report(call.items.iter().map(end).collect(), false)
+        CallEnd::without_report(call.messages.iter().map(end).collect(), false)
     };
     let (mut end, cut) = tokio::select! {
-        end = calls::call(&node, &call) => (end, false),
+        end = calls::perform(&node, &call) => (end, false),
         () = broken_off.notified() => (ended(Outcome::Cancelled), false),
         () = node.abort_signal.notified() => (ended(Outcome::Reset), true),
     };
@@ -96,7 +96,7 @@
     fn add(&mut self, node: &Node, send: Send) {
         let Send { number, endpoint, attempt, timeout, alone } = send;
         let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.handed.clone()) else { return };
-        let item = Item { number, attempt, handed };
+        let item = CallMessage { number, attempt, handed };
         let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.dest);
         let Some(place) = place.filter(|place| node.fleet.may_try(place.dest)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::Moot, settled: false }];
@@ -112,17 +112,17 @@
         let alike = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
             && let Some(call) = self.open.get(&alike).and_then(|at| self.calls.get_mut(*at))
-            && call.items.len() < batch
+            && call.messages.len() < batch
         {
-            call.items.push(item);
+            call.messages.push(item);
             call.timeout = call.timeout.min(timeout);
             return;
         }
         if !alone {
             self.open.insert(alike, self.calls.len());
         }
-        let Place { dial: at, dest, zone, .. } = place;
-        self.calls.push(Call { endpoint, at, dest, zone, items: vec![item], timeout });
+        let Place { dial: address, dest, zone, .. } = place;
+        self.calls.push(Call { endpoint, address, dest, zone, messages: vec![item], timeout });
     }
 }
 
@@ -192,7 +192,7 @@
     for call in sends.calls {
         node.traffic.count(call.dest, |count| {
             count.calls += 1;
-            count.messages += call.items.len() as u64;
+            count.messages += call.messages.len() as u64;
         });
         node.calls_in_flight.set(node.calls_in_flight.get() + 1);
         node.calls_with_connection.set(node.calls_with_connection.get() + 1);
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,4 +1,9 @@
-//! Calls to endpoints, and the connections that they go over.
+//! Calls and probes to endpoints over HTTP/1.1, and the pool of idle connections.
+//!
+//! A call carries one message (`/receive`) or a batch (`/receive-many`). [`perform`] always returns a [`CallEnd`] that
+//! says for each message what happened, above all whether it may have run at the endpoint: a message is never sent
+//! again as if it had not run when some of its request may have been processed. To tell these cases apart,
+//! [`ResponseMonitor`] watches the bytes of a connection beside hyper, which reports only that a request failed.
 
 use crate::serving::Phase;
 use crate::stream::{HeadScanner, SharedStream, Unread};
@@ -28,144 +33,152 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use waydoor::{Allowance, EndpointId, Event, MessageId, Outcome, Seconds};
 
-/// What is read of an answer: twice the longest body, since a call may hold several messages' ends.
-const ANSWER_MOST: usize = 128 * 1024;
-/// Longest head of an answer, and its lines.
+/// Longest response body: twice the longest request body, since a batch response reports on several messages.
+const MAX_RESPONSE_BYTES: usize = 128 * 1024;
+/// Longest head of a response.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-const HEADERS_MOST: usize = 64;
-/// Share of the keep-alive time after which an idle connection is dropped: well before the endpoint does.
-const KEEPALIVE_SHARE: f64 = 0.85;
-/// After its first byte an answer is there or will not come. Answers that stop short would else keep their slots.
-const REST_OF_ANSWER: Duration = Duration::from_millis(300);
-/// After a first line with 200, which tells all of a single message, the rest is waited for no longer than that: it
-/// brings a report, and a connection that can be kept.
-const REST_OF_HEAD: Duration = Duration::from_millis(50);
-/// What has arrived is read within this time.
-const LATE_READ: Duration = Duration::from_millis(5);
-
-/// What a connection has brought since the last request was put on it.
+/// Most header lines of a response.
+const MAX_HEADERS: usize = 64;
+/// Fraction of the keep-alive time after which an idle connection is dropped: well before the endpoint closes it.
+const KEEP_ALIVE_FRACTION: f64 = 0.85;
+/// Time from the first byte of a response to its last. Without this limit a response that stalls midway would occupy
+/// its slot until the call times out.
+const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_millis(300);
+/// The same for a single message once a status line with 200 is read: the message is delivered then, and the rest of
+/// the response only brings a rate limit report and a reusable connection.
+const HEAD_COMPLETION_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time to read bytes that have already arrived.
+const BUFFERED_READ_TIMEOUT: Duration = Duration::from_millis(5);
+
+/// Observes the bytes of a connection since the last request was put on it.
 #[derive(Default)]
-struct Heard {
+struct ResponseMonitor {
     head: RefCell<HeadScanner>,
-    /// When the answer's first byte came; 1xx answers ahead do not count.
-    first_at: Cell<Option<Instant>>,
-    first: Notify,
-    /// The other side has ended the connection. After a head that hyper cannot read it ends it itself, so
-    /// the socket can't be asked any more.
-    ended: Cell<bool>,
+    /// When the first byte of the response arrived; preceding 1xx responses do not count.
+    first_byte_at: Cell<Option<Instant>>,
+    /// Signals the first byte of the response.
+    first_byte: Notify,
+    /// The peer has closed the connection. Noted here because hyper itself closes a connection after a head that it
+    /// cannot parse, and the socket can't tell any more who closed first.
+    peer_closed: Cell<bool>,
     /// A write has failed.
-    unwritten: Cell<bool>,
-    /// Bytes went to the socket since the last flush; once it is flushed, a request is written whole.
-    wrote: Cell<bool>,
-    /// Who counts the messages of the request that is being written.
-    relays: RefCell<Option<(Arc<Figures>, u64)>>,
+    write_failed: Cell<bool>,
+    /// Bytes were written since the last flush.
+    unflushed: Cell<bool>,
+    /// The metrics that count the messages of the current request once it is written, and their number.
+    relay_count: RefCell<Option<(Arc<Figures>, u64)>>,
 }
 
-impl Heard {
+impl ResponseMonitor {
+    /// Resets the monitor for the next request.
     fn clear(&self) {
         self.head.take();
-        self.first_at.set(None);
-        self.unwritten.set(false);
-        self.wrote.set(false);
+        self.first_byte_at.set(None);
+        self.write_failed.set(false);
+        self.unflushed.set(false);
     }
 
-    /// hyper flushes once it has nothing more to write: the request is with the socket whole.
-    fn flushed(&self) {
-        if self.wrote.take()
-            && let Some((figures, messages)) = self.relays.take()
+    /// Counts the messages of the request as relayed. hyper flushes once it has nothing more to write, so the whole
+    /// request has been written to the socket.
+    fn on_flush(&self) {
+        if self.unflushed.take()
+            && let Some((metrics, messages)) = self.relay_count.take()
         {
-            figures.relayed(messages);
+            metrics.relayed(messages);
         }
     }
 
-    fn follow(&self, bytes: &[u8]) {
+    /// Scans bytes that were read.
+    fn observe(&self, bytes: &[u8]) {
         let mut head = self.head.borrow_mut();
         head.scan(bytes);
-        let first_at = head.has_started().then(|| self.first_at.get().unwrap_or_else(Instant::now));
-        self.first_at.set(first_at);
-        if first_at.is_some() {
-            self.first.notify_one();
+        let first_byte_at = head.has_started().then(|| self.first_byte_at.get().unwrap_or_else(Instant::now));
+        self.first_byte_at.set(first_byte_at);
+        if first_byte_at.is_some() {
+            self.first_byte.notify_one();
         }
     }
 
-    /// When an answer that is awaited until then is given up. `one`: it answers a single message.
-    fn until(&self, until: Instant, one: bool) -> Instant {
-        let all = one && self.head.borrow().status() == Some(StatusCode::OK);
-        let rest = if all { REST_OF_HEAD } else { REST_OF_ANSWER };
-        self.first_at.get().map_or(until, |at| until.min(at + rest))
+    /// When to stop waiting for the response, given the deadline of the call. `is_single`: the call carries one message.
+    fn response_deadline(&self, call_deadline: Instant, is_single: bool) -> Instant {
+        let is_delivered = is_single && self.head.borrow().status() == Some(StatusCode::OK);
+        let limit = if is_delivered { HEAD_COMPLETION_TIMEOUT } else { RESPONSE_COMPLETION_TIMEOUT };
+        self.first_byte_at.get().map_or(call_deadline, |at| call_deadline.min(at + limit))
     }
 }
 
-/// What hyper reads and writes.
-struct Line {
-    wire: SharedStream,
-    heard: Rc<Heard>,
+/// The stream that hyper reads and writes; reports all bytes to the monitor.
+struct MonitoredStream {
+    stream: SharedStream,
+    monitor: Rc<ResponseMonitor>,
 }
 
-impl AsyncRead for Line {
+impl AsyncRead for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let read = Pin::new(&mut self.wire).poll_read(cx, buf);
+        let read = Pin::new(&mut self.stream).poll_read(cx, buf);
         let bytes = &buf.filled()[before..];
-        self.heard.follow(bytes);
-        self.heard.ended.set(read.is_ready() && bytes.is_empty());
+        self.monitor.observe(bytes);
+        self.monitor.peer_closed.set(read.is_ready() && bytes.is_empty());
         read
     }
 }
 
-impl Line {
-    fn note(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl MonitoredStream {
+    /// Records the result of a write.
+    fn track_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         match written {
-            Poll::Ready(Ok(1..)) => self.heard.wrote.set(true),
-            Poll::Ready(Err(_)) => self.heard.unwritten.set(true),
+            Poll::Ready(Ok(1..)) => self.monitor.unflushed.set(true),
+            Poll::Ready(Err(_)) => self.monitor.write_failed.set(true),
             _ => {}
         }
         written
     }
 }
 
-impl AsyncWrite for Line {
+impl AsyncWrite for MonitoredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.wire).poll_write(cx, bytes);
-        self.note(written)
+        let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        self.track_write(written)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.wire).poll_write_vectored(cx, parts);
-        self.note(written)
+        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, parts);
+        self.track_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
-        self.wire.is_write_vectored()
+        self.stream.is_write_vectored()
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.heard.flushed();
-        Pin::new(&mut self.wire).poll_flush(cx)
+        self.monitor.on_flush();
+        Pin::new(&mut self.stream).poll_flush(cx)
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.wire).poll_shutdown(cx)
+        Pin::new(&mut self.stream).poll_shutdown(cx)
     }
 }
 
-/// A connection. Dropped, it is closed, whatever is still out on it.
+/// A connection to an endpoint. Dropping it closes it, even while a response is outstanding.
 pub struct Connection {
     pub sender: SendRequest<Full<Bytes>>,
     pub address: SocketAddr,
     pub stream: SharedStream,
-    heard: Rc<Heard>,
-    task: AbortHandle,
+    monitor: Rc<ResponseMonitor>,
+    /// Task that drives the connection.
+    driver: AbortHandle,
     pub idle_since: Instant,
 }
 
 impl Connection {
-    /// Whether a request may go on it. A byte that waits belongs to no answer that is owed: the next call's
-    /// answer would be taken from it. A request on a connection that has ended would be lost.
+    /// Whether another request may use it. Unread bytes belong to no outstanding response, and would be taken for the
+    /// response to the next request. A request on a connection that the peer has closed would be lost.
     pub fn is_reusable(&self) -> bool {
         !self.sender.is_closed() && self.stream.unread() == Unread::Nothing
     }
@@ -173,68 +186,77 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.task.abort();
+        self.driver.abort();
     }
 }
 
 /// Opens a connection.
-pub async fn connect(at: SocketAddr) -> io::Result<Connection> {
-    wrap_stream(TcpStream::connect(at).await?, at, Instant::now()).await
+pub async fn connect(address: SocketAddr) -> io::Result<Connection> {
+    wrap_stream(TcpStream::connect(address).await?, address, Instant::now()).await
 }
 
-/// Takes a connection that is open, and idle since then.
-pub async fn wrap_stream(stream: TcpStream, at: SocketAddr, idle_since: Instant) -> io::Result<Connection> {
-    let wire = SharedStream::new(stream)?;
-    let heard = Rc::new(Heard::default());
-    let line = Line { wire: wire.clone(), heard: heard.clone() };
+/// Makes a [`Connection`] of an open stream that has been idle since `idle_since`.
+pub async fn wrap_stream(
+    stream: TcpStream, address: SocketAddr, idle_since: Instant,
+) -> io::Result<Connection> {
+    let stream = SharedStream::new(stream)?;
+    let monitor = Rc::new(ResponseMonitor::default());
+    let monitored = MonitoredStream { stream: stream.clone(), monitor: monitor.clone() };
     let mut builder = Builder::new();
-    builder.max_buf_size(MAX_HEAD_BYTES).max_headers(HEADERS_MOST);
-    let (sender, connection) = builder.handshake(TokioIo::new(line)).await.map_err(io::Error::other)?;
-    let task = spawn_local(async {
-        // Its end shows at the sender; there is nothing more to tell.
-        let _ = connection.await;
+    builder.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_HEADERS);
+    let (sender, http) = builder.handshake(TokioIo::new(monitored)).await.map_err(io::Error::other)?;
+    let driver = spawn_local(async {
+        // The sender reports the end of the connection.
+        let _ = http.await;
     });
-    Ok(Connection { sender, address: at, stream: wire, heard, task: task.abort_handle(), idle_since })
+    Ok(Connection { sender, address, stream, monitor, driver: driver.abort_handle(), idle_since })
 }
 
-/// The idle connections, by endpoint and not by address: that may be another endpoint's by now. The one used
-/// last is the last.
+/// The idle connections by endpoint, the most recently used last. The address is no key, since it may belong to another
+/// endpoint by now.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<EndpointId, Vec<Connection>>>,
 }
 
 impl ConnectionPool {
-    fn reuse(&self, endpoint: EndpointId, at: SocketAddr, keepalive: Duration) -> Option<Connection> {
+    /// Takes the most recently used connection that is still reusable, and drops those that are not.
+    fn checkout(&self, endpoint: EndpointId, address: SocketAddr, max_idle: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&endpoint)?;
+        let connections = idle.get_mut(&endpoint)?;
         loop {
-            let link = links.pop()?;
-            if link.address == at && link.idle_since.elapsed() < keepalive && link.is_reusable() {
-                return Some(link);
+            let connection = connections.pop()?;
+            if connection.address == address
+                && connection.idle_since.elapsed() < max_idle
+                && connection.is_reusable()
+            {
+                return Some(connection);
             }
         }
     }
 
-    /// Keeps a connection for later calls; false where it is not sound.
-    fn put_back(&self, endpoint: EndpointId, mut link: Connection) -> bool {
-        link.idle_since = Instant::now();
-        self.add_idle(endpoint, link)
+    /// Keeps a connection that was just used; false if it is not reusable.
+    fn put_back(&self, endpoint: EndpointId, mut connection: Connection) -> bool {
+        connection.idle_since = Instant::now();
+        self.add_idle(endpoint, connection)
     }
 
-    /// The same for one that has been idle.
-    pub fn add_idle(&self, endpoint: EndpointId, link: Connection) -> bool {
-        if !link.is_reusable() {
+    /// Keeps a connection that has been idle; false if it is not reusable.
+    pub fn add_idle(&self, endpoint: EndpointId, connection: Connection) -> bool {
+        if !connection.is_reusable() {
             return false;
         }
-        self.idle.borrow_mut().entry(endpoint).or_default().push(link);
+        self.idle.borrow_mut().entry(endpoint).or_default().push(connection);
         true
     }
 
-    /// Takes all out that may be used again.
+    /// Empties the pool and returns the connections that are reusable.
     pub fn take_reusable(&self) -> Vec<(EndpointId, Connection)> {
-        let idle = self.idle.take().into_iter().flat_map(|(endpoint, links)| {
-            links.into_iter().filter(Connection::is_reusable).map(move |link| (endpoint, link))
+        let idle = self.idle.take().into_iter().flat_map(|(endpoint, connections)| {
+            connections
+                .into_iter()
+                .filter(Connection::is_reusable)
+                .map(move |connection| (endpoint, connection))
         });
         idle.collect()
     }
@@ -244,61 +266,65 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Drops connections that have been idle since `since` or before, after a call that has failed: each of
-    /// them would cost one more.
-    fn distrust(&self, endpoint: EndpointId, since: Instant) {
-        if let Some(links) = self.idle.borrow_mut().get_mut(&endpoint) {
-            links.retain(|link| link.idle_since > since);
+    /// Drops connections that have been idle since `since` or longer, after a call has failed: they are probably dead
+    /// too, and each would fail another call.
+    fn drop_idle_since(&self, endpoint: EndpointId, since: Instant) {
+        if let Some(connections) = self.idle.borrow_mut().get_mut(&endpoint) {
+            connections.retain(|connection| connection.idle_since > since);
         }
     }
 
-    /// Drops what has been idle for too long or is dead, and the oldest beyond `most`.
-    pub fn sweep(&self, keepalive: Duration, most: usize) {
+    /// Drops connections that have been idle for `max_idle` or are dead, then the oldest beyond `max_connections`.
+    pub fn sweep(&self, max_idle: Duration, max_connections: usize) {
         let mut idle = self.idle.borrow_mut();
-        for links in idle.values_mut() {
-            links.retain(|link| link.idle_since.elapsed() < keepalive && link.is_reusable());
+        for connections in idle.values_mut() {
+            connections
+                .retain(|connection| connection.idle_since.elapsed() < max_idle && connection.is_reusable());
         }
         let total: usize = idle.values().map(Vec::len).sum();
-        for _ in most..total {
-            let oldest = idle.values_mut().filter(|links| !links.is_empty());
-            if let Some(links) = oldest.min_by_key(|links| links[0].idle_since) {
-                links.remove(0);
+        for _ in max_connections..total {
+            let oldest = idle.values_mut().filter(|connections| !connections.is_empty());
+            if let Some(connections) = oldest.min_by_key(|connections| connections[0].idle_since) {
+                connections.remove(0);
             }
         }
-        idle.retain(|_, links| !links.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
 
-/// For how long an idle connection is used again.
+/// How long an idle connection may be reused.
 pub fn idle_reuse_limit(node: &Node) -> Duration {
-    node.config.settings.keepalive.map_or(Duration::MAX, |k| Duration::from_secs_f64(k * KEEPALIVE_SHARE))
+    node.config
+        .settings
+        .keepalive
+        .map_or(Duration::MAX, |seconds| Duration::from_secs_f64(seconds * KEEP_ALIVE_FRACTION))
 }
 
-/// A message in a call.
-pub struct Item {
+/// A message that a call carries.
+pub struct CallMessage {
     pub number: u64,
     pub attempt: u32,
     pub handed: Handed,
 }
 
-/// One call with one message or several.
+/// A call that carries one message or a batch.
 pub struct Call {
     pub endpoint: EndpointId,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub dest: u32,
     /// The endpoint's zone.
     pub zone: u16,
-    pub items: Vec<Item>,
+    pub messages: Vec<CallMessage>,
     pub timeout: Seconds,
 }
 
-/// How one message of a call fared.
+/// How a call ended for one of its messages.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MessageEnd {
     pub number: u64,
     pub attempt: u32,
     pub outcome: Outcome,
-    /// Nothing more is owed for it.
+    /// The message is done: no retry and no notice is due.
     pub settled: bool,
 }
 
@@ -308,73 +334,94 @@
     pub ends: Vec<MessageEnd>,
     pub retry_after: Option<Seconds>,
     pub rate_limit_report: Option<Allowance>,
-    /// Its connection had been idle.
+    /// The call used a connection from the pool.
     pub connection_reused: bool,
-    /// Its connection is idle now.
+    /// The connection went back to the pool.
     pub connection_kept: bool,
 }
 
 impl CallEnd {
-    /// The end of a call that brought nothing that can be believed but what happened to it.
-    pub fn without_report(ends: Vec<MessageEnd>, reused: bool) -> CallEnd {
+    /// The end of a call whose response, if any, gives no usable information beyond the outcome.
+    pub fn without_report(ends: Vec<MessageEnd>, connection_reused: bool) -> CallEnd {
         CallEnd {
             ends,
             retry_after: None,
             rate_limit_report: None,
-            connection_reused: reused,
+            connection_reused,
             connection_kept: false,
         }
     }
 }
 
-/// What became of the connections of a request.
+/// How [`exchange`] used the pool.
 #[derive(Default)]
-struct Used {
-    /// Its connection had been idle.
-    reused: bool,
-    /// It was not sent, and its connection is idle now.
-    kept: bool,
+struct PoolUse {
+    /// The connection came from the pool.
+    connection_reused: bool,
+    /// The request was not sent, and its connection went back to the pool.
+    connection_kept: bool,
 }
 
 /// Makes a call and waits for its end.
-pub async fn call(node: &Node, call: &Call) -> CallEnd {
-    let until = Instant::now() + Duration::from_secs_f64(call.timeout.clamp(0.0, 3600.0));
-    let Call { endpoint, at, dest, ref items, .. } = *call;
-    let open = || node.directory.borrow().open(endpoint, at, dest);
-    let mut used = Used::default();
-    let answer = match request(call) {
+pub async fn perform(node: &Node, call: &Call) -> CallEnd {
+    let deadline = Instant::now() + Duration::from_secs_f64(call.timeout.clamp(0.0, 3600.0));
+    let Call { endpoint, address, dest, ref messages, .. } = *call;
+    let is_open = || node.directory.borrow().open(endpoint, address, dest);
+    let mut pool_use = PoolUse::default();
+    let response = match build_request(call) {
         Ok(request) => {
-            exchange(node, (endpoint, at), request, until, &open, (items, call.zone), &mut used).await
+            exchange(
+                node,
+                (endpoint, address),
+                request,
+                deadline,
+                &is_open,
+                (messages, call.zone),
+                &mut pool_use,
+            )
+            .await
         }
         Err(error) => {
-            log::info_limited(format_args!("call to {at}: cannot be written: {error}"));
+            log::info_limited(format_args!("call to {address}: cannot build the request: {error}"));
             Err(Outcome::Error)
         }
     };
-    let all = |outcome: Outcome, closed: bool| {
-        let end =
-            |item: &Item| MessageEnd { number: item.number, attempt: item.attempt, outcome, settled: closed };
-        items.iter().map(end).collect::<Vec<_>>()
+    let all = |outcome: Outcome, settled: bool| {
+        let end = |message: &CallMessage| MessageEnd {
+            number: message.number,
+            attempt: message.attempt,
+            outcome,
+            settled,
+        };
+        messages.iter().map(end).collect::<Vec<_>>()
     };
-    let answer = match answer {
-        Ok(answer) => answer,
+    let response = match response {
+        Ok(response) => response,
         Err(outcome) => {
-            let Used { reused, kept } = used;
-            return CallEnd { connection_kept: kept, ..CallEnd::without_report(all(outcome, false), reused) };
+            let PoolUse { connection_reused, connection_kept } = pool_use;
+            return CallEnd {
+                connection_kept,
+                ..CallEnd::without_report(all(outcome, false), connection_reused)
+            };
         }
     };
-    let Some(body) = &answer.body else {
-        // A first line with 200 is true of the one message that it answers; of several it tells nothing, and
-        // nothing else that stands in such an answer is believed.
-        let one = answer.status == StatusCode::OK && items.len() == 1;
-        let ends = all(if one { Outcome::Served } else { Outcome::Spoilt }, one);
-        // A wait runs from when its answer is written; heeding one that was not meant costs time alone.
-        return CallEnd { retry_after: wait(&answer.headers), ..CallEnd::without_report(ends, used.reused) };
+    let Some(body) = &response.body else {
+        // Of a malformed response only a status line with 200 counts, and only for a single message: for a batch the
+        // status line says nothing about its messages.
+        let is_delivered = response.status == StatusCode::OK && messages.len() == 1;
+        let ends = all(if is_delivered { Outcome::Served } else { Outcome::Spoilt }, is_delivered);
+        // Retry-After counts from when it was sent; honouring one that was not meant only delays messages.
+        return CallEnd {
+            retry_after: parse_retry_after(&response.headers),
+            ..CallEnd::without_report(ends, pool_use.connection_reused)
+        };
     };
-    let ends = match answer.status {
-        StatusCode::OK if items.len() > 1 => many_ends(items, body),
+    let ends = match response.status {
+        StatusCode::OK if messages.len() > 1 => parse_batch_response(messages, body),
         StatusCode::OK => all(Outcome::Served, true),
-        StatusCode::SERVICE_UNAVAILABLE if answer.headers.get("X-Line-Busy").is_some_and(|v| v == "1") => {
+        StatusCode::SERVICE_UNAVAILABLE
+            if response.headers.get("X-Line-Busy").is_some_and(|value| value == "1") =>
+        {
             all(Outcome::Moot, false)
         }
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Full, false),
@@ -382,193 +429,228 @@
         StatusCode::GONE => all(Outcome::Moot, true),
         StatusCode::INTERNAL_SERVER_ERROR => all(Outcome::Error, false),
         status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) => {
-            log::info_limited(format_args!("call to {at}: {} messages answered {status}", items.len()));
+            log::info_limited(format_args!(
+                "call to {address}: endpoint rejected {} messages with {status}",
+                messages.len()
+            ));
             all(Outcome::Rejected, false)
         }
         other => {
-            log::info_limited(format_args!("call to {at}: answered {other}"));
+            log::info_limited(format_args!("call to {address}: unexpected status {other}"));
             all(Outcome::Error, false)
         }
     };
-    let allowance = node.config.report_fields.and_then(|fields| allowance(&answer.headers, fields));
+    let rate_limit_report =
+        node.config.report_fields.and_then(|fields| parse_rate_limit_report(&response.headers, fields));
     CallEnd {
         ends,
-        retry_after: wait(&answer.headers),
-        rate_limit_report: allowance,
-        connection_reused: used.reused,
-        connection_kept: answer.kept,
+        retry_after: parse_retry_after(&response.headers),
+        rate_limit_report,
+        connection_reused: pool_use.connection_reused,
+        connection_kept: response.connection_kept,
     }
 }
 
-/// Asks an endpoint whether it runs.
+/// Sends a health check request to an endpoint.
 pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<Allowance>) {
-    let Some(place) = node.directory.borrow().place(endpoint) else { return (Outcome::Moot, None) };
-    let until = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
-    let request = Request::get("/health/live").header("Host", place.dial.to_string()).body(Full::default());
+    let Some(listed) = node.directory.borrow().place(endpoint) else { return (Outcome::Moot, None) };
+    let deadline = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
+    let request = Request::get("/health/live").header("Host", listed.dial.to_string()).body(Full::default());
     let Ok(request) = request else { return (Outcome::Moot, None) };
-    let open = || node.directory.borrow().open(endpoint, place.dial, place.dest);
-    let none = (&[][..], place.zone);
-    match exchange(node, (endpoint, place.dial), request, until, &open, none, &mut Used::default()).await {
+    let is_open = || node.directory.borrow().open(endpoint, listed.dial, listed.dest);
+    let no_messages = (&[][..], listed.zone);
+    match exchange(
+        node,
+        (endpoint, listed.dial),
+        request,
+        deadline,
+        &is_open,
+        no_messages,
+        &mut PoolUse::default(),
+    )
+    .await
+    {
         Err(outcome) => (outcome, None),
-        Ok(answer) if answer.body.is_none() => (Outcome::Spoilt, None),
-        Ok(answer) => {
-            let told = node.config.report_fields.and_then(|fields| allowance(&answer.headers, fields));
-            if let Some(wait) = wait(&answer.headers) {
+        Ok(response) if response.body.is_none() => (Outcome::Spoilt, None),
+        Ok(response) => {
+            let report = node
+                .config
+                .report_fields
+                .and_then(|fields| parse_rate_limit_report(&response.headers, fields));
+            if let Some(wait) = parse_retry_after(&response.headers) {
                 node.send_event(Event::WaitTold { endpoint, wait });
             }
-            match answer.status {
-                StatusCode::OK => (Outcome::Served, told),
-                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full, told),
-                _ => (Outcome::Error, told),
+            match response.status {
+                StatusCode::OK => (Outcome::Served, report),
+                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full, report),
+                _ => (Outcome::Error, report),
             }
         }
     }
 }
 
-/// An answer of which the first line could be read.
-struct Answer {
+/// A response whose status line could be parsed.
+struct EndpointResponse {
     status: StatusCode,
     headers: HeaderMap,
-    /// None where the answer is spoilt: not whole, too long or not to be read.
+    /// None if the response is incomplete, too long or malformed.
     body: Option<Bytes>,
-    /// Its connection is idle now.
-    kept: bool,
+    /// The connection went back to the pool.
+    connection_kept: bool,
 }
 
-/// One request and its answer. An error tells whether the request may have run. `messages`: those it carries; of
-/// several the body of an answer with 200 tells something.
+/// Sends a request over a pooled or a new connection and reads the response. The outcome in an error says whether the
+/// request may have run. `messages`: those that the request carries, none for a probe; their start is journaled before
+/// the first byte is sent. `is_open`: whether the endpoint may still get requests.
 async fn exchange(
-    node: &Node, (endpoint, at): (EndpointId, SocketAddr), mut request: Request<Full<Bytes>>, until: Instant,
-    open: &dyn Fn() -> bool, (items, zone): (&[Item], u16), used: &mut Used,
-) -> Result<Answer, Outcome> {
-    let one = items.len() == 1;
-    let messages: Vec<_> = items.iter().map(|item| MessageId(item.number)).collect();
-    let mut recorded = false;
+    node: &Node, (endpoint, address): (EndpointId, SocketAddr), mut request: Request<Full<Bytes>>,
+    deadline: Instant, is_open: &dyn Fn() -> bool, (messages, zone): (&[CallMessage], u16),
+    pool_use: &mut PoolUse,
+) -> Result<EndpointResponse, Outcome> {
+    let is_single = messages.len() == 1;
+    let ids: Vec<_> = messages.iter().map(|message| MessageId(message.number)).collect();
+    let mut start_recorded = false;
     loop {
-        let mut link;
-        (link, used.reused) = match node.pool.reuse(endpoint, at, idle_reuse_limit(node)) {
-            Some(link) => (link, true),
-            None => {
-                let limit = Duration::from_secs_f64(node.config.connect_timeout);
-                match timeout_at(until, timeout(limit, connect(at))).await {
-                    Ok(Ok(Ok(link))) => (link, false),
-                    // Nothing was sent: a connection that does not come up in time is no time-out.
-                    _ => return Err(Outcome::NoConnection),
+        let mut connection;
+        (connection, pool_use.connection_reused) =
+            match node.pool.checkout(endpoint, address, idle_reuse_limit(node)) {
+                Some(connection) => (connection, true),
+                None => {
+                    let connect_timeout = Duration::from_secs_f64(node.config.connect_timeout);
+                    match timeout_at(deadline, timeout(connect_timeout, connect(address))).await {
+                        Ok(Ok(Ok(connection))) => (connection, false),
+                        // Nothing was sent, so this is not the timeout of a call that may have run.
+                        _ => return Err(Outcome::NoConnection),
+                    }
                 }
-            }
-        };
-        match timeout_at(until, link.sender.ready()).await {
+            };
+        match timeout_at(deadline, connection.sender.ready()).await {
             Ok(Ok(())) => {}
-            _ if used.reused => continue,
+            _ if pool_use.connection_reused => continue,
             _ => return Err(Outcome::NoConnection),
         }
-        // Connecting takes time: what is drained or gone by now gets nothing new, and no more does a process begin
-        // that hands over.
-        if !open() || node.serving_state.phase() != Phase::Serving {
+        // Connecting takes time. Meanwhile the endpoint may have begun draining or left the list, or this process may
+        // have begun a handover.
+        if !is_open() || node.serving_state.phase() != Phase::Serving {
             return Err(Outcome::Moot);
         }
-        // The decisions may have learned meanwhile what forbids it. The connection is as good as new.
-        if !node.dispatcher.borrow().may_begin(node.now(), endpoint, &messages) {
-            used.kept = node.pool.put_back(endpoint, link);
+        // The decision core may have received events meanwhile that forbid the call. The connection is unused.
+        if !node.dispatcher.borrow().may_begin(node.now(), endpoint, &ids) {
+            pool_use.connection_kept = node.pool.put_back(endpoint, connection);
             return Err(Outcome::Moot);
         }
-        if !std::mem::replace(&mut recorded, true)
-            && let Err(outcome) = node.record_call_start(items, zone)
+        if !std::mem::replace(&mut start_recorded, true)
+            && let Err(outcome) = node.record_call_start(messages, zone)
         {
-            used.kept = node.pool.put_back(endpoint, link);
+            pool_use.connection_kept = node.pool.put_back(endpoint, connection);
             return Err(outcome);
         }
         let sent_at = Instant::now();
-        link.heard.clear();
-        link.heard
-            .relays
-            .replace((!messages.is_empty()).then(|| (node.metrics.clone(), messages.len() as u64)));
-        let heard = link.heard.clone();
-        let mut sent = pin!(link.sender.try_send_request(request));
-        let answer = loop {
+        connection.monitor.clear();
+        connection
+            .monitor
+            .relay_count
+            .replace((!ids.is_empty()).then(|| (node.metrics.clone(), ids.len() as u64)));
+        let monitor = connection.monitor.clone();
+        let mut sending = pin!(connection.sender.try_send_request(request));
+        let result = loop {
             tokio::select! {
-                answer = sent.as_mut() => break Ok(answer),
-                // The time of an answer that has begun is short.
-                () = heard.first.notified() => {}
-                // After a stall of this process the time is up before anything was read: what came meanwhile
-                // is no time-out.
-                () = sleep_until(heard.until(until, one)) => break timeout(LATE_READ, sent).await,
+                result = sending.as_mut() => break Ok(result),
+                // The deadline of a response that has begun is earlier.
+                () = monitor.first_byte.notified() => {}
+                // If this process was stalled, a response may have arrived in time without being read yet: give it a
+                // moment before the call counts as timed out.
+                () = sleep_until(monitor.response_deadline(deadline, is_single)) => break timeout(BUFFERED_READ_TIMEOUT, sending).await,
             }
         };
-        let outcome = match answer {
-            Ok(Ok(answer)) => return Ok(rest(node, endpoint, link, answer, until, messages.len() > 1).await),
+        let outcome = match result {
+            Ok(Ok(head)) => {
+                return Ok(read_body(node, endpoint, connection, head, deadline, ids.len() > 1).await);
+            }
             Ok(Err(mut error)) => match error.take_message() {
-                // An idle connection that was closed meanwhile: no byte was written, so this is no resend.
-                Some(unsent) if used.reused => {
+                // The peer closed a pooled connection before a byte was written, so sending again is no repeat.
+                Some(unsent) if pool_use.connection_reused => {
                     request = unsent;
                     continue;
                 }
                 Some(_) => return Err(Outcome::NoConnection),
-                // It broke before the last byte was written: an endpoint begins a call only then.
-                None if heard.unwritten.get() => Outcome::NoConnection,
+                // The connection broke before the last byte was written, and endpoints start work only on a complete
+                // request.
+                None if monitor.write_failed.get() => Outcome::NoConnection,
                 None => Outcome::Reset,
             },
             Err(_) => Outcome::TimedOut,
         };
-        // hyper tells only that no answer could be read; what came of it tells more.
-        let (status, begun) = (heard.head.borrow().status(), heard.first_at.get().is_some());
+        // hyper reports only that the response was unusable; the bytes that arrived tell more.
+        let (status, has_started) = (monitor.head.borrow().status(), monitor.first_byte_at.get().is_some());
         if status == Some(StatusCode::OK) {
-            return Ok(Answer { status: StatusCode::OK, headers: HeaderMap::new(), body: None, kept: false });
+            return Ok(EndpointResponse {
+                status: StatusCode::OK,
+                headers: HeaderMap::new(),
+                body: None,
+                connection_kept: false,
+            });
         }
-        // A process that dies while it answers leaves half an answer, too, but its connection ends.
-        if begun && !heard.ended.get() {
+        // An endpoint that dies while responding also leaves a partial response, but then its connection closes.
+        if has_started && !monitor.peer_closed.get() {
             return Err(Outcome::Spoilt);
         }
-        // A machine that vanished leaves all connections open and silent; one that closes those that are idle
-        // closes the older ones first.
-        let since = if outcome == Outcome::TimedOut { sent_at } else { link.idle_since };
-        node.pool.distrust(endpoint, since);
+        // A host that vanished leaves all its connections open and silent. A host that closes idle connections closes
+        // the oldest first, so only older ones are suspect.
+        let since = if outcome == Outcome::TimedOut { sent_at } else { connection.idle_since };
+        node.pool.drop_idle_since(endpoint, since);
         return Err(outcome);
     }
 }
 
-/// Reads the rest of an answer; the connection is kept if it is whole. It is waited for no longer than the call is: the
-/// ends of its messages are due.
-async fn rest(
-    node: &Node, endpoint: EndpointId, link: Connection, answer: Response<Incoming>, until: Instant,
-    told: bool,
-) -> Answer {
-    let (head, body) = answer.into_parts();
-    // Where the head tells all, a body that did not come with it is not worth a slot.
-    let limit = if told || head.status != StatusCode::OK { REST_OF_ANSWER } else { LATE_READ };
+/// Reads the body of a response and returns the connection to the pool if the response is complete. Waits no longer than
+/// the deadline of the call, when the outcomes of its messages are due. `body_reports`: the body of a response with 200
+/// has the outcomes of a batch.
+async fn read_body(
+    node: &Node, endpoint: EndpointId, connection: Connection, response: Response<Incoming>,
+    deadline: Instant, body_reports: bool,
+) -> EndpointResponse {
+    let (head, body) = response.into_parts();
+    // If the head has all the information, a body that did not arrive with it is not worth a slot.
+    let limit = if body_reports || head.status != StatusCode::OK {
+        RESPONSE_COMPLETION_TIMEOUT
+    } else {
+        BUFFERED_READ_TIMEOUT
+    };
     let now = Instant::now();
-    let until = (now + limit).min(until.max(now + LATE_READ));
-    let mut collected = pin!(Limited::new(body, ANSWER_MOST).collect());
-    let mut body = timeout_at(until.min(now + LATE_READ), collected.as_mut()).await;
+    let deadline = (now + limit).min(deadline.max(now + BUFFERED_READ_TIMEOUT));
+    let mut collected = pin!(Limited::new(body, MAX_RESPONSE_BYTES).collect());
+    let mut body = timeout_at(deadline.min(now + BUFFERED_READ_TIMEOUT), collected.as_mut()).await;
     if body.is_err() {
-        // A wait runs from when it was written, and the rest may take its time.
-        if let Some(wait) = wait(&head.headers) {
+        // Retry-After counts from when it was sent, so it is reported before the body is complete.
+        if let Some(wait) = parse_retry_after(&head.headers) {
             node.send_event(Event::WaitTold { endpoint, wait });
         }
-        body = timeout_at(until, collected).await;
+        body = timeout_at(deadline, collected).await;
     }
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
-    // What has left the list meanwhile gets nothing more.
-    let listed = node.directory.borrow().ready_at(endpoint) == Some(link.address);
-    let kept = body.is_some() && listed && node.pool.put_back(endpoint, link);
-    Answer { status: head.status, headers: head.headers, body, kept }
+    // The endpoint may have left the list meanwhile.
+    let is_listed = node.directory.borrow().ready_at(endpoint) == Some(connection.address);
+    let connection_kept = body.is_some() && is_listed && node.pool.put_back(endpoint, connection);
+    EndpointResponse { status: head.status, headers: head.headers, body, connection_kept }
 }
 
-fn request(call: &Call) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let wait_ms = (call.timeout * 1000.0).ceil() as u64;
+/// Builds the HTTP request of a call.
+fn build_request(call: &Call) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+    let timeout_ms = (call.timeout * 1000.0).ceil() as u64;
     let head = |path: &str| {
-        let host = call.at.to_string();
-        Request::post(path).header("Host", host).header("Request-Timeout-Ms", wait_ms)
+        let host = call.address.to_string();
+        Request::post(path).header("Host", host).header("Request-Timeout-Ms", timeout_ms)
     };
-    if let [item] = &call.items[..] {
-        let mut head = head("/receive").header("Request-Id", &item.handed.id);
-        if let Some(key) = &item.handed.key {
+    if let [message] = &call.messages[..] {
+        let mut head = head("/receive").header("Request-Id", &message.handed.id);
+        if let Some(key) = &message.handed.key {
             head = head.header("Idempotency-Key", key);
         }
-        return head.body(Full::new(item.handed.body.clone()));
+        return head.body(Full::new(message.handed.body.clone()));
     }
     let mut body = Vec::new();
-    for Item { handed, .. } in &call.items {
+    for CallMessage { handed, .. } in &call.messages {
         let key = handed.key.as_deref().unwrap_or("-");
         body.extend_from_slice(format!("{} {key} {}\r\n", handed.id, handed.body.len()).as_bytes());
         body.extend_from_slice(&handed.body);
@@ -577,12 +659,12 @@
     head("/receive-many").body(Full::new(body.into()))
 }
 
-/// The ends of the messages of one call. One that is not told may have run.
-fn many_ends(items: &[Item], body: &[u8]) -> Vec<MessageEnd> {
+/// The ends of the messages of a batch from the response body. A message that the body does not name may have run.
+fn parse_batch_response(messages: &[CallMessage], body: &[u8]) -> Vec<MessageEnd> {
     let text = String::from_utf8_lossy(body);
-    let told: HashMap<&str, &str> = text.lines().filter_map(|line| line.trim().split_once(' ')).collect();
-    let end = |item: &Item| {
-        let (outcome, closed) = match told.get(&*item.handed.id).map(|word| word.trim()) {
+    let results: HashMap<&str, &str> = text.lines().filter_map(|line| line.trim().split_once(' ')).collect();
+    let end = |message: &CallMessage| {
+        let (outcome, settled) = match results.get(&*message.handed.id).map(|result| result.trim()) {
             Some("delivered") => (Outcome::Served, true),
             Some("failed") => (Outcome::Error, false),
             Some("refused") => (Outcome::Full, false),
@@ -590,10 +672,10 @@
             Some("spent") => (Outcome::Moot, false),
             _ => (Outcome::Reset, false),
         };
-        MessageEnd { number: item.number, attempt: item.attempt, outcome, settled: closed }
+        MessageEnd { number: message.number, attempt: message.attempt, outcome, settled }
     };
-    let mut ends: Vec<MessageEnd> = items.iter().map(end).collect();
-    // The end that comes last stands for the call: what was not sent tells nothing, a refusal most.
+    let mut ends: Vec<MessageEnd> = messages.iter().map(end).collect();
+    // The last end is taken for the result of the whole call: "not run" is the least informative, a rejection the most.
     ends.sort_by_key(|end| match end.outcome {
         Outcome::Moot => 0,
         Outcome::Served => 1,
@@ -603,12 +685,14 @@
     ends
 }
 
-fn wait(headers: &HeaderMap) -> Option<Seconds> {
+/// The Retry-After of a response, in seconds.
+fn parse_retry_after(headers: &HeaderMap) -> Option<Seconds> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
-    Some(seconds).filter(|s| s.is_finite() && *s > 0.0)
+    Some(seconds).filter(|seconds| seconds.is_finite() && *seconds > 0.0)
 }
 
-fn allowance(headers: &HeaderMap, (rate, left): (&str, Option<&str>)) -> Option<Allowance> {
+/// The rate limit report in the Server-Load header: the fields `rate` and `left` of a JSON object.
+fn parse_rate_limit_report(headers: &HeaderMap, (rate, left): (&str, Option<&str>)) -> Option<Allowance> {
     let report: serde_json::Value = serde_json::from_slice(headers.get("Server-Load")?.as_bytes()).ok()?;
     let rate = report.get(rate)?.as_f64().filter(|rate| rate.is_finite() && *rate >= 0.0)?;
     let left = left.and_then(|left| report.get(left)?.as_f64()).filter(|left| left.is_finite());
@@ -623,25 +707,25 @@
     use tokio::net::TcpListener;
 
     #[tokio::test]
-    async fn a_write_that_fails_is_known() {
+    async fn a_failed_write_is_recorded_until_the_monitor_is_cleared() {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let wire = SharedStream::new(stream).unwrap();
-        let heard = Rc::new(Heard::default());
-        let mut line = Line { wire: wire.clone(), heard: heard.clone() };
+        let stream = SharedStream::new(stream).unwrap();
+        let monitor = Rc::new(ResponseMonitor::default());
+        let mut monitored = MonitoredStream { stream: stream.clone(), monitor: monitor.clone() };
         let (peer, _) = listener.accept().await.unwrap();
-        line.write_all(b"first").await.unwrap();
-        assert!(!heard.unwritten.get());
-        // Closed so, the peer resets the connection.
+        monitored.write_all(b"first").await.unwrap();
+        assert!(!monitor.write_failed.get());
+        // With a zero linger time, closing resets the connection.
         SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
         drop(peer);
-        while wire.unread() != Unread::Closed {
+        while stream.unread() != Unread::Closed {
             tokio::task::yield_now().await;
         }
-        // The first write after it may only bring the fault that is kept at the socket.
-        line.write_all(b"second").await.unwrap_err();
-        assert!(heard.unwritten.get());
-        heard.clear();
-        assert!(!heard.unwritten.get());
+        // The write reports the error that the socket holds.
+        monitored.write_all(b"second").await.unwrap_err();
+        assert!(monitor.write_failed.get());
+        monitor.clear();
+        assert!(!monitor.write_failed.get());
     }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -52,16 +52,10 @@
             }
         }
         Input::CallEnded { endpoint, sent_at, end } => {
-            let CallEnd {
-                ends,
-                retry_after: wait,
-                rate_limit_report: allowance,
-                connection_reused: reused,
-                connection_kept: kept,
-            } = end;
+            let CallEnd { ends, retry_after, rate_limit_report, connection_reused, connection_kept } = end;
             let latency = now - sent_at;
             for end in ends {
-                let calls::MessageEnd { number, attempt, outcome, settled: closed } = end;
+                let calls::MessageEnd { number, attempt, outcome, settled } = end;
                 let id = MessageId(number);
                 dispatcher.handle(
                     now,
@@ -70,12 +64,12 @@
                         endpoint,
                         attempt,
                         outcome,
-                        wait,
-                        closed,
+                        wait: retry_after,
+                        closed: settled,
                         latency,
-                        allowance,
-                        reused,
-                        kept,
+                        allowance: rate_limit_report,
+                        reused: connection_reused,
+                        kept: connection_kept,
                     }),
                 );
             }
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -1,6 +1,6 @@
 //! What is on record, in the form of the decisions; what an earlier process left.
 
-use crate::calls::Item;
+use crate::calls::CallMessage;
 use crate::{Node, log};
 use fawnspoke_control::figures::End;
 use fawnspoke_journal::{Level, Start, UNKNOWN_ZONE};
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// [`Outcome::NotRecorded`], where the call must not begin.
-    pub fn record_call_start(&self, items: &[Item], zone: u16) -> Result<(), Outcome> {
+    pub fn record_call_start(&self, items: &[CallMessage], zone: u16) -> Result<(), Outcome> {
         let start = Start { at: self.unix_now(), zone };
         let mut journal = self.journal.borrow_mut();
         for item in items {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,10 @@
-//! One dispatcher on sockets: feeds the decisions of the library and carries them out.
+//! The I/O layer of a dispatcher: clients, endpoints, discovery, the journal, upgrades.
 //!
-//! All runs on one thread. What happens goes into one queue; once a tick the queue goes to the decisions,
-//! and what they ask for is done. Nothing is decided here.
+//! All decisions are made by [`Dispatcher`], the decision core in the `waydoor` crate, which does no I/O. This crate
+//! turns what happens on sockets and timers into its events, and carries out the actions that it returns.
+//!
+//! Everything runs on one thread. Inputs are collected in one queue; once per tick the [`event_loop`] passes the queue
+//! to the decision core and executes the resulting actions.
 
 mod actions;
 mod calls;
@@ -58,71 +61,77 @@
 use transfer::Transfer;
 use waydoor::{DestinationId, Dispatcher, Event, Seconds};
 
-/// What the parts of the dispatcher share.
+/// The state that the modules of the dispatcher share.
 struct Node {
     config: Config,
     started_at: Instant,
-    /// The clock of what is journaled.
+    /// Clock of all journaled times.
     journal_clock: JournalClock,
+    /// Feeds the event loop.
     input_sender: UnboundedSender<Input>,
     dispatcher: RefCell<Dispatcher>,
     journal: RefCell<Journal>,
     directory: RefCell<Directory>,
     pool: ConnectionPool,
     traffic: traffic::Counts,
-    /// What operators are shown.
+    /// Metrics shown to operators.
     metrics: Arc<Figures>,
-    /// What operators have ordered.
+    /// Overrides that operators have set.
     overrides: control::Control,
-    /// What parts outside of the decisions say.
+    /// Constraints that the fleet puts on this dispatcher.
     fleet: fleet::Bounds,
-    /// Where discovery is now; a new configuration may move it.
+    /// Current address of discovery; a reloaded configuration may change it.
     discovery_address: watch::Sender<SocketAddr>,
-    /// Since when writes to the folder that lasts fail.
+    /// Since when journal writes have been failing.
     journal_failing_since: Cell<Option<Instant>>,
-    /// Taken in the journal, but the 202 is not written yet.
+    /// Journaled messages whose 202 response has not been written yet.
     unacknowledged: RefCell<HashSet<u64>>,
     clients: Clients,
-    /// Calls begun of which not all is done yet, and those of them that may have a connection open.
+    /// Calls that have begun and whose end is not processed yet.
     calls_in_flight: Cell<usize>,
+    /// Those of the calls in flight that may have a connection open.
     calls_with_connection: Cell<usize>,
+    /// SIGTERM or SIGINT was received.
     shutting_down: Cell<bool>,
-    /// A notice is owed.
+    /// Wakes the sender of notices.
     notice_due: Notify,
-    /// The watch is to begin anew.
+    /// Makes the subscription to discovery start again.
     resubscribe: Notify,
-    /// Connections of clients end, each once it owes no answer.
+    /// True once client connections are to close, each after its outstanding response.
     close_clients: watch::Sender<bool>,
+    /// The listening socket for clients.
     listener: Rc<TcpListener>,
-    /// Whether this process serves, or hands over.
+    /// Whether this process serves, is handing over or has handed over.
     serving_state: ServingState,
-    /// Who holds it owns the folder that lasts.
+    /// Its holder owns the state folder.
     owner_lock: RefCell<Option<Lock>>,
-    /// Shared by all processes that may have calls out.
+    /// Shared lock of all processes that may have calls in flight.
     calls_lock: RefCell<Option<Lock>>,
-    /// Where a process comes that is to take over.
+    /// Where a new process connects to take over from this one.
     handover_socket: handover::Doorstep,
-    /// What goes over to it.
+    /// Queue of what is transferred to the new process.
     transfers: UnboundedSender<Transfer>,
-    /// Calls that are out break off: all of them, ...
+    /// Aborts all calls in flight.
     abort_signal: Notify,
-    /// ... or that of one message.
+    /// Cancel the call of one message, by message number.
     cancellations: RefCell<HashMap<u64, Rc<Notify>>>,
-    /// The decisions' state came from the process before.
+    /// The state of the decision core was handed over by the previous process.
     adopted_state: bool,
 }
 
 impl Node {
+    /// Seconds since the start on the decision core's clock, which a handover carries on.
     fn now(&self) -> Seconds {
         self.started_at.elapsed().as_secs_f64()
     }
 
+    /// Queues an input for the next tick.
     fn send_input(&self, input: Input) {
-        // The loop that reads it lives as long as the process.
+        // The receiver, in the event loop, lives as long as the process.
         let _ = self.input_sender.send(input);
     }
 
-    /// Breaks off all calls; when this returns none has a connection open.
+    /// Aborts all calls; when this returns, none of them has a connection open.
     async fn abort_calls(&self) {
         while self.calls_with_connection.get() > 0 {
             self.abort_signal.notify_waiters();
@@ -130,38 +139,40 @@
         }
     }
 
-    /// Gives something to the process that has taken over.
+    /// Queues an item for the process that has taken over.
     fn transfer(&self, item: Transfer) {
         let _ = self.transfers.send(item);
     }
 
+    /// Queues an event for the decision core.
     fn send_event(&self, event: Event) {
         self.send_input(Input::Event(event));
     }
 
-    /// The time now on the clock of what is journaled.
+    /// The current time on the journal's clock.
     fn unix_now(&self) -> UnixMicros {
         self.journal_clock.now()
     }
 
-    /// A point of Unix time on the decisions' clock.
+    /// Converts a journaled time to the decision core's clock.
     fn to_monotonic(&self, at: UnixMicros) -> Seconds {
         self.now() + (at as f64 - self.unix_now() as f64) / 1e6
     }
 
+    /// How long a client should wait before it sends a message for this destination again.
     fn retry_after(&self, destination: DestinationId) -> Seconds {
-        let at = self.dispatcher.borrow().come_back(self.now(), destination);
-        at.min(self.config.max_retry_after)
+        let delay = self.dispatcher.borrow().come_back(self.now(), destination);
+        delay.min(self.config.max_retry_after)
     }
 }
 
-/// Runs the dispatcher that `GW_CONFIG` and `GW_STATE` describe until it is told to stop. A configuration that
-/// is wrong ends the start with one line that names the key, and exit code 2; a start that fails for another
-/// cause (an address in use, a folder that can't be written) with exit code 1.
+/// Runs the dispatcher that `GW_CONFIG` and `GW_STATE` describe until SIGTERM or SIGINT. An invalid configuration
+/// ends the start with one line that names the key, and exit code 2; any other failure of the start (an address in
+/// use, a folder that can't be written) ends it with exit code 1.
 pub fn serve() -> ExitCode {
-    // Signals may come from the first moment on, and one that is not heeded would end the process.
+    // Signals may arrive at any moment, and one without a handler would kill the process.
     let (runtime, signals) = match retry::blocking(runtime_with_signals) {
-        Ok(heeded) => heeded,
+        Ok(built) => built,
         Err(error) => {
             log::error(format_args!("fawnspoke: runtime: {error}"));
             return ExitCode::FAILURE;
@@ -174,13 +185,13 @@
             return ExitCode::from(2);
         }
     };
-    let ran = LocalSet::new().block_on(&runtime, startup::run(config, signals));
-    match ran {
+    let outcome = LocalSet::new().block_on(&runtime, startup::run(config, signals));
+    match outcome {
         Ok(ExitAction::Exit) => ExitCode::SUCCESS,
         Ok(ExitAction::Restart) => {
-            // All that this process had open closes with it; what is on record is taken up as after a kill.
+            // All descriptors close on exec; the new program recovers from the journal as after a kill.
             let error = Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
-            log::error(format_args!("fawnspoke: beginning anew: {error}"));
+            log::error(format_args!("fawnspoke: cannot restart: {error}"));
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -190,26 +201,26 @@
     }
 }
 
-/// The runtime, with signals heeded.
+/// Builds the runtime and installs the signal handlers.
 fn runtime_with_signals() -> io::Result<(Runtime, Signals)> {
-    // Where it gets no pair of sockets for signals, tokio panics.
+    // tokio panics when it cannot create its socket pair for signals.
     let built = std::panic::catch_unwind(|| {
         drop(UnixStream::pair()?);
         tokio::runtime::Builder::new_current_thread().enable_all().build()
     });
     let runtime = built.unwrap_or_else(|_| Err(Errno::NFILE.into()))?;
-    let signals = runtime.block_on(async { Signals::heed() })?;
+    let signals = runtime.block_on(async { Signals::install() })?;
     Ok((runtime, signals))
 }
 
-/// Reads a configuration without starting anything.
+/// Validates a configuration file without starting anything, and returns a one-line summary.
 ///
 /// # Errors
-/// One line that names the file, the key and what is wrong with it.
+/// One line that names the file, the key and the problem.
 pub fn check(file: &Path) -> Result<String, String> {
     let config = Config::from_file(file).map_err(|error| format!("{}: {error}", file.display()))?;
     Ok(format!(
-        "{}: {}: {} classes, {} kinds of destination, {} slots, room for {} messages",
+        "{}: {}: {} classes, {} kinds of destination, {} slots, capacity for {} messages",
         file.display(),
         config.name,
         config.classes.len(),
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -36,7 +36,7 @@
 
 impl Signals {
     /// Asks for them; only inside of a runtime.
-    pub fn heed() -> std::io::Result<Signals> {
+    pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
             interrupt: signal(SignalKind::interrupt())?,
