--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for, carried out: calls and their ends, final answers, probes.
+//! Executes the actions of the decision core: starts calls and probes, journals how they end, ends messages undelivered.
 
 use crate::calls::{self, Call, CallEnd, CallMessage};
 use crate::directory::Place;
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use waydoor::{Action, DestinationId, Effect, EndpointId, Event, Outcome, Seconds};
 
-/// Records how a call ended as soon as that is known, then tells the round loop.
+/// Journals the end of a call and queues it for the decision core.
 pub fn complete_call(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
     for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
         node.count_message_end(end.number, End::Fulfilled);
@@ -24,8 +24,8 @@
         for end in &end.ends {
             node.observe_journal_write(match end.settled {
                 true => journal.over(end.number),
-                // Its start was never on record: it never began.
-                false if journal.get(end.number).is_none_or(|kept| kept.out.is_none()) => continue,
+                // Its start was not journaled, so the call never began.
+                false if journal.get(end.number).is_none_or(|entry| entry.out.is_none()) => continue,
                 false => journal.ended(end.number, !end.outcome.never_ran()),
             });
         }
@@ -35,32 +35,32 @@
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
-/// Makes a call, and sees to it that its end is known to whoever owns by then.
+/// Makes a call and reports its end: here, or to the new process if that has taken over meanwhile.
 pub async fn run_call(node: Rc<Node>, call: Call, sent_at: Seconds) {
-    let one = call.messages.first().filter(|_| call.messages.len() == 1).map(|item| item.number);
-    let broken_off = Rc::new(Notify::new());
-    one.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, broken_off.clone())));
-    let ended = |outcome: Outcome| {
-        let end = |item: &CallMessage| calls::MessageEnd {
-            number: item.number,
-            attempt: item.attempt,
+    let single = call.messages.first().filter(|_| call.messages.len() == 1).map(|message| message.number);
+    let cancellation = Rc::new(Notify::new());
+    single.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, cancellation.clone())));
+    let end_with = |outcome: Outcome| {
+        let end = |message: &CallMessage| calls::MessageEnd {
+            number: message.number,
+            attempt: message.attempt,
             outcome,
             settled: false,
         };
         CallEnd::without_report(call.messages.iter().map(end).collect(), false)
     };
-    let (mut end, cut) = tokio::select! {
+    let (mut end, is_aborted) = tokio::select! {
         end = calls::perform(&node, &call) => (end, false),
-        () = broken_off.notified() => (ended(Outcome::Cancelled), false),
-        () = node.abort_signal.notified() => (ended(Outcome::Reset), true),
+        () = cancellation.notified() => (end_with(Outcome::Cancelled), false),
+        () = node.abort_signal.notified() => (end_with(Outcome::Reset), true),
     };
     node.calls_with_connection.set(node.calls_with_connection.get() - 1);
-    one.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
+    single.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
     let (endpoint, dest) = (call.endpoint, call.dest);
     match node.serving_state.wait_until_settled().await {
-        Phase::HandedOver if cut => {}
+        Phase::HandedOver if is_aborted => {}
         Phase::HandedOver => {
-            // Its connection stays behind.
+            // The connection is not transferred.
             end.connection_kept = false;
             node.transfer(Transfer::Completion(Completion::Call {
                 endpoint: endpoint.0,
@@ -74,31 +74,34 @@
     node.calls_in_flight.set(node.calls_in_flight.get() - 1);
 }
 
-/// A send that the decisions ask for.
-struct Send {
+/// A message that the decision core wants sent.
+struct SendRequest {
     number: u64,
     endpoint: EndpointId,
     attempt: u32,
     timeout: Seconds,
+    /// The message must not share its call with others.
     alone: bool,
 }
 
-/// The sends of one round, as calls: those to one endpoint share a call as far as its kind allows.
+/// Groups the messages sent in one tick into calls: messages to one endpoint share a call up to the batch size of the
+/// destination.
 #[derive(Default)]
-pub struct Calls {
+pub struct CallBatcher {
     calls: Vec<Call>,
-    /// The call with room for more, by endpoint and by whether its messages may never run twice: those are waited
-    /// for, and a call has one time-out.
+    /// The index of the last call that can take more messages, by endpoint and by whether a repeat of its messages is
+    /// unsafe: unsafe messages get a longer timeout, and a call has only one.
     open: BTreeMap<(EndpointId, bool), usize>,
 }
 
-impl Calls {
-    fn add(&mut self, node: &Node, send: Send) {
-        let Send { number, endpoint, attempt, timeout, alone } = send;
-        let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.handed.clone()) else { return };
-        let item = CallMessage { number, attempt, handed };
-        let place = node.directory.borrow().place(endpoint).filter(|p| p.dest == item.handed.dest);
-        let Some(place) = place.filter(|place| node.fleet.may_try(place.dest)) else {
+impl CallBatcher {
+    fn add(&mut self, node: &Node, request: SendRequest) {
+        let SendRequest { number, endpoint, attempt, timeout, alone } = request;
+        let Some(handed) = node.journal.borrow().get(number).map(|e| e.handed.clone()) else { return };
+        let message = CallMessage { number, attempt, handed };
+        let listed =
+            node.directory.borrow().place(endpoint).filter(|listed| listed.dest == message.handed.dest);
+        let Some(listed) = listed.filter(|listed| node.fleet.may_try(listed.dest)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::Moot, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
@@ -107,56 +110,57 @@
             });
             return;
         };
-        let effect = node.class_effect(&item.handed.class);
-        let batch = node.config.settings.kinds.get(place.kind).map_or(1, |kind| kind.batch);
-        let alike = (endpoint, effect == Some(Effect::Unsafe));
+        let effect = node.class_effect(&message.handed.class);
+        let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.batch);
+        let batch_key = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
-            && let Some(call) = self.open.get(&alike).and_then(|at| self.calls.get_mut(*at))
-            && call.messages.len() < batch
+            && let Some(call) = self.open.get(&batch_key).and_then(|index| self.calls.get_mut(*index))
+            && call.messages.len() < max_batch
         {
-            call.messages.push(item);
+            call.messages.push(message);
             call.timeout = call.timeout.min(timeout);
             return;
         }
         if !alone {
-            self.open.insert(alike, self.calls.len());
+            self.open.insert(batch_key, self.calls.len());
         }
-        let Place { dial: address, dest, zone, .. } = place;
-        self.calls.push(Call { endpoint, address, dest, zone, messages: vec![item], timeout });
+        let Place { dial: address, dest, zone, .. } = listed;
+        self.calls.push(Call { endpoint, address, dest, zone, messages: vec![message], timeout });
     }
 }
 
-/// Carries out what the decisions ask for.
+/// Executes the actions that the decision core returned for one tick.
 pub fn execute(node: &Rc<Node>, now: Seconds, actions: &[Action], timer: &mut Option<(u32, Seconds)>) {
-    let mut sends = Calls::default();
+    let mut batcher = CallBatcher::default();
     for action in actions {
         match action {
             Action::Send { id, endpoint, attempt, timeout, alone } => {
                 let (number, endpoint, attempt) = (id.0, *endpoint, *attempt);
-                sends.add(node, Send { number, endpoint, attempt, timeout: *timeout, alone: *alone });
+                batcher
+                    .add(node, SendRequest { number, endpoint, attempt, timeout: *timeout, alone: *alone });
             }
             Action::Refuse(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.handed.dest));
+                let dest = node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.handed.dest));
                 dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
                 node.count_message_end(id.0, End::Throttled);
-                end(node, id.0, Notice::HandedBack { retry_in_ms });
+                end_undelivered(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|kept| kept.handed.dest);
+                let dest = node.journal.borrow().get(id.0).map(|entry| entry.handed.dest);
                 dest.inspect(|dest| node.traffic.count(*dest, |count| count.given_up += 1));
                 node.count_message_end(id.0, End::Faulted);
-                end(node, id.0, Notice::GivenUp);
+                end_undelivered(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
             Action::BreakOff { id, .. } => {
-                if let Some(out) = node.cancellations.borrow().get(&id.0) {
-                    out.notify_one();
+                if let Some(cancellation) = node.cancellations.borrow().get(&id.0) {
+                    cancellation.notify_one();
                 }
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
-                let dest = node.directory.borrow().place(endpoint).map(|place| place.dest);
+                let dest = node.directory.borrow().place(endpoint).map(|listed| listed.dest);
                 dest.inspect(|dest| node.traffic.count(*dest, |count| count.probes += 1));
                 spawn_local(async move {
                     let (outcome, allowance) = calls::probe(&node, endpoint).await;
@@ -189,7 +193,7 @@
             Action::Note(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
-    for call in sends.calls {
+    for call in batcher.calls {
         node.traffic.count(call.dest, |count| {
             count.calls += 1;
             count.messages += call.messages.len() as u64;
@@ -200,7 +204,8 @@
     }
 }
 
-pub fn end(node: &Node, number: u64, notice: Notice) {
+/// Ends a message undelivered: journals the notice and wakes the task that sends it.
+pub fn end_undelivered(node: &Node, number: u64, notice: Notice) {
     node.observe_journal_write(node.journal.borrow_mut().owe(number, notice));
     node.notice_due.notify_one();
 }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -511,20 +511,20 @@
     let ids: Vec<_> = messages.iter().map(|message| MessageId(message.number)).collect();
     let mut start_recorded = false;
     loop {
-        let mut connection;
-        (connection, pool_use.connection_reused) =
+        let mut conn;
+        (conn, pool_use.connection_reused) =
             match node.pool.checkout(endpoint, address, idle_reuse_limit(node)) {
-                Some(connection) => (connection, true),
+                Some(conn) => (conn, true),
                 None => {
                     let connect_timeout = Duration::from_secs_f64(node.config.connect_timeout);
                     match timeout_at(deadline, timeout(connect_timeout, connect(address))).await {
-                        Ok(Ok(Ok(connection))) => (connection, false),
+                        Ok(Ok(Ok(conn))) => (conn, false),
                         // Nothing was sent, so this is not the timeout of a call that may have run.
                         _ => return Err(Outcome::NoConnection),
                     }
                 }
             };
-        match timeout_at(deadline, connection.sender.ready()).await {
+        match timeout_at(deadline, conn.sender.ready()).await {
             Ok(Ok(())) => {}
             _ if pool_use.connection_reused => continue,
             _ => return Err(Outcome::NoConnection),
@@ -536,23 +536,20 @@
         }
         // The decision core may have received events meanwhile that forbid the call. The connection is unused.
         if !node.dispatcher.borrow().may_begin(node.now(), endpoint, &ids) {
-            pool_use.connection_kept = node.pool.put_back(endpoint, connection);
+            pool_use.connection_kept = node.pool.put_back(endpoint, conn);
             return Err(Outcome::Moot);
         }
         if !std::mem::replace(&mut start_recorded, true)
             && let Err(outcome) = node.record_call_start(messages, zone)
         {
-            pool_use.connection_kept = node.pool.put_back(endpoint, connection);
+            pool_use.connection_kept = node.pool.put_back(endpoint, conn);
             return Err(outcome);
         }
         let sent_at = Instant::now();
-        connection.monitor.clear();
-        connection
-            .monitor
-            .relay_count
-            .replace((!ids.is_empty()).then(|| (node.metrics.clone(), ids.len() as u64)));
-        let monitor = connection.monitor.clone();
-        let mut sending = pin!(connection.sender.try_send_request(request));
+        conn.monitor.clear();
+        conn.monitor.relay_count.replace((!ids.is_empty()).then(|| (node.metrics.clone(), ids.len() as u64)));
+        let monitor = conn.monitor.clone();
+        let mut sending = pin!(conn.sender.try_send_request(request));
         let result = loop {
             tokio::select! {
                 result = sending.as_mut() => break Ok(result),
@@ -564,9 +561,7 @@
             }
         };
         let outcome = match result {
-            Ok(Ok(head)) => {
-                return Ok(read_body(node, endpoint, connection, head, deadline, ids.len() > 1).await);
-            }
+            Ok(Ok(head)) => return Ok(read_body(node, endpoint, conn, head, deadline, ids.len() > 1).await),
             Ok(Err(mut error)) => match error.take_message() {
                 // The peer closed a pooled connection before a byte was written, so sending again is no repeat.
                 Some(unsent) if pool_use.connection_reused => {
@@ -597,7 +592,7 @@
         }
         // A host that vanished leaves all its connections open and silent. A host that closes idle connections closes
         // the oldest first, so only older ones are suspect.
-        let since = if outcome == Outcome::TimedOut { sent_at } else { connection.idle_since };
+        let since = if outcome == Outcome::TimedOut { sent_at } else { conn.idle_since };
         node.pool.drop_idle_since(endpoint, since);
         return Err(outcome);
     }
--- a/crates/node/src/client_listener.rs
+++ b/crates/node/src/client_listener.rs
@@ -1,54 +1,54 @@
-//! The clients' listening socket: bound here, or inherited from who started this process.
+//! The clients' listening socket: inherited from the parent process, handed over by the previous process, or bound here.
 
-use crate::retry::{Retry, is_momentary};
+use crate::retry::{Retry, is_transient};
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use tokio::net::TcpListener;
 
-/// The descriptor that whoever started this process holds for it.
-const VARIABLE: &str = "GW_INHERITED_FD";
+/// Environment variable with the number of an inherited descriptor.
+const INHERITED_FD_VARIABLE: &str = "GW_INHERITED_FD";
 
-/// The socket that clients connect to: inherited, else `given` by the process before, else bound here.
+/// Opens the listening socket: an inherited one, else the one `handed_over` by the previous process, else a new one.
 ///
 /// # Errors
-/// One line that names the address or the variable, and what is wrong.
-pub async fn open(at: SocketAddr, given: Option<OwnedFd>) -> Result<TcpListener, String> {
-    let Ok(number) = std::env::var(VARIABLE) else {
-        if let Some(given) = given {
-            let listener = std::net::TcpListener::from(given);
+/// One line that names the address or the variable, and the problem.
+pub async fn open(address: SocketAddr, handed_over: Option<OwnedFd>) -> Result<TcpListener, String> {
+    let Ok(number) = std::env::var(INHERITED_FD_VARIABLE) else {
+        if let Some(handed_over) = handed_over {
+            let listener = std::net::TcpListener::from(handed_over);
             return TcpListener::from_std(listener).map_err(|error| format!("listen: handed over: {error}"));
         }
-        return bind(at).await.map_err(|error| format!("listen: {at}: {error}"));
+        return bind(address).await.map_err(|error| format!("listen: {address}: {error}"));
     };
-    let wrong = |error: String| format!("{VARIABLE}: {number}: {error}");
-    let listener = inherited(&number).map_err(wrong)?;
-    listener.set_nonblocking(true).map_err(|error| wrong(error.to_string()))?;
-    TcpListener::from_std(listener).map_err(|error| wrong(error.to_string()))
+    let describe = |error: String| format!("{INHERITED_FD_VARIABLE}: {number}: {error}");
+    let listener = inherited(&number).map_err(describe)?;
+    listener.set_nonblocking(true).map_err(|error| describe(error.to_string()))?;
+    TcpListener::from_std(listener).map_err(|error| describe(error.to_string()))
 }
 
-/// Listens at an address, once the machine has a socket for it.
-async fn bind(at: SocketAddr) -> io::Result<TcpListener> {
+/// Binds an address, with retries while the machine is short of resources.
+async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let mut retry = Retry::new();
     loop {
-        match TcpListener::bind(at).await {
-            Err(error) if is_momentary(&error) => match retry.next_pause() {
-                Some((pause, _)) => tokio::time::sleep(pause).await,
+        match TcpListener::bind(address).await {
+            Err(error) if is_transient(&error) => match retry.next_delay() {
+                Some((delay, _)) => tokio::time::sleep(delay).await,
                 None => return Err(error),
             },
-            bound => return bound,
+            result => return result,
         }
     }
 }
 
-/// A descriptor by its number. Owning one that something else of this process may own can't be had safely: the
-/// kernel gives a copy of its own instead. The original stays open and counts.
+/// Opens a descriptor by its number. Taking ownership of the number itself would be unsafe, since another part of the
+/// process may own it, so the kernel duplicates the descriptor. The original stays open and counts towards the limit.
 fn inherited(number: &str) -> Result<std::net::TcpListener, String> {
     let number = number.trim().parse::<i32>().map_err(|error| error.to_string())?;
     let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|error| format!("this process: {error}"))?;
     let copy = pidfd_getfd(own, number, PidfdGetfdFlags::empty()).map_err(|error| error.to_string())?;
     let listener = std::net::TcpListener::from(copy);
-    listener.local_addr().map_err(|error| format!("no socket of this protocol: {error}"))?;
+    listener.local_addr().map_err(|error| format!("not a TCP socket: {error}"))?;
     Ok(listener)
 }
--- a/crates/node/src/compaction.rs
+++ b/crates/node/src/compaction.rs
@@ -1,51 +1,55 @@
-//! The journal's work on space, a bounded step after each round, and what is told of it.
+//! Runs the journal's compaction, one bounded step per tick, and logs statistics about it.
 
 use crate::{Node, log};
 use std::time::{Duration, Instant};
 
-/// No more often than this is a line written about the journal.
-const REPORT: Duration = Duration::from_secs(60);
+/// Least interval between two log lines with statistics.
+const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
-/// What the steps took.
+/// Runs the compaction steps and measures them.
 #[derive(Default)]
 pub struct Compactor {
     steps: u64,
-    time: Duration,
-    longest: Duration,
-    reported: Option<Instant>,
-    told: (u64, u64),
+    total_time: Duration,
+    longest_step: Duration,
+    reported_at: Option<Instant>,
+    /// Removed segments and rejected messages at the last report.
+    reported_counts: (u64, u64),
 }
 
 impl Compactor {
-    /// One step, where there is work.
+    /// Runs one step, if there is work, and logs a line if one is due.
     pub fn step(&mut self, node: &Node) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let mut journal = node.journal.borrow_mut();
         match journal.step() {
             Ok(false) => {}
             Ok(true) => {
-                let took = begun.elapsed();
-                (self.steps, self.time, self.longest) =
-                    (self.steps + 1, self.time + took, self.longest.max(took));
+                let duration = started_at.elapsed();
+                (self.steps, self.total_time, self.longest_step) =
+                    (self.steps + 1, self.total_time + duration, self.longest_step.max(duration));
             }
             Err(error) => node.observe_journal_write(Err(error)),
         }
         let counts = journal.counts();
-        let since = *self.reported.get_or_insert(begun);
-        if begun - since >= REPORT && self.told != (counts.removed, counts.refused) {
-            (self.reported, self.told) = (Some(begun), (counts.removed, counts.refused));
+        let reported_at = *self.reported_at.get_or_insert(started_at);
+        if started_at - reported_at >= REPORT_INTERVAL
+            && self.reported_counts != (counts.removed, counts.refused)
+        {
+            (self.reported_at, self.reported_counts) = (Some(started_at), (counts.removed, counts.refused));
             let segments = journal.segments();
-            let (bytes, live) =
-                segments.iter().fold((0, 0), |(b, l), (_, length, live)| (b + length, l + live));
+            let (bytes, live) = segments
+                .iter()
+                .fold((0, 0), |(bytes, live), (_, length, live_bytes)| (bytes + length, live + live_bytes));
             log::info_limited(format_args!(
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
-                 {:.3} ms on average and {:.3} at most; {} removed, {} messages refused for room, {} calls failed",
+                 {:.3} ms on average and {:.3} ms at most; {} segments removed, {} messages rejected for lack of space, {} file system calls failed",
                 segments.len(),
                 counts.written,
                 counts.copied,
                 self.steps,
-                self.time.as_secs_f64() * 1e3 / self.steps.max(1) as f64,
-                self.longest.as_secs_f64() * 1e3,
+                self.total_time.as_secs_f64() * 1e3 / self.steps.max(1) as f64,
+                self.longest_step.as_secs_f64() * 1e3,
                 counts.removed,
                 counts.refused,
                 counts.failed
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,6 @@
-//! The rounds: what has happened goes to the decisions, and what they ask for is done. Nothing is decided here.
+//! The event loop: once per tick it passes the collected inputs to the decision core and executes the actions that it
+//! returns. It also runs the periodic work (journal compaction, metrics, the connection pool) and ends the process after
+//! SIGTERM or SIGINT, or once another process has taken over. All decisions are made by the core.
 
 use crate::actions::execute;
 use crate::calls::{self, CallEnd};
@@ -13,34 +15,31 @@
 use tokio::time::sleep_until;
 use waydoor::{AttemptEnd, EndpointId, Event, MessageId, Seconds};
 
-/// From SIGTERM on: no call may be out later than this ...
-const CALLS_END: Seconds = 3.0;
-/// ... and the process ends by then, before the platform kills it.
-const EXIT: Seconds = 3.3;
-/// New connections come for up to 0.4 s. From then on those that are kept close, while somebody listens still: a request
-/// that crosses the close comes once more on a new one.
-const CLOSE_KEPT: Seconds = 0.45;
-/// No sooner than this the process ends.
-const EXIT_LEAST: Seconds = 0.8;
+/// Time from the stop signal until no call may be in flight any more.
+const CALLS_DEADLINE_SECONDS: Seconds = 3.0;
+/// Time from the stop signal until the process exits in any case, before the platform kills it.
+const EXIT_DEADLINE_SECONDS: Seconds = 3.3;
+/// Time from the stop signal until kept client connections are closed. Clients open new connections for up to 0.4 s after
+/// it. The listener is still open when the kept ones close, so a request that crosses the close can be repeated on a new
+/// connection.
+const CLOSE_CLIENTS_SECONDS: Seconds = 0.45;
+/// Least time from the stop signal to the exit.
+const MIN_EXIT_SECONDS: Seconds = 0.8;
 
-/// What passed is told so often.
-const COUNT_EVERY: Seconds = 1.0;
+/// Interval of the log line with traffic counters.
+const TRAFFIC_LINE_INTERVAL_SECONDS: Seconds = 1.0;
 
-/// What the round loop hears of.
+/// What the event loop receives.
 pub enum Input {
+    /// An event for the decision core.
     Event(Event),
-    /// The client was told that the message is taken.
-    Accepted {
-        number: u64,
-    },
-    CallEnded {
-        endpoint: EndpointId,
-        sent_at: Seconds,
-        end: CallEnd,
-    },
+    /// The first byte of the 202 response for a message was written.
+    Accepted { number: u64 },
+    /// A call ended.
+    CallEnded { endpoint: EndpointId, sent_at: Seconds, end: CallEnd },
 }
 
-/// Hands one input to the decisions.
+/// Passes one input to the decision core.
 pub fn apply_input(node: &Node, now: Seconds, input: Input) {
     let mut dispatcher = node.dispatcher.borrow_mut();
     match input {
@@ -77,75 +76,79 @@
     }
 }
 
-/// What the rounds hear from outside of them.
+/// The receiving ends that the event loop reads.
 pub struct EventSources {
-    pub inbox: UnboundedReceiver<Input>,
+    pub inputs: UnboundedReceiver<Input>,
     pub terminate: Signal,
     pub interrupt: Signal,
-    /// Processes that are to take over.
-    pub asked: UnboundedReceiver<Asked>,
-    pub rest: UnboundedReceiver<Transfer>,
+    /// Processes that ask to take over.
+    pub takeover_requests: UnboundedReceiver<Asked>,
+    /// What is to be transferred to the process that has taken over.
+    pub transfers: UnboundedReceiver<Transfer>,
 }
 
-/// What the process does when the rounds have ended.
+/// What the process does after the event loop.
 pub enum ExitAction {
     Exit,
-    /// It begins anew.
+    /// It executes its program again and recovers from the journal.
     Restart,
 }
 
-/// Rounds, until the process is told to stop and has nothing out any more, or another one has taken over.
-pub async fn run_event_loop(node: Rc<Node>, ears: EventSources) -> ExitAction {
-    let EventSources { mut inbox, mut terminate, mut interrupt, mut asked, mut rest } = ears;
+/// Runs until the process was asked to stop and has nothing in flight, or another process has taken over.
+pub async fn run_event_loop(node: Rc<Node>, sources: EventSources) -> ExitAction {
+    let EventSources { mut inputs, mut terminate, mut interrupt, mut takeover_requests, mut transfers } =
+        sources;
     let tick = Duration::from_secs_f64(node.config.tick);
-    let at = |seconds: Seconds| -> tokio::time::Instant {
+    let instant_of = |seconds: Seconds| -> tokio::time::Instant {
         (node.started_at + Duration::from_secs_f64(seconds.clamp(0.0, 1e9))).into()
     };
     let mut timer = None;
     let mut sweep_at = 0.0;
     let mut compactor = compaction::Compactor::default();
-    let mut told_at = None;
-    let mut counted_at = 0.0;
+    let mut stop_requested_at = None;
+    let mut traffic_logged_at = 0.0;
     let mut actions = Vec::new();
     loop {
-        let due = timer.map_or(sweep_at, |(_, at): (u32, Seconds)| at.min(sweep_at));
-        let mut stop = false;
-        let mut taker = None;
-        let first = tokio::select! {
-            Some(asks) = asked.recv() => { taker = Some(asks); None }
-            input = inbox.recv() => input,
-            () = sleep_until(at(due)) => None,
-            _ = terminate.recv() => { stop = true; None }
-            _ = interrupt.recv() => { stop = true; None }
+        let wake_at = timer.map_or(sweep_at, |(_, due): (u32, Seconds)| due.min(sweep_at));
+        let mut stop_signalled = false;
+        let mut takeover = None;
+        let first_input = tokio::select! {
+            Some(request) = takeover_requests.recv() => { takeover = Some(request); None }
+            input = inputs.recv() => input,
+            () = sleep_until(instant_of(wake_at)) => None,
+            _ = terminate.recv() => { stop_signalled = true; None }
+            _ = interrupt.recv() => { stop_signalled = true; None }
         };
-        // What happens within a tick is one round.
-        let next = (node.started_at.elapsed().as_nanos() / tick.as_nanos() + 1) * tick.as_nanos();
-        sleep_until((node.started_at + Duration::from_nanos(next as u64)).into()).await;
-        if let Some(taker) = taker {
-            let stopping = told_at.is_some();
-            std::iter::from_fn(|| inbox.try_recv().ok())
+        // All inputs of a tick are handled together.
+        let next_tick = (node.started_at.elapsed().as_nanos() / tick.as_nanos() + 1) * tick.as_nanos();
+        sleep_until((node.started_at + Duration::from_nanos(next_tick as u64)).into()).await;
+        if let Some(takeover) = takeover {
+            let stopping = stop_requested_at.is_some();
+            std::iter::from_fn(|| inputs.try_recv().ok())
                 .for_each(|input| apply_input(&node, node.now(), input));
             let signals = (&mut terminate, &mut interrupt);
-            match handover::give(&node, stopping, taker, &mut asked, signals, &mut rest).await {
-                After::Resumed { stopping } => stop |= stopping,
+            match handover::give(&node, stopping, takeover, &mut takeover_requests, signals, &mut transfers)
+                .await
+            {
+                After::Resumed { stopping } => stop_signalled |= stopping,
                 After::Ended => return ExitAction::Exit,
                 After::Restart => return ExitAction::Restart,
             }
         }
         node.fleet.look(&node);
         let now = node.now();
-        if stop && told_at.is_none() {
+        if stop_signalled && stop_requested_at.is_none() {
             log::info(format_args!("{now:.3} told to stop"));
-            told_at = Some(now);
+            stop_requested_at = Some(now);
             node.shutting_down.set(true);
-            let leaving = node.clone();
-            spawn_local(async move { leaving.fleet.leave(&leaving).await });
+            let leaving_node = node.clone();
+            spawn_local(async move { leaving_node.fleet.leave(&leaving_node).await });
             node.metrics.set_ready(false);
-            node.dispatcher.borrow_mut().handle(now, Event::Closing(now + CALLS_END));
+            node.dispatcher.borrow_mut().handle(now, Event::Closing(now + CALLS_DEADLINE_SECONDS));
         }
-        let rest = std::iter::from_fn(|| inbox.try_recv().ok());
-        first.into_iter().chain(rest).for_each(|input| apply_input(&node, now, input));
-        if let Some((token, _)) = timer.take_if(|(_, at)| *at <= now) {
+        let more_inputs = std::iter::from_fn(|| inputs.try_recv().ok());
+        first_input.into_iter().chain(more_inputs).for_each(|input| apply_input(&node, now, input));
+        if let Some((token, _)) = timer.take_if(|(_, due)| *due <= now) {
             node.dispatcher.borrow_mut().handle(now, Event::Timer(token));
         }
         actions.clear();
@@ -153,29 +156,30 @@
         execute(&node, now, &actions, &mut timer);
         compactor.step(&node);
         node.metrics.set(control::gauges(&node));
-        if now >= counted_at + COUNT_EVERY {
-            counted_at = now;
+        if now >= traffic_logged_at + TRAFFIC_LINE_INTERVAL_SECONDS {
+            traffic_logged_at = now;
             let journal = node.journal.borrow();
-            let open = journal.iter().filter(|(_, kept)| kept.notice.is_none());
-            let ages = open.map(|(_, kept)| (kept.handed.dest, -node.to_monotonic(kept.handed.taken) + now));
+            let open = journal.iter().filter(|(_, entry)| entry.notice.is_none());
+            let ages =
+                open.map(|(_, entry)| (entry.handed.dest, -node.to_monotonic(entry.handed.taken) + now));
             node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
         }
         if now >= sweep_at {
-            sweep_at = now + if told_at.is_some() { 0.05 } else { 0.5 };
+            sweep_at = now + if stop_requested_at.is_some() { 0.05 } else { 0.5 };
             node.overrides.catch_up();
             node.pool
                 .sweep(calls::idle_reuse_limit(&node), node.config.limits.idle(node.config.settings.slots));
         }
-        if let Some(told_at) = told_at {
-            if now - told_at >= CLOSE_KEPT {
-                node.close_clients.send_if_modified(|stopping| !std::mem::replace(stopping, true));
+        if let Some(stop_requested_at) = stop_requested_at {
+            if now - stop_requested_at >= CLOSE_CLIENTS_SECONDS {
+                node.close_clients.send_if_modified(|close_clients| !std::mem::replace(close_clients, true));
             }
             let journal = node.journal.borrow();
-            let idle = journal.iter().next().is_none() && now - told_at >= EXIT_LEAST;
-            let quiet = node.calls_in_flight.get() == 0
+            let is_empty = journal.iter().next().is_none() && now - stop_requested_at >= MIN_EXIT_SECONDS;
+            let is_done = node.calls_in_flight.get() == 0
                 && node.clients.asking() == 0
-                && (idle || now - told_at >= CALLS_END);
-            if quiet || now - told_at >= EXIT {
+                && (is_empty || now - stop_requested_at >= CALLS_DEADLINE_SECONDS);
+            if is_done || now - stop_requested_at >= EXIT_DEADLINE_SECONDS {
                 return ExitAction::Exit;
             }
         }
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -1,4 +1,5 @@
-//! What is on record, in the form of the decisions; what an earlier process left.
+//! Connects the journal with the decision core: reports write errors, converts journaled messages to the core's form, and
+//! restores the state that an earlier process left.
 
 use crate::calls::CallMessage;
 use crate::{Node, log};
@@ -7,101 +8,103 @@
 use std::time::Instant;
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, Outcome, Seconds};
 
-/// The customer of a message is not told or has no share.
+/// Tenant index of a message whose tenant is unknown or has no quota.
 const NO_TENANT: usize = usize::MAX;
 
 impl Node {
-    /// A record that could not be written is in memory all the same, and is written before any other. The log tells
-    /// when writes begin to fail and when they succeed again.
-    pub fn observe_journal_write(&self, written: std::io::Result<()>) {
-        match (written, self.journal_failing_since.get()) {
+    /// Tracks the result of a journal write and logs when writes begin to fail and when they succeed again. The journal
+    /// keeps a record that could not be written in memory and writes it before any other.
+    pub fn observe_journal_write(&self, result: std::io::Result<()>) {
+        match (result, self.journal_failing_since.get()) {
             (Err(error), None) => {
                 self.journal_failing_since.set(Some(Instant::now()));
                 log::info_limited(format_args!(
-                    "journal: {error}; new messages are turned away until writes succeed"
+                    "journal: {error}; rejecting new messages until writes succeed"
                 ));
             }
-            (Ok(()), Some(at)) => {
+            (Ok(()), Some(failing_since)) => {
                 self.journal_failing_since.set(None);
                 log::info_limited(format_args!(
                     "journal: writes succeed again after {:.3} s",
-                    at.elapsed().as_secs_f64()
+                    failing_since.elapsed().as_secs_f64()
                 ));
             }
             _ => {}
         }
     }
 
-    /// What a repeat of a message of this class would do, where the class is configured.
+    /// The effect of repeating a message of this class, if the class is configured.
     pub fn class_effect(&self, class: &str) -> Option<Effect> {
-        let index = self.config.classes.iter().position(|known| known == class)?;
+        let index = self.config.classes.iter().position(|configured| configured == class)?;
         self.config.settings.classes.get(index).map(|class| class.effect)
     }
 
-    /// Puts the start of a call on record, before its first byte: it may run from then on. Where a repeat does no harm, a
-    /// folder that refuses writes holds nothing up.
+    /// Journals the start of a call before its first byte is sent, since the call may run from then on. If the write
+    /// fails, only messages that are safe to repeat are sent.
     ///
     /// # Errors
-    /// [`Outcome::NotRecorded`], where the call must not begin.
-    pub fn record_call_start(&self, items: &[CallMessage], zone: u16) -> Result<(), Outcome> {
+    /// [`Outcome::NotRecorded`] if the call must not begin.
+    pub fn record_call_start(&self, messages: &[CallMessage], zone: u16) -> Result<(), Outcome> {
         let start = Start { at: self.unix_now(), zone };
         let mut journal = self.journal.borrow_mut();
-        for item in items {
-            let Err(error) = journal.started(item.number, start) else { continue };
+        for message in messages {
+            let Err(error) = journal.started(message.number, start) else { continue };
             self.observe_journal_write(Err(error));
-            if self.class_effect(&item.handed.class) != Some(Effect::Safe) {
+            if self.class_effect(&message.handed.class) != Some(Effect::Safe) {
                 return Err(Outcome::NotRecorded);
             }
-            journal.started_without_record(item.number, start);
+            journal.started_without_record(message.number, start);
         }
         Ok(())
     }
 
-    /// A message that was taken has ended.
+    /// Counts the end of an accepted message in the metrics of its class.
     pub fn count_message_end(&self, number: u64, end: End) {
         let journal = self.journal.borrow();
-        let Some(kept) = journal.get(number) else { return };
-        if let Some(class) = self.config.classes.iter().position(|class| *class == kept.handed.class) {
+        let Some(entry) = journal.get(number) else { return };
+        if let Some(class) = self.config.classes.iter().position(|class| *class == entry.handed.class) {
             self.metrics.ended(class, end);
         }
     }
 
-    /// The customer of a name, where that one has a share.
+    /// The index of a tenant by its name, if it has a quota.
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
-        self.config.tenants.iter().position(|known| known == name)
+        self.config.tenants.iter().position(|tenant| tenant == name)
     }
 
+    /// A journaled message in the form of the decision core.
     pub fn journaled_message(&self, number: u64) -> Option<Message> {
         let journal = self.journal.borrow();
         let handed = &journal.get(number)?.handed;
-        // A class that is no longer configured is one that the decisions do not know either.
+        // The decision core does not know a class that is no longer configured either.
         let class = self.config.classes.iter().position(|class| *class == handed.class);
-        let customer = handed.customer.as_ref();
+        let tenant = handed.customer.as_ref();
         Some(Message {
             id: MessageId(number),
             class: class.unwrap_or(usize::MAX),
             destination: DestinationId(handed.dest),
             deadline: self.to_monotonic(handed.deadline),
             key: None,
-            tenant: customer.and_then(|(name, _)| self.tenant_index(name)).unwrap_or(NO_TENANT),
-            over_share: Some(customer.is_some_and(|(_, share)| share.over)),
+            tenant: tenant.and_then(|(name, _)| self.tenant_index(name)).unwrap_or(NO_TENANT),
+            over_share: Some(tenant.is_some_and(|(_, share)| share.over)),
         })
     }
 
-    /// When and where a call was sent that may have run. Where keys are kept by zone and nobody knows the zone any
-    /// more, no endpoint can be trusted to know the key: it is as if its time were over.
+    /// The time and zone of the first attempt that may have run. If keys are remembered per zone and the zone is unknown,
+    /// no endpoint can be relied on to know the key, so the key counts as expired.
     pub fn first_attempt(&self, class: usize, start: Start) -> (Seconds, u16) {
         let effect = self.config.settings.classes.get(class).map(|class| class.effect);
-        let lost = start.zone == UNKNOWN_ZONE && matches!(effect, Some(Effect::Keyed { by_zone: true, .. }));
-        (if lost { f64::NEG_INFINITY } else { self.to_monotonic(start.at) }, start.zone)
+        let key_lost =
+            start.zone == UNKNOWN_ZONE && matches!(effect, Some(Effect::Keyed { by_zone: true, .. }));
+        (if key_lost { f64::NEG_INFINITY } else { self.to_monotonic(start.at) }, start.zone)
     }
 
-    /// Takes up what an earlier process left.
+    /// Restores messages, outages and quota levels that an earlier process journaled.
     pub fn restore_from_journal(&self) {
         let journal = self.journal.borrow();
-        let open: Vec<_> = journal.iter().filter(|(_, kept)| kept.notice.is_none()).collect();
+        let open: Vec<_> = journal.iter().filter(|(_, entry)| entry.notice.is_none()).collect();
         log::info(format_args!(
-            "journal: {} messages and {} notices taken up",
+            "journal: restored {} messages and {} notices",
             open.len(),
             journal.owed(usize::MAX).len()
         ));
@@ -119,17 +122,17 @@
                 at: self.to_monotonic(at),
             });
         }
-        for (number, kept) in open {
-            // What came with the decisions' state is known there.
+        for (number, entry) in open {
+            // The state of the decision core that was handed over includes this message.
             if self.dispatcher.borrow().holds(MessageId(number)) {
                 continue;
             }
             let Some(message) = self.journaled_message(number) else { continue };
             self.send_event(Event::Resumed {
                 message,
-                taken: self.to_monotonic(kept.handed.taken),
-                attempts: kept.attempts,
-                may_have_run: kept.may_have_run.map(|start| self.first_attempt(message.class, start)),
+                taken: self.to_monotonic(entry.handed.taken),
+                attempts: entry.attempts,
+                may_have_run: entry.may_have_run.map(|start| self.first_attempt(message.class, start)),
             });
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -110,7 +110,7 @@
     /// Where a new process connects to take over from this one.
     handover_socket: handover::Doorstep,
     /// Queue of what is transferred to the new process.
-    transfers: UnboundedSender<Transfer>,
+    transfer_sender: UnboundedSender<Transfer>,
     /// Aborts all calls in flight.
     abort_signal: Notify,
     /// Cancel the call of one message, by message number.
@@ -141,7 +141,7 @@
 
     /// Queues an item for the process that has taken over.
     fn transfer(&self, item: Transfer) {
-        let _ = self.transfers.send(item);
+        let _ = self.transfer_sender.send(item);
     }
 
     /// Queues an event for the decision core.
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,19 +1,20 @@
-//! What happens, a line each, on standard output. Peers may cause as many lines as they like: no more than
-//! so many are written in a second, and those left out are counted.
+//! Log lines on standard output. Lines that peers can cause are rate limited; suppressed lines are counted and the count
+//! is logged.
 
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-const LINES_A_SECOND: u32 = 20;
+/// Limit of rate-limited lines.
+const MAX_LINES_PER_SECOND: u32 = 20;
 
 thread_local! {
-    /// Since when lines are counted, those written, those left out.
-    static COUNTED: Cell<Option<(Instant, u32, u32)>> = const { Cell::new(None) };
+    /// Start of the current one-second window, lines written and lines suppressed in it.
+    static WINDOW: Cell<Option<(Instant, u32, u32)>> = const { Cell::new(None) };
 }
 
-/// Writes one line. A log that takes nothing (a full disk, a reader that has left) costs its line and nothing else.
+/// Writes one line. If that fails (a full disk, a closed pipe), the line is lost and nothing else happens.
 pub fn info(text: impl Display) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
@@ -23,21 +24,21 @@
     let _ = writeln!(std::io::stderr(), "{text}");
 }
 
-/// Writes a line that peers may cause.
+/// Writes a line that peers can cause, subject to the rate limit.
 pub fn info_limited(text: impl Display) {
     let now = Instant::now();
-    let (mut since, mut written, mut left_out) = COUNTED.get().unwrap_or((now, 0, 0));
-    if now - since >= Duration::from_secs(1) {
-        if left_out > 0 {
-            info(format_args!("{left_out} lines left out"));
+    let (mut window_start, mut written, mut suppressed) = WINDOW.get().unwrap_or((now, 0, 0));
+    if now - window_start >= Duration::from_secs(1) {
+        if suppressed > 0 {
+            info(format_args!("{suppressed} log lines suppressed"));
         }
-        (since, written, left_out) = (now, 0, 0);
+        (window_start, written, suppressed) = (now, 0, 0);
     }
-    if written < LINES_A_SECOND {
+    if written < MAX_LINES_PER_SECOND {
         written += 1;
         info(text);
     } else {
-        left_out += 1;
+        suppressed += 1;
     }
-    COUNTED.set(Some((since, written, left_out)));
+    WINDOW.set(Some((window_start, written, suppressed)));
 }
--- a/crates/node/src/retry.rs
+++ b/crates/node/src/retry.rs
@@ -1,54 +1,56 @@
-//! Trying again at a start: the machine may be short of something for a moment, or the folder refuse writes for a while.
+//! Retries at startup, for when the machine is short of a resource for a moment or the state folder is not writable yet.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The pause before the next try doubles from the least to the most ...
-const PAUSE_LEAST: Duration = Duration::from_millis(20);
-const PAUSE_MOST: Duration = Duration::from_millis(200);
-/// ... for so long: the platform gives a start 30 s.
-const PATIENCE: Duration = Duration::from_secs(28);
+/// The first delay; each further one doubles up to [`MAX_DELAY`].
+const MIN_DELAY: Duration = Duration::from_millis(20);
+const MAX_DELAY: Duration = Duration::from_millis(200);
+/// How long to keep trying: the platform allows 30 s for a start.
+const RETRY_DURATION: Duration = Duration::from_secs(28);
 
-/// The tries of one thing.
+/// Exponential backoff with a time limit.
 pub struct Retry {
-    until: Instant,
-    pause: Duration,
+    give_up_at: Instant,
+    delay: Duration,
 }
 
 impl Retry {
-    /// For something that is tried for the first time now.
+    /// Starts now, with the first attempt.
     pub fn new() -> Retry {
-        Retry { until: Instant::now() + PATIENCE, pause: PAUSE_LEAST }
+        Retry { give_up_at: Instant::now() + RETRY_DURATION, delay: MIN_DELAY }
     }
 
-    /// How long to wait before the next try, and whether this was the first one; none once the time is over.
-    pub fn next_pause(&mut self) -> Option<(Duration, bool)> {
-        let (pause, first) = (self.pause, self.pause == PAUSE_LEAST);
-        self.pause = (pause * 2).min(PAUSE_MOST);
-        (Instant::now() < self.until).then_some((pause, first))
+    /// The delay before the next attempt, and whether it is the first one; none once the time limit has passed.
+    pub fn next_delay(&mut self) -> Option<(Duration, bool)> {
+        let (delay, is_first) = (self.delay, self.delay == MIN_DELAY);
+        self.delay = (delay * 2).min(MAX_DELAY);
+        (Instant::now() < self.give_up_at).then_some((delay, is_first))
     }
 }
 
-/// Whether an error tells that the machine or the process is short of something, or that the call was interrupted.
-pub fn is_momentary(error: &io::Error) -> bool {
-    let short = [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
-    short.iter().any(|code| error.raw_os_error() == Some(code.raw_os_error()))
+/// Whether an error is transient: the machine or the process is short of a resource, or the call was interrupted.
+pub fn is_transient(error: &io::Error) -> bool {
+    let transient_codes =
+        [Errno::NFILE, Errno::MFILE, Errno::NOBUFS, Errno::NOMEM, Errno::AGAIN, Errno::INTR];
+    transient_codes.iter().any(|code| error.raw_os_error() == Some(code.raw_os_error()))
 }
 
-/// Tries until it works, fails for another cause, or the time is over. The thread sleeps between two tries.
+/// Retries an operation while its errors are transient and the time limit has not passed. Blocks the thread between two
+/// attempts.
 ///
 /// # Errors
-/// The last one.
+/// The error of the last attempt.
 pub fn blocking<T>(mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let mut retry = Retry::new();
     loop {
         match attempt() {
-            Err(error) if is_momentary(&error) => match retry.next_pause() {
-                Some((pause, _)) => std::thread::sleep(pause),
+            Err(error) if is_transient(&error) => match retry.next_delay() {
+                Some((delay, _)) => std::thread::sleep(delay),
                 None => return Err(error),
             },
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -1,40 +1,41 @@
-//! Whether this process serves: what reads, writes and begins things waits here while it hands over.
+//! The phase of this process in a handover. Whatever reads from clients, writes to the journal or begins calls waits here
+//! while this process does not own the dispatcher's state.
 
 use std::cell::RefCell;
 use std::future::Future;
 use std::task::{Context, Poll, Waker};
 use tokio::sync::watch;
 
-/// Where this process stands towards the one that takes over.
+/// The phase of a handover, as the process sees it that hands over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It owns and serves.
+    /// It owns the state and serves.
     #[default]
     Serving,
-    /// It has given all away and not heard yet that it was taken: nothing begins, nothing is written.
+    /// It has sent its state and has no confirmation yet: nothing begins, nothing is written.
     HandingOver,
-    /// The other one owns.
+    /// The other process owns the state.
     HandedOver,
 }
 
-/// The phase, and who waits for it to change.
+/// The phase, and the tasks that wait for it to change.
 #[derive(Default)]
 pub struct ServingState {
     phase: watch::Sender<Phase>,
-    /// Readers that found it shut: they are few moments from its opening, or from their end.
-    shut_out: RefCell<Vec<Waker>>,
+    /// Readers that wait for this process to serve again. A handover lasts only moments, so they stay few.
+    blocked_readers: RefCell<Vec<Waker>>,
 }
 
 impl ServingState {
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// The phase from now on.
+    /// Changes the phase and wakes all who wait.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
-        self.shut_out.take().into_iter().for_each(Waker::wake);
+        self.blocked_readers.take().into_iter().for_each(Waker::wake);
     }
 
     /// Ready while this process serves.
@@ -42,27 +43,31 @@
         if self.phase() == Phase::Serving {
             return Poll::Ready(());
         }
-        self.shut_out.borrow_mut().push(cx.waker().clone());
+        self.blocked_readers.borrow_mut().push(cx.waker().clone());
         Poll::Pending
     }
 
-    /// Waits until the phase is such a one.
-    pub async fn wait_for(&self, such: impl Fn(Phase) -> bool) -> Phase {
-        // The sender lives as long as this does.
-        self.phase.subscribe().wait_for(|phase| such(*phase)).await.map_or(Phase::HandedOver, |phase| *phase)
+    /// Waits until the phase satisfies a condition.
+    pub async fn wait_for(&self, condition: impl Fn(Phase) -> bool) -> Phase {
+        // The sender lives as long as `self`, so the wait can't fail.
+        self.phase
+            .subscribe()
+            .wait_for(|phase| condition(*phase))
+            .await
+            .map_or(Phase::HandedOver, |phase| *phase)
     }
 
-    /// Waits until it is known who owns.
+    /// Waits until it is decided which process owns the state.
     pub async fn wait_until_settled(&self) -> Phase {
         self.wait_for(|phase| phase != Phase::HandingOver).await
     }
 
-    /// Does something while this process serves, from its beginning each time that it serves again.
-    pub async fn run_while_serving<F: Future>(&self, begin: impl Fn() -> F) {
+    /// Runs a task while this process serves; cancels it when a handover begins, and starts it again if that fails.
+    pub async fn run_while_serving<F: Future>(&self, start: impl Fn() -> F) {
         loop {
             self.wait_for(|phase| phase == Phase::Serving).await;
             tokio::select! {
-                _ = begin() => return,
+                _ = start() => return,
                 _ = self.wait_for(|phase| phase != Phase::Serving) => {}
             }
         }
--- a/crates/node/src/size_limits.rs
+++ b/crates/node/src/size_limits.rs
@@ -1,6 +1,6 @@
-//! Sizes that several parts go by.
+//! Size limits of HTTP requests, shared by several modules.
 
-/// Longest head, in bytes. It is also what hyper reads ahead of a body.
+/// Longest head of a request. hyper also buffers this much of a body.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The protocol's limit of a body, in bytes.
+/// Longest body that the protocol allows.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a dispatcher: the journal, the signals, the parts in their order.
+//! Startup of a dispatcher process: signal handlers, the journal, and the tasks in their order.
 
 use crate::calls::ConnectionPool;
 use crate::clients::{self, Clients};
@@ -24,10 +24,11 @@
 use tokio::task::spawn_local;
 use waydoor::Dispatcher;
 
-/// Messages that are over and remembered as such, some 200 KB: a client that comes again does so within seconds.
-const ENDS: usize = 4096;
+/// Ended messages whose outcome is remembered to recognise repeats, some 200 KB: a client that repeats a message does so
+/// within seconds.
+const REMEMBERED_OUTCOMES: usize = 4096;
 
-/// The signals that the process heeds. They are asked for before clients can know of it.
+/// The signals that the process handles. The handlers are installed before clients can reach the process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -35,7 +36,7 @@
 }
 
 impl Signals {
-    /// Asks for them; only inside of a runtime.
+    /// Installs the handlers; must be called inside of a runtime.
     pub fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -45,135 +46,144 @@
     }
 }
 
-/// Reads the configuration anew at each SIGHUP. Discovery's address is followed at once; all else is what
-/// this process was started with. A file that is no configuration changes nothing.
+/// Reloads the configuration at each SIGHUP. Only the address of discovery takes effect at once; for all other keys the
+/// log names those that need a restart. An invalid file changes nothing.
 pub async fn reload(node: Rc<Node>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Config::from_environment() {
             Ok(config) => {
-                let kept = node.config.differences(&config);
-                let kept = if kept.is_empty() {
+                let unapplied = node.config.differences(&config);
+                let unapplied = if unapplied.is_empty() {
                     String::new()
                 } else {
-                    format!("; restart for {}", kept.join(", "))
+                    format!("; restart for {}", unapplied.join(", "))
                 };
-                log::info(format_args!("configuration read anew: discovery at {}{kept}", config.discovery));
-                node.discovery_address
-                    .send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
+                log::info(format_args!(
+                    "configuration reloaded: discovery at {}{unapplied}",
+                    config.discovery
+                ));
+                node.discovery_address.send_if_modified(|address| {
+                    std::mem::replace(address, config.discovery) != config.discovery
+                });
             }
             Err(error) => log::info(format_args!("configuration not read, the old one stays: {error}")),
         }
     }
 }
 
-/// Opens the journal and tells what was found; with it, the clock of what it holds.
+/// Opens the journal and its clock, and logs what recovery found.
 pub fn open_journal(config: &Config) -> Result<(Journal, JournalClock), OpenError> {
-    let known = JournalClock::read(&config.state)?;
-    let now = known.map_or_else(clock::wall, JournalClock::now);
+    let stored_clock = JournalClock::read(&config.state)?;
+    let now = stored_clock.map_or_else(clock::wall_clock, JournalClock::now);
     let options = Options {
-        // The platform's own count may have a block more than ours; the clock's file and its successor have one each.
+        // Reserves three blocks: one by which the platform's own count may exceed ours, and one each for the clock's file
+        // and its replacement.
         limits: Limits::of(config.limits.journal().saturating_sub(3 * plan::BLOCK)),
         durability: Durability::None,
         now,
         identity: u128::from(config.seed) << 64 | u128::from(now),
-        ends: ENDS,
+        ends: REMEMBERED_OUTCOMES,
     };
     let (journal, recovery) = Journal::open(&config.state, options)?;
     let Recovery { torn, damage, carried, latest } = recovery;
     if torn > 0 {
-        log::info(format_args!("journal: {torn} bytes of a torn record left out"));
+        log::info(format_args!("journal: discarded {torn} bytes of an incomplete record"));
     }
     if let Some(messages) = carried {
-        log::info(format_args!("journal: {messages} messages carried over from the format before"));
+        log::info(format_args!("journal: migrated {messages} messages from the previous format"));
     }
     for damage in damage {
         log::info(format_args!("journal: damaged: {damage}"));
     }
-    let clock = match known.filter(|clock| !clock.is_behind(latest)) {
+    let clock = match stored_clock.filter(|clock| !clock.is_behind(latest)) {
         Some(clock) => clock,
         None => {
-            let clock = JournalClock::begin(&config.state, latest)?;
-            let ahead = clock.now().saturating_sub(clock::wall()) as f64 / 1e6;
-            log::info(format_args!(
-                "clock: a boot that is new to the folder; {ahead:.3} s ahead of the wall clock"
-            ));
+            let clock = JournalClock::create(&config.state, latest)?;
+            let ahead = clock.now().saturating_sub(clock::wall_clock()) as f64 / 1e6;
+            log::info(format_args!("clock: first start in this boot; {ahead:.3} s ahead of the wall clock"));
             clock
         }
     };
     Ok((journal, clock))
 }
 
-/// Opens the journal once its folder lets it.
+/// Opens the journal, with retries while its folder is not writable.
 async fn open_when_writable(config: &Config) -> Result<(Journal, JournalClock), String> {
     let mut retry = Retry::new();
-    let named = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state.display());
+    let describe = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state.display());
     loop {
         let error = match open_journal(config) {
             Err(error @ OpenError::Io(_)) => error,
-            opened => return opened.map_err(|error| named(&error)),
+            opened => return opened.map_err(|error| describe(&error)),
         };
-        let Some((pause, first)) = retry.next_pause() else { return Err(named(&error)) };
-        if first {
-            log::info(format_args!("{}; trying again", named(&error)));
+        let Some((delay, is_first)) = retry.next_delay() else { return Err(describe(&error)) };
+        if is_first {
+            log::info(format_args!("{}; retrying", describe(&error)));
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
+/// Runs a dispatcher from its start to its exit.
+///
+/// # Errors
+/// One line that says why it could not start.
 pub async fn run(config: Config, mut signals: Signals) -> Result<ExitAction, String> {
-    let figures = Arc::new(Figures::new(&config.classes));
-    let (asked, orders) = unbounded_channel();
+    let metrics = Arc::new(Figures::new(&config.classes));
+    let (control_sender, control_requests) = unbounded_channel();
     if let Some(control) = config.control {
-        // Operators are answered from now on, while the journal is read too.
-        let at = retry::blocking(|| door::open(control, figures.clone(), asked.clone()));
-        let at = at.map_err(|error| format!("control: {control}: {error}"))?;
-        log::info(format_args!("{} answers operators at {at}", config.name));
+        // The control port answers from now on, also while the journal is read.
+        let address = retry::blocking(|| door::open(control, metrics.clone(), control_sender.clone()));
+        let address = address.map_err(|error| format!("control: {control}: {error}"))?;
+        log::info(format_args!("{} answers operators at {address}", config.name));
     }
-    let (locks, taken) = tokio::select! {
+    let (locks, handover) = tokio::select! {
         arrived = handover::arrive(&config) => arrived,
-        // It owns nothing yet.
+        // This process owns nothing yet.
         _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
         _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
     };
-    let (mut journal, clock) = tokio::select! {
+    let (mut journal, journal_clock) = tokio::select! {
         opened = open_when_writable(&config) => opened?,
         _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
         _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
     };
-    let (state, given) = taken.map_or((None, None), |mut taken| (taken.state.take(), Some(taken)));
-    let adopted = state.is_some();
-    let (started, dispatcher, directory) = match state {
+    let (state, handover) =
+        handover.map_or((None, None), |mut handover| (handover.state.take(), Some(handover)));
+    let adopted_state = state.is_some();
+    let (started_at, dispatcher, directory) = match state {
         Some(mut state) => {
-            let started = state.started();
+            let started_at = state.started();
             journal.recall(state.ended);
             state.decisions.moved();
-            (started, state.decisions, state.directory)
+            (started_at, state.decisions, state.directory)
         }
         None => {
             let dispatcher = Dispatcher::new(config.settings.clone(), config.seed);
             (Instant::now(), dispatcher.map_err(|error| error.to_string())?, Directory::default())
         }
     };
-    let (given, passed) = given.map_or((None, None), |mut given| (given.listener.take(), Some(given)));
-    let listener = client_listener::open(config.listen, given).await?;
+    let (listener, handover) =
+        handover.map_or((None, None), |mut handover| (handover.listener.take(), Some(handover)));
+    let listener = client_listener::open(config.listen, listener).await?;
     log::info(format_args!(
         "{} listens at {}",
         config.name,
-        listener.local_addr().map_err(|e| e.to_string())?
+        listener.local_addr().map_err(|error| error.to_string())?
     ));
-    let (sender, mut inbox) = unbounded_channel();
-    let (doorstep, asked) = handover::Doorstep::new(&config.state);
-    let (rest, handed) = unbounded_channel();
+    let (sender, mut inputs) = unbounded_channel();
+    let (handover_socket, takeover_requests) = handover::Doorstep::new(&config.state);
+    let (transfer_sender, transfers) = unbounded_channel();
     let node = Rc::new(Node {
-        started_at: started,
-        journal_clock: clock,
+        started_at,
+        journal_clock,
         input_sender: sender,
         dispatcher: RefCell::new(dispatcher),
         journal: RefCell::new(journal),
         directory: RefCell::new(directory),
         pool: ConnectionPool::default(),
         traffic: traffic::Counts::default(),
-        metrics: figures,
+        metrics,
         fleet: Bounds::new(&config),
         overrides: control::Control::open(&config.state),
         discovery_address: watch::Sender::new(config.discovery),
@@ -190,39 +200,42 @@
         serving_state: ServingState::default(),
         owner_lock: RefCell::new(locks.owner),
         calls_lock: RefCell::new(locks.calls),
-        handover_socket: doorstep,
-        transfers: rest,
+        handover_socket,
+        transfer_sender,
         abort_signal: Notify::new(),
         cancellations: RefCell::default(),
-        adopted_state: adopted,
+        adopted_state,
         config,
     });
-    if !adopted {
-        let known = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
-        known.unwrap_or_else(|error| log::info_limited(format_args!("known: left out: {error}")));
+    if !adopted_state {
+        let listed = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
+        listed.unwrap_or_else(|error| log::info_limited(format_args!("known: ignored: {error}")));
     }
     node.fleet.begin(&node.config);
     node.restore_from_journal();
-    // The decisions know the list and what is owed before the first client is heard.
-    std::iter::from_fn(|| inbox.try_recv().ok()).for_each(|input| apply_input(&node, node.now(), input));
-    if let Some(passed) = passed {
-        spawn_local(handover::own(node.clone(), passed));
+    // The decision core gets the list and the restored messages before the first client is served.
+    std::iter::from_fn(|| inputs.try_recv().ok()).for_each(|input| apply_input(&node, node.now(), input));
+    if let Some(handover) = handover {
+        spawn_local(handover::own(node.clone(), handover));
     }
     node.handover_socket.open();
     spawn_local(discovery::watch(node.clone()));
     spawn_local(discovery::notices(node.clone()));
-    // Clients come once all that was owed is taken up again; nothing here waits for discovery.
+    // Clients are served once all journaled messages are restored; this does not wait for discovery.
     spawn_local(clients::serve(node.clone()));
     spawn_local(fleet::hear(node.clone()));
-    spawn_local(control::obey(node.clone(), orders));
+    spawn_local(control::obey(node.clone(), control_requests));
     node.metrics.set(control::gauges(&node));
     node.metrics.set_ready(true);
     spawn_local(reload(node.clone(), signals.hangup));
     let Signals { terminate, interrupt, .. } = signals;
-    let finish =
-        run_event_loop(node.clone(), EventSources { inbox, terminate, interrupt, asked, rest: handed }).await;
-    // Idle clients hear that the connection ends; a request that is being answered is still answered.
+    let exit_action = run_event_loop(
+        node.clone(),
+        EventSources { inputs, terminate, interrupt, takeover_requests, transfers },
+    )
+    .await;
+    // Closes idle client connections; a request in progress still gets its response.
     node.close_clients.send_replace(true);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    Ok(finish)
+    Ok(exit_action)
 }
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -1,4 +1,5 @@
-//! A TCP connection that can be asked about itself while hyper reads and writes it.
+//! A TCP stream whose socket can be inspected while hyper reads and writes it, and a scanner that follows the HTTP head
+//! in its bytes.
 
 use hyper::StatusCode;
 use socket2::SockRef;
@@ -12,45 +13,46 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is kept of a first line: its status stands at the start.
-const FIRST_LINE: usize = 64;
+/// How much of the first line is kept: the status is at its start.
+const MAX_FIRST_LINE_BYTES: usize = 64;
 
-/// A connection, shared between the one who reads and writes it and those who look after it.
+/// A TCP stream, shared between hyper, which reads and writes it, and the code that supervises the connection.
 #[derive(Clone)]
 pub struct SharedStream(Rc<TcpStream>);
 
-/// What the socket holds that nobody has read yet.
+/// What the socket's receive buffer holds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Unread {
     Nothing,
     Bytes,
-    /// The other side has closed, or the connection is broken.
+    /// The peer has closed, or the connection is broken.
     Closed,
 }
 
-/// Whether a call is just made once more, when the socket is ready or at once.
+/// Whether an I/O call is to be repeated, at once or when the socket is ready.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
 impl SharedStream {
+    /// Wraps a connected stream and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> io::Result<SharedStream> {
-        // Without it what is written may wait for an acknowledgement.
+        // Otherwise a small write may be delayed until the previous one is acknowledged.
         stream.set_nodelay(true)?;
         Ok(SharedStream(Rc::new(stream)))
     }
 
-    /// Writes what the socket takes at once.
+    /// Writes as much as the socket accepts without blocking.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         self.0.try_write(bytes)
     }
 
-    /// Its descriptor, for another process.
+    /// The file descriptor, to be passed to another process.
     pub fn descriptor(&self) -> BorrowedFd<'_> {
         self.0.as_fd()
     }
 
-    /// Asks the socket itself: the runtime may not have heard yet of what came.
+    /// Peeks at the socket itself, since the runtime may not have polled it yet.
     pub fn unread(&self) -> Unread {
         loop {
             return match SockRef::from(&*self.0).peek(&mut [MaybeUninit::uninit()]) {
@@ -69,7 +71,7 @@
             ready!(self.0.poll_read_ready(cx))?;
             match self.0.try_read_buf(buf) {
                 Err(error) if is_transient(&error) => {}
-                // A short read tells nothing of what else is there: only the socket does, by `WouldBlock`.
+                // A short read does not mean that the socket is empty: only `WouldBlock` does.
                 read => return Poll::Ready(read.map(drop)),
             }
         }
@@ -77,6 +79,7 @@
 }
 
 impl SharedStream {
+    /// Repeats a non-blocking write until it succeeds, fails or the socket is not writable.
     fn poll_try<T>(
         &self, cx: &mut Context<'_>, mut write: impl FnMut(&TcpStream) -> io::Result<T>,
     ) -> Poll<io::Result<T>> {
@@ -114,62 +117,64 @@
     }
 }
 
-/// Follows one head as its bytes pass, beside the parser: what hyper makes of a head that it cannot read,
-/// and what lies behind one that it can, is told by nobody else. The head of a 1xx answer is passed over.
+/// Scans an HTTP head incrementally, beside hyper's parser. hyper reports neither the status of a head that it rejects nor
+/// how many bytes follow a head that it accepts. The heads of 1xx responses are skipped.
 #[derive(Debug, Default)]
 pub struct HeadScanner {
-    first: Vec<u8>,
-    /// Bytes of the line that is being read, its end not counted.
-    line: usize,
-    lines: usize,
-    ended: bool,
-    /// Bytes that came after the head.
-    behind: usize,
+    first_line: Vec<u8>,
+    /// Bytes of the current line, without its end.
+    line_bytes: usize,
+    /// Lines completed so far.
+    line_count: usize,
+    is_complete: bool,
+    /// Bytes after the head.
+    bytes_after: usize,
 }
 
 impl HeadScanner {
+    /// Takes the next bytes of the stream.
     pub fn scan(&mut self, mut bytes: &[u8]) {
         while let Some((byte, rest)) = bytes.split_first() {
-            if self.ended {
-                self.behind += bytes.len();
+            if self.is_complete {
+                self.bytes_after += bytes.len();
                 return;
             }
             bytes = rest;
             match byte {
-                // Empty lines ahead of a head belong to it.
-                b'\n' if self.line == 0 && self.lines == 0 => {}
-                b'\n' if self.line == 0 => match self.status() {
+                // Empty lines before the first line are part of the head.
+                b'\n' if self.line_bytes == 0 && self.line_count == 0 => {}
+                b'\n' if self.line_bytes == 0 => match self.status() {
                     Some(status) if status.is_informational() => *self = HeadScanner::default(),
-                    _ => self.ended = true,
+                    _ => self.is_complete = true,
                 },
-                b'\n' => (self.line, self.lines) = (0, self.lines + 1),
+                b'\n' => (self.line_bytes, self.line_count) = (0, self.line_count + 1),
                 b'\r' => {}
                 _ => {
-                    if self.lines == 0 && self.first.len() < FIRST_LINE {
-                        self.first.push(*byte);
+                    if self.line_count == 0 && self.first_line.len() < MAX_FIRST_LINE_BYTES {
+                        self.first_line.push(*byte);
                     }
-                    self.line += 1;
+                    self.line_bytes += 1;
                 }
             }
         }
     }
 
-    /// The status that a whole first line tells.
+    /// The status in the first line, once that is complete.
     pub fn status(&self) -> Option<StatusCode> {
-        let rest = self.first.strip_prefix(b"HTTP/1.").filter(|_| self.lines > 0)?;
+        let rest = self.first_line.strip_prefix(b"HTTP/1.").filter(|_| self.line_count > 0)?;
         let [b'0' | b'1', b' ', code @ ..] = rest else { return None };
-        let (code, after) = code.split_at_checked(3)?;
-        StatusCode::from_bytes(code).ok().filter(|_| matches!(after, [] | [b' ', ..]))
+        let (code, reason) = code.split_at_checked(3)?;
+        StatusCode::from_bytes(code).ok().filter(|_| matches!(reason, [] | [b' ', ..]))
     }
 
-    /// Whether anything of it has come.
+    /// Whether any byte of the head has arrived.
     pub fn has_started(&self) -> bool {
-        self.line > 0 || self.lines > 0
+        self.line_bytes > 0 || self.line_count > 0
     }
 
-    /// How many bytes came behind the head; none while it has not ended.
+    /// How many bytes followed the head; none while the head is incomplete.
     pub fn bytes_after_head(&self) -> Option<usize> {
-        self.ended.then_some(self.behind)
+        self.is_complete.then_some(self.bytes_after)
     }
 }
 
@@ -177,28 +182,28 @@
 mod tests {
     use super::*;
 
-    fn head(pieces: &[&str]) -> HeadScanner {
+    fn scanned(pieces: &[&str]) -> HeadScanner {
         let mut head = HeadScanner::default();
         pieces.iter().for_each(|piece| head.scan(piece.as_bytes()));
         head
     }
 
     #[test]
-    fn a_head_is_followed_in_pieces() {
-        let read = head(&["\r\nPOST /a HT", "TP/1.1\r\nA: b\r", "\n\r", "\nfour"]);
-        assert_eq!((read.bytes_after_head(), read.status()), (Some(4), None));
-        assert_eq!(head(&["GET / HTTP/1.1\n\nx"]).bytes_after_head(), Some(1));
-        assert_eq!(head(&["GET / HTTP/1.1\r\nA: b\r\n"]).bytes_after_head(), None);
+    fn a_head_may_arrive_in_pieces() {
+        let request = scanned(&["\r\nPOST /a HT", "TP/1.1\r\nA: b\r", "\n\r", "\nfour"]);
+        assert_eq!((request.bytes_after_head(), request.status()), (Some(4), None));
+        assert_eq!(scanned(&["GET / HTTP/1.1\n\nx"]).bytes_after_head(), Some(1));
+        assert_eq!(scanned(&["GET / HTTP/1.1\r\nA: b\r\n"]).bytes_after_head(), None);
     }
 
     #[test]
-    fn a_status_needs_its_whole_first_line() {
-        assert_eq!(head(&["HTTP/1.1 200 OK"]).status(), None);
-        assert_eq!(head(&["HTTP/1.1 200 OK\r\nA", "\0\0"]).status(), Some(StatusCode::OK));
-        assert_eq!(head(&["HTTP/1.1 2000 OK\r\n"]).status(), None);
-        assert_eq!(head(&["HTTP/2.1 200 OK\r\n"]).status(), None);
-        let after = head(&["HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200\r\n"]);
-        assert_eq!(after.status(), Some(StatusCode::OK));
-        assert_eq!(head(&["HTTP/1.1 100 Go\r\n\r\n"]).status(), None);
+    fn a_status_is_only_read_from_a_complete_first_line() {
+        assert_eq!(scanned(&["HTTP/1.1 200 OK"]).status(), None);
+        assert_eq!(scanned(&["HTTP/1.1 200 OK\r\nA", "\0\0"]).status(), Some(StatusCode::OK));
+        assert_eq!(scanned(&["HTTP/1.1 2000 OK\r\n"]).status(), None);
+        assert_eq!(scanned(&["HTTP/2.1 200 OK\r\n"]).status(), None);
+        let after_early_hints = scanned(&["HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 200\r\n"]);
+        assert_eq!(after_early_hints.status(), Some(StatusCode::OK));
+        assert_eq!(scanned(&["HTTP/1.1 100 Go\r\n\r\n"]).status(), None);
     }
 }
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -1,4 +1,4 @@
-//! What goes over to a process that has taken over.
+//! What is transferred to the new process after a handover.
 
 use crate::calls::{CallEnd, Connection};
 use crate::stream::SharedStream;
@@ -6,23 +6,23 @@
 use serde::{Deserialize, Serialize};
 use waydoor::{Allowance, EndpointId, Outcome, Seconds};
 
-/// What is handed over once the other process owns, and what is told it then.
+/// An item that is sent to the new process once it owns the dispatcher's state.
 pub enum Transfer {
-    /// A client's connection.
+    /// A client's connection, the bytes read of its current request, and the age of that request.
     Client { stream: SharedStream, read: Vec<u8>, asked_ms: Option<u32> },
     /// An idle connection to an endpoint.
     IdleConnection { endpoint: EndpointId, connection: Connection },
-    /// What came of something that was out.
+    /// The result of a call or a probe.
     Completion(Completion),
-    /// An order that came to this process's door.
+    /// An operator override that arrived at this process's control port.
     Order(Order),
 }
 
-/// What came of something that was out.
+/// The result of a call or a probe that was in flight at the handover.
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Completion {
-    /// A call.
+    /// The end of a call.
     Call { endpoint: u64, dest: u32, sent_at: Seconds, end: CallEnd },
-    /// A probe.
+    /// The result of a probe.
     Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<Allowance> },
 }
