--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -23,10 +23,10 @@
         let mut journal = node.journal.borrow_mut();
         for end in &end.ends {
             node.observe_journal_write(match end.settled {
-                true => journal.over(end.number),
+                true => journal.close(end.number),
                 // Its start was not journaled, so the call never began.
-                false if journal.get(end.number).is_none_or(|entry| entry.out.is_none()) => continue,
-                false => journal.ended(end.number, !end.outcome.never_ran()),
+                false if journal.get(end.number).is_none_or(|entry| entry.in_flight.is_none()) => continue,
+                false => journal.attempt_ended(end.number, !end.outcome.never_ran()),
             });
         }
     }
@@ -97,10 +97,13 @@
 impl CallBatcher {
     fn add(&mut self, node: &Node, request: SendRequest) {
         let SendRequest { number, endpoint, attempt, timeout, alone } = request;
-        let Some(handed) = node.journal.borrow().get(number).map(|e| e.handed.clone()) else { return };
-        let message = CallMessage { number, attempt, handed };
-        let listed =
-            node.directory.borrow().place(endpoint).filter(|listed| listed.dest == message.handed.dest);
+        let Some(content) = node.journal.borrow().get(number).map(|e| e.message.clone()) else { return };
+        let message = CallMessage { number, attempt, content };
+        let listed = node
+            .directory
+            .borrow()
+            .place(endpoint)
+            .filter(|listed| listed.dest == message.content.destination);
         let Some(listed) = listed.filter(|listed| node.fleet.may_try(listed.dest)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::Moot, settled: false }];
             node.send_input(Input::CallEnded {
@@ -110,7 +113,7 @@
             });
             return;
         };
-        let effect = node.class_effect(&message.handed.class);
+        let effect = node.class_effect(&message.content.class);
         let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.batch);
         let batch_key = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
@@ -140,14 +143,15 @@
                     .add(node, SendRequest { number, endpoint, attempt, timeout: *timeout, alone: *alone });
             }
             Action::Refuse(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.handed.dest));
+                let dest =
+                    node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.message.destination));
                 dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
                 let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
                 node.count_message_end(id.0, End::Throttled);
                 end_undelivered(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|entry| entry.handed.dest);
+                let dest = node.journal.borrow().get(id.0).map(|entry| entry.message.destination);
                 dest.inspect(|dest| node.traffic.count(*dest, |count| count.given_up += 1));
                 node.count_message_end(id.0, End::Faulted);
                 end_undelivered(node, id.0, Notice::GivenUp);
@@ -188,7 +192,7 @@
             Action::Subscribe => node.resubscribe.notify_one(),
             Action::Remember { destination, out } => {
                 node.fleet.out(node, destination.0, *out);
-                node.observe_journal_write(node.journal.borrow_mut().outage(destination.0, *out));
+                node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *out));
             }
             Action::Note(text) => log::info(format_args!("{now:.3} {text}")),
         }
@@ -206,6 +210,6 @@
 
 /// Ends a message undelivered: journals the notice and wakes the task that sends it.
 pub fn end_undelivered(node: &Node, number: u64, notice: Notice) {
-    node.observe_journal_write(node.journal.borrow_mut().owe(number, notice));
+    node.observe_journal_write(node.journal.borrow_mut().notice_due(number, notice));
     node.notice_due.notify_one();
 }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -9,7 +9,7 @@
 use crate::stream::{HeadScanner, SharedStream, Unread};
 use crate::{Node, log};
 use fawnspoke_control::figures::Figures;
-use fawnspoke_journal::Handed;
+use fawnspoke_journal::AcceptedMessage;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -304,7 +304,7 @@
 pub struct CallMessage {
     pub number: u64,
     pub attempt: u32,
-    pub handed: Handed,
+    pub content: AcceptedMessage,
 }
 
 /// A call that carries one message or a batch.
@@ -638,17 +638,17 @@
         Request::post(path).header("Host", host).header("Request-Timeout-Ms", timeout_ms)
     };
     if let [message] = &call.messages[..] {
-        let mut head = head("/receive").header("Request-Id", &message.handed.id);
-        if let Some(key) = &message.handed.key {
+        let mut head = head("/receive").header("Request-Id", &message.content.id);
+        if let Some(key) = &message.content.key {
             head = head.header("Idempotency-Key", key);
         }
-        return head.body(Full::new(message.handed.body.clone()));
+        return head.body(Full::new(message.content.body.clone()));
     }
     let mut body = Vec::new();
-    for CallMessage { handed, .. } in &call.messages {
-        let key = handed.key.as_deref().unwrap_or("-");
-        body.extend_from_slice(format!("{} {key} {}\r\n", handed.id, handed.body.len()).as_bytes());
-        body.extend_from_slice(&handed.body);
+    for CallMessage { content, .. } in &call.messages {
+        let key = content.key.as_deref().unwrap_or("-");
+        body.extend_from_slice(format!("{} {key} {}\r\n", content.id, content.body.len()).as_bytes());
+        body.extend_from_slice(&content.body);
         body.extend_from_slice(b"\r\n");
     }
     head("/receive-many").body(Full::new(body.into()))
@@ -659,7 +659,7 @@
     let text = String::from_utf8_lossy(body);
     let results: HashMap<&str, &str> = text.lines().filter_map(|line| line.trim().split_once(' ')).collect();
     let end = |message: &CallMessage| {
-        let (outcome, settled) = match results.get(&*message.handed.id).map(|result| result.trim()) {
+        let (outcome, settled) = match results.get(&*message.content.id).map(|result| result.trim()) {
             Some("delivered") => (Outcome::Served, true),
             Some("failed") => (Outcome::Error, false),
             Some("refused") => (Outcome::Full, false),
--- a/crates/node/src/compaction.rs
+++ b/crates/node/src/compaction.rs
@@ -22,7 +22,7 @@
     pub fn step(&mut self, node: &Node) {
         let started_at = Instant::now();
         let mut journal = node.journal.borrow_mut();
-        match journal.step() {
+        match journal.compact_step() {
             Ok(false) => {}
             Ok(true) => {
                 let duration = started_at.elapsed();
@@ -31,12 +31,13 @@
             }
             Err(error) => node.observe_journal_write(Err(error)),
         }
-        let counts = journal.counts();
+        let counters = journal.counters();
         let reported_at = *self.reported_at.get_or_insert(started_at);
         if started_at - reported_at >= REPORT_INTERVAL
-            && self.reported_counts != (counts.removed, counts.refused)
+            && self.reported_counts != (counters.segments_removed, counters.rejected_messages)
         {
-            (self.reported_at, self.reported_counts) = (Some(started_at), (counts.removed, counts.refused));
+            (self.reported_at, self.reported_counts) =
+                (Some(started_at), (counters.segments_removed, counters.rejected_messages));
             let segments = journal.segments();
             let (bytes, live) = segments
                 .iter()
@@ -45,14 +46,14 @@
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
                  {:.3} ms on average and {:.3} ms at most; {} segments removed, {} messages rejected for lack of space, {} file system calls failed",
                 segments.len(),
-                counts.written,
-                counts.copied,
+                counters.bytes_written,
+                counters.bytes_copied,
                 self.steps,
                 self.total_time.as_secs_f64() * 1e3 / self.steps.max(1) as f64,
                 self.longest_step.as_secs_f64() * 1e3,
-                counts.removed,
-                counts.refused,
-                counts.failed
+                counters.segments_removed,
+                counters.rejected_messages,
+                counters.failed_calls
             ));
         }
     }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -160,8 +160,9 @@
             traffic_logged_at = now;
             let journal = node.journal.borrow();
             let open = journal.iter().filter(|(_, entry)| entry.notice.is_none());
-            let ages =
-                open.map(|(_, entry)| (entry.handed.dest, -node.to_monotonic(entry.handed.taken) + now));
+            let ages = open.map(|(_, entry)| {
+                (entry.message.destination, -node.to_monotonic(entry.message.accepted_at) + now)
+            });
             node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
         }
         if now >= sweep_at {
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -4,7 +4,7 @@
 use crate::calls::CallMessage;
 use crate::{Node, log};
 use fawnspoke_control::figures::End;
-use fawnspoke_journal::{Level, Start, UNKNOWN_ZONE};
+use fawnspoke_journal::{AttemptStart, QuotaLevel, UNKNOWN_ZONE};
 use std::time::Instant;
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, Outcome, Seconds};
 
@@ -45,15 +45,15 @@
     /// # Errors
     /// [`Outcome::NotRecorded`] if the call must not begin.
     pub fn record_call_start(&self, messages: &[CallMessage], zone: u16) -> Result<(), Outcome> {
-        let start = Start { at: self.unix_now(), zone };
+        let start = AttemptStart { at: self.unix_now(), zone };
         let mut journal = self.journal.borrow_mut();
         for message in messages {
-            let Err(error) = journal.started(message.number, start) else { continue };
+            let Err(error) = journal.attempt_started(message.number, start) else { continue };
             self.observe_journal_write(Err(error));
-            if self.class_effect(&message.handed.class) != Some(Effect::Safe) {
+            if self.class_effect(&message.content.class) != Some(Effect::Safe) {
                 return Err(Outcome::NotRecorded);
             }
-            journal.started_without_record(message.number, start);
+            journal.attempt_started_unrecorded(message.number, start);
         }
         Ok(())
     }
@@ -62,7 +62,7 @@
     pub fn count_message_end(&self, number: u64, end: End) {
         let journal = self.journal.borrow();
         let Some(entry) = journal.get(number) else { return };
-        if let Some(class) = self.config.classes.iter().position(|class| *class == entry.handed.class) {
+        if let Some(class) = self.config.classes.iter().position(|class| *class == entry.message.class) {
             self.metrics.ended(class, end);
         }
     }
@@ -75,24 +75,24 @@
     /// A journaled message in the form of the decision core.
     pub fn journaled_message(&self, number: u64) -> Option<Message> {
         let journal = self.journal.borrow();
-        let handed = &journal.get(number)?.handed;
+        let accepted = &journal.get(number)?.message;
         // The decision core does not know a class that is no longer configured either.
-        let class = self.config.classes.iter().position(|class| *class == handed.class);
-        let tenant = handed.customer.as_ref();
+        let class = self.config.classes.iter().position(|class| *class == accepted.class);
+        let tenant = accepted.tenant.as_ref();
         Some(Message {
             id: MessageId(number),
             class: class.unwrap_or(usize::MAX),
-            destination: DestinationId(handed.dest),
-            deadline: self.to_monotonic(handed.deadline),
+            destination: DestinationId(accepted.destination),
+            deadline: self.to_monotonic(accepted.deadline),
             key: None,
             tenant: tenant.and_then(|(name, _)| self.tenant_index(name)).unwrap_or(NO_TENANT),
-            over_share: Some(tenant.is_some_and(|(_, share)| share.over)),
+            over_share: Some(tenant.is_some_and(|(_, quota)| quota.exceeded)),
         })
     }
 
     /// The time and zone of the first attempt that may have run. If keys are remembered per zone and the zone is unknown,
     /// no endpoint can be relied on to know the key, so the key counts as expired.
-    pub fn first_attempt(&self, class: usize, start: Start) -> (Seconds, u16) {
+    pub fn first_attempt(&self, class: usize, start: AttemptStart) -> (Seconds, u16) {
         let effect = self.config.settings.classes.get(class).map(|class| class.effect);
         let key_lost =
             start.zone == UNKNOWN_ZONE && matches!(effect, Some(Effect::Keyed { by_zone: true, .. }));
@@ -106,7 +106,7 @@
         log::info(format_args!(
             "journal: restored {} messages and {} notices",
             open.len(),
-            journal.owed(usize::MAX).len()
+            journal.pending_notices(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted_state) {
             self.send_event(Event::Remembered(DestinationId(destination)));
@@ -114,11 +114,13 @@
         for destination in journal.outages() {
             self.fleet.out(self, destination, true);
         }
-        for Level { customer, left, at } in journal.levels().filter(|_| !self.adopted_state) {
-            let Some(tenant) = self.tenant_index(&customer) else { continue };
+        for QuotaLevel { tenant, remaining_thousandths, at } in
+            journal.quota_levels().filter(|_| !self.adopted_state)
+        {
+            let Some(tenant) = self.tenant_index(&tenant) else { continue };
             self.send_event(Event::Counted {
                 tenant,
-                left: f64::from(left) / 1000.0,
+                left: f64::from(remaining_thousandths) / 1000.0,
                 at: self.to_monotonic(at),
             });
         }
@@ -130,7 +132,7 @@
             let Some(message) = self.journaled_message(number) else { continue };
             self.send_event(Event::Resumed {
                 message,
-                taken: self.to_monotonic(entry.handed.taken),
+                taken: self.to_monotonic(entry.message.accepted_at),
                 attempts: entry.attempts,
                 may_have_run: entry.may_have_run.map(|start| self.first_attempt(message.class, start)),
             });
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -12,7 +12,7 @@
 use crate::{Node, client_listener, clock, control, discovery, handover, log, traffic};
 use fawnspoke_control::door;
 use fawnspoke_control::figures::Figures;
-use fawnspoke_journal::plan::{self, Limits};
+use fawnspoke_journal::compaction::{self, Limits};
 use fawnspoke_journal::{Durability, Journal, OpenError, Options, Recovery};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -78,27 +78,27 @@
     let options = Options {
         // Reserves three blocks: one by which the platform's own count may exceed ours, and one each for the clock's file
         // and its replacement.
-        limits: Limits::of(config.limits.journal().saturating_sub(3 * plan::BLOCK)),
+        limits: Limits::for_budget(config.limits.journal().saturating_sub(3 * compaction::BLOCK_BYTES)),
         durability: Durability::None,
         now,
         identity: u128::from(config.seed) << 64 | u128::from(now),
-        ends: REMEMBERED_OUTCOMES,
+        remembered_outcomes: REMEMBERED_OUTCOMES,
     };
     let (journal, recovery) = Journal::open(&config.state, options)?;
-    let Recovery { torn, damage, carried, latest } = recovery;
-    if torn > 0 {
-        log::info(format_args!("journal: discarded {torn} bytes of an incomplete record"));
+    let Recovery { torn_bytes, damage, migrated_messages, latest_timestamp } = recovery;
+    if torn_bytes > 0 {
+        log::info(format_args!("journal: discarded {torn_bytes} bytes of an incomplete record"));
     }
-    if let Some(messages) = carried {
+    if let Some(messages) = migrated_messages {
         log::info(format_args!("journal: migrated {messages} messages from the previous format"));
     }
     for damage in damage {
         log::info(format_args!("journal: damaged: {damage}"));
     }
-    let clock = match stored_clock.filter(|clock| !clock.is_behind(latest)) {
+    let clock = match stored_clock.filter(|clock| !clock.is_behind(latest_timestamp)) {
         Some(clock) => clock,
         None => {
-            let clock = JournalClock::create(&config.state, latest)?;
+            let clock = JournalClock::create(&config.state, latest_timestamp)?;
             let ahead = clock.now().saturating_sub(clock::wall_clock()) as f64 / 1e6;
             log::info(format_args!("clock: first start in this boot; {ahead:.3} s ahead of the wall clock"));
             clock
@@ -154,7 +154,7 @@
     let (started_at, dispatcher, directory) = match state {
         Some(mut state) => {
             let started_at = state.started();
-            journal.recall(state.ended);
+            journal.restore_recent_outcomes(state.ended);
             state.decisions.moved();
             (started_at, state.decisions, state.directory)
         }
@@ -173,7 +173,7 @@
     ));
     let (sender, mut inputs) = unbounded_channel();
     let (handover_socket, takeover_requests) = handover::Doorstep::new(&config.state);
-    let (transfer_sender, transfers) = unbounded_channel();
+    let (transfer_sender, transfer_receiver) = unbounded_channel();
     let node = Rc::new(Node {
         started_at,
         journal_clock,
@@ -231,7 +231,7 @@
     let Signals { terminate, interrupt, .. } = signals;
     let exit_action = run_event_loop(
         node.clone(),
-        EventSources { inputs, terminate, interrupt, takeover_requests, transfers },
+        EventSources { inputs, terminate, interrupt, takeover_requests, transfers: transfer_receiver },
     )
     .await;
     // Closes idle client connections; a request in progress still gets its response.
