--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,4 +1,5 @@
-//! Executes the actions of the decision core: starts calls and probes, journals how they end, ends messages undelivered.
+//! Executes the actions of the decision core: starts calls and probes, journals how they end, ends messages
+//! undelivered.
 
 use crate::calls::{self, Call, CallEnd, CallMessage};
 use crate::directory::Place;
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -99,7 +99,8 @@
         }
     }
 
-    /// When to stop waiting for the response, given the deadline of the call. `is_single`: the call carries one message.
+    /// When to stop waiting for the response, given the deadline of the call. `is_single`: the call carries one
+    /// message.
     fn response_deadline(&self, call_deadline: Instant, is_single: bool) -> Instant {
         let is_delivered = is_single && self.head.borrow().status() == Some(StatusCode::OK);
         let limit = if is_delivered { HEAD_COMPLETION_TIMEOUT } else { RESPONSE_COMPLETION_TIMEOUT };
@@ -557,7 +558,9 @@
                 () = monitor.first_byte.notified() => {}
                 // If this process was stalled, a response may have arrived in time without being read yet: give it a
                 // moment before the call counts as timed out.
-                () = sleep_until(monitor.response_deadline(deadline, is_single)) => break timeout(BUFFERED_READ_TIMEOUT, sending).await,
+                () = sleep_until(monitor.response_deadline(deadline, is_single)) => {
+                    break timeout(BUFFERED_READ_TIMEOUT, sending).await
+                }
             }
         };
         let outcome = match result {
@@ -598,9 +601,9 @@
     }
 }
 
-/// Reads the body of a response and returns the connection to the pool if the response is complete. Waits no longer than
-/// the deadline of the call, when the outcomes of its messages are due. `body_reports`: the body of a response with 200
-/// has the outcomes of a batch.
+/// Reads the body of a response and returns the connection to the pool if the response is complete. Waits no longer
+/// than the deadline of the call, when the outcomes of its messages are due. `body_reports`: the body of a response
+/// with 200 has the outcomes of a batch.
 async fn read_body(
     node: &Node, endpoint: EndpointId, connection: Connection, response: Response<Incoming>,
     deadline: Instant, body_reports: bool,
--- a/crates/node/src/client_listener.rs
+++ b/crates/node/src/client_listener.rs
@@ -1,4 +1,5 @@
-//! The clients' listening socket: inherited from the parent process, handed over by the previous process, or bound here.
+//! The clients' listening socket: inherited from the parent process, handed over by the previous process, or bound
+//! here.
 
 use crate::retry::{Retry, is_transient};
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
@@ -23,7 +24,7 @@
         return bind(address).await.map_err(|error| format!("listen: {address}: {error}"));
     };
     let describe = |error: String| format!("{INHERITED_FD_VARIABLE}: {number}: {error}");
-    let listener = inherited(&number).map_err(describe)?;
+    let listener = open_inherited(&number).map_err(describe)?;
     listener.set_nonblocking(true).map_err(|error| describe(error.to_string()))?;
     TcpListener::from_std(listener).map_err(|error| describe(error.to_string()))
 }
@@ -44,7 +45,7 @@
 
 /// Opens a descriptor by its number. Taking ownership of the number itself would be unsafe, since another part of the
 /// process may own it, so the kernel duplicates the descriptor. The original stays open and counts towards the limit.
-fn inherited(number: &str) -> Result<std::net::TcpListener, String> {
+fn open_inherited(number: &str) -> Result<std::net::TcpListener, String> {
     let number = number.trim().parse::<i32>().map_err(|error| error.to_string())?;
     let own = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|error| format!("this process: {error}"))?;
     let copy = pidfd_getfd(own, number, PidfdGetfdFlags::empty()).map_err(|error| error.to_string())?;
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,9 +1,10 @@
-//! The clock of journaled times: it continues over restarts of the dispatcher, and steps of the wall clock do not affect it.
+//! The clock of journaled times: it continues over restarts of the dispatcher, and steps of the wall clock do not
+//! affect it.
 //!
 //! Within one boot of the machine it is `CLOCK_BOOTTIME` plus an offset that is stored in the state folder beside the
-//! boot id. The offset is taken from the wall clock once, at the first start in a boot. The times are therefore close to
-//! Unix time, and remain comparable with those that earlier versions journaled. If the boot id can't be read, each process
-//! takes a new offset.
+//! boot id. The offset is taken from the wall clock once, at the first start in a boot. The times are therefore close
+//! to Unix time, and remain comparable with those that earlier versions journaled. If the boot id can't be read, each
+//! process takes a new offset.
 
 use fawnspoke_journal::UnixMicros;
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/node/src/compaction.rs
+++ b/crates/node/src/compaction.rs
@@ -44,7 +44,8 @@
                 .fold((0, 0), |(bytes, live), (_, length, live_bytes)| (bytes + length, live + live_bytes));
             log::info_limited(format_args!(
                 "journal: {} segments, {bytes} bytes, {live} live; {} bytes written, {} of them copies, in {} steps of \
-                 {:.3} ms on average and {:.3} ms at most; {} segments removed, {} messages rejected for lack of space, {} file system calls failed",
+                 {:.3} ms on average and {:.3} ms at most; {} segments removed, {} messages rejected for lack of \
+                 space, {} file system calls failed",
                 segments.len(),
                 counters.bytes_written,
                 counters.bytes_copied,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,6 +1,6 @@
 //! The event loop: once per tick it passes the collected inputs to the decision core and executes the actions that it
-//! returns. It also runs the periodic work (journal compaction, metrics, the connection pool) and ends the process after
-//! SIGTERM or SIGINT, or once another process has taken over. All decisions are made by the core.
+//! returns. It also runs the periodic work (journal compaction, metrics, the connection pool) and ends the process
+//! after SIGTERM or SIGINT, or once another process has taken over. All decisions are made by the core.
 
 use crate::actions::execute;
 use crate::calls::{self, CallEnd};
@@ -19,9 +19,9 @@
 const CALLS_DEADLINE_SECONDS: Seconds = 3.0;
 /// Time from the stop signal until the process exits in any case, before the platform kills it.
 const EXIT_DEADLINE_SECONDS: Seconds = 3.3;
-/// Time from the stop signal until kept client connections are closed. Clients open new connections for up to 0.4 s after
-/// it. The listener is still open when the kept ones close, so a request that crosses the close can be repeated on a new
-/// connection.
+/// Time from the stop signal until kept client connections are closed. Clients open new connections for up to 0.4 s
+/// after it. The listener is still open when the kept ones close, so a request that crosses the close can be repeated
+/// on a new connection.
 const CLOSE_CLIENTS_SECONDS: Seconds = 0.45;
 /// Least time from the stop signal to the exit.
 const MIN_EXIT_SECONDS: Seconds = 0.8;
@@ -159,8 +159,8 @@
         if now >= traffic_logged_at + TRAFFIC_LINE_INTERVAL_SECONDS {
             traffic_logged_at = now;
             let journal = node.journal.borrow();
-            let open = journal.iter().filter(|(_, entry)| entry.notice.is_none());
-            let ages = open.map(|(_, entry)| {
+            let open_messages = journal.iter().filter(|(_, entry)| entry.notice.is_none());
+            let ages = open_messages.map(|(_, entry)| {
                 (entry.message.destination, -node.to_monotonic(entry.message.accepted_at) + now)
             });
             node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -1,5 +1,5 @@
-//! Connects the journal with the decision core: reports write errors, converts journaled messages to the core's form, and
-//! restores the state that an earlier process left.
+//! Connects the journal with the decision core: reports write errors, converts journaled messages to the core's form,
+//! and restores the state that an earlier process left.
 
 use crate::calls::CallMessage;
 use crate::{Node, log};
@@ -90,8 +90,8 @@
         })
     }
 
-    /// The time and zone of the first attempt that may have run. If keys are remembered per zone and the zone is unknown,
-    /// no endpoint can be relied on to know the key, so the key counts as expired.
+    /// The time and zone of the first attempt that may have run. If keys are remembered per zone and the zone is
+    /// unknown, no endpoint can be relied on to know the key, so the key counts as expired.
     pub fn first_attempt(&self, class: usize, start: AttemptStart) -> (Seconds, u16) {
         let effect = self.config.settings.classes.get(class).map(|class| class.effect);
         let key_lost =
@@ -102,10 +102,10 @@
     /// Restores messages, outages and quota levels that an earlier process journaled.
     pub fn restore_from_journal(&self) {
         let journal = self.journal.borrow();
-        let open: Vec<_> = journal.iter().filter(|(_, entry)| entry.notice.is_none()).collect();
+        let open_messages: Vec<_> = journal.iter().filter(|(_, entry)| entry.notice.is_none()).collect();
         log::info(format_args!(
             "journal: restored {} messages and {} notices",
-            open.len(),
+            open_messages.len(),
             journal.pending_notices(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted_state) {
@@ -124,7 +124,7 @@
                 at: self.to_monotonic(at),
             });
         }
-        for (number, entry) in open {
+        for (number, entry) in open_messages {
             // The state of the decision core that was handed over includes this message.
             if self.dispatcher.borrow().holds(MessageId(number)) {
                 continue;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -113,7 +113,7 @@
     transfer_sender: UnboundedSender<Transfer>,
     /// Aborts all calls in flight.
     abort_signal: Notify,
-    /// Cancel the call of one message, by message number.
+    /// Signals that cancel the call of a single message, by message number.
     cancellations: RefCell<HashMap<u64, Rc<Notify>>>,
     /// The state of the decision core was handed over by the previous process.
     adopted_state: bool,
@@ -189,7 +189,8 @@
     match outcome {
         Ok(ExitAction::Exit) => ExitCode::SUCCESS,
         Ok(ExitAction::Restart) => {
-            // All descriptors close on exec; the new program recovers from the journal as after a kill.
+            // The sockets and files of this process close on exec; the new one recovers from the journal as after a
+            // kill.
             let error = Command::new("/proc/self/exe").args(std::env::args_os().skip(1)).exec();
             log::error(format_args!("fawnspoke: cannot restart: {error}"));
             ExitCode::FAILURE
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard output. Lines that peers can cause are rate limited; suppressed lines are counted and the count
-//! is logged.
+//! Log lines on standard output. Lines that peers can cause are rate limited; suppressed lines are counted and the
+//! count is logged.
 
 use std::cell::Cell;
 use std::fmt::Display;
--- a/crates/node/src/retry.rs
+++ b/crates/node/src/retry.rs
@@ -1,4 +1,5 @@
-//! Retries at startup, for when the machine is short of a resource for a moment or the state folder is not writable yet.
+//! Retries at startup, for when the machine is short of a resource for a moment or the state folder is not writable
+//! yet.
 
 use rustix::io::Errno;
 use std::io;
--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -1,5 +1,5 @@
-//! The phase of this process in a handover. Whatever reads from clients, writes to the journal or begins calls waits here
-//! while this process does not own the dispatcher's state.
+//! The phase of this process in a handover. Whatever reads from clients, writes to the journal or begins calls waits
+//! here while this process does not own the dispatcher's state.
 
 use std::cell::RefCell;
 use std::future::Future;
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -24,8 +24,8 @@
 use tokio::task::spawn_local;
 use waydoor::Dispatcher;
 
-/// Ended messages whose outcome is remembered to recognise repeats, some 200 KB: a client that repeats a message does so
-/// within seconds.
+/// Ended messages whose outcome is remembered to recognise repeats, some 200 KB: a client that repeats a message does
+/// so within seconds.
 const REMEMBERED_OUTCOMES: usize = 4096;
 
 /// The signals that the process handles. The handlers are installed before clients can reach the process.
@@ -76,8 +76,8 @@
     let stored_clock = JournalClock::read(&config.state)?;
     let now = stored_clock.map_or_else(clock::wall_clock, JournalClock::now);
     let options = Options {
-        // Reserves three blocks: one by which the platform's own count may exceed ours, and one each for the clock's file
-        // and its replacement.
+        // Reserves three blocks: one by which the platform's own count may exceed ours, and one each for the clock's
+        // file and its replacement.
         limits: Limits::for_budget(config.limits.journal().saturating_sub(3 * compaction::BLOCK_BYTES)),
         durability: Durability::None,
         now,
@@ -208,8 +208,8 @@
         config,
     });
     if !adopted_state {
-        let listed = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
-        listed.unwrap_or_else(|error| log::info_limited(format_args!("known: ignored: {error}")));
+        let result = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
+        result.unwrap_or_else(|error| log::info_limited(format_args!("known: ignored: {error}")));
     }
     node.fleet.begin(&node.config);
     node.restore_from_journal();
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Scans an HTTP head incrementally, beside hyper's parser. hyper reports neither the status of a head that it rejects nor
-/// how many bytes follow a head that it accepts. The heads of 1xx responses are skipped.
+/// Scans an HTTP head incrementally, beside hyper's parser. hyper reports neither the status of a head that it rejects
+/// nor how many bytes follow a head that it accepts. The heads of 1xx responses are skipped.
 #[derive(Debug, Default)]
 pub struct HeadScanner {
     first_line: Vec<u8>,
