--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -53,7 +53,7 @@
     let (mut end, is_aborted) = tokio::select! {
         end = calls::perform(&node, &call) => (end, false),
         () = cancellation.notified() => (end_with(Outcome::Cancelled), false),
-        () = node.abort_signal.notified() => (end_with(Outcome::Reset), true),
+        () = node.abort_signal.notified() => (end_with(Outcome::ConnectionReset), true),
     };
     node.calls_with_connection.set(node.calls_with_connection.get() - 1);
     single.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
@@ -106,7 +106,7 @@
             .place(endpoint)
             .filter(|listed| listed.dest == message.content.destination);
         let Some(listed) = listed.filter(|listed| node.fleet.may_try(listed.dest)) else {
-            let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::Moot, settled: false }];
+            let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
                 sent_at: node.now(),
@@ -115,7 +115,7 @@
             return;
         };
         let effect = node.class_effect(&message.content.class);
-        let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.batch);
+        let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.max_batch);
         let batch_key = (endpoint, effect == Some(Effect::Unsafe));
         if !alone
             && let Some(call) = self.open.get(&batch_key).and_then(|index| self.calls.get_mut(*index))
@@ -138,12 +138,12 @@
     let mut batcher = CallBatcher::default();
     for action in actions {
         match action {
-            Action::Send { id, endpoint, attempt, timeout, alone } => {
+            Action::Send { id, endpoint, attempt, timeout, unbatched: alone } => {
                 let (number, endpoint, attempt) = (id.0, *endpoint, *attempt);
                 batcher
                     .add(node, SendRequest { number, endpoint, attempt, timeout: *timeout, alone: *alone });
             }
-            Action::Refuse(id) => {
+            Action::Reject(id) => {
                 let dest =
                     node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.message.destination));
                 dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
@@ -158,7 +158,7 @@
                 end_undelivered(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
-            Action::BreakOff { id, .. } => {
+            Action::CancelAttempt { id, .. } => {
                 if let Some(cancellation) = node.cancellations.borrow().get(&id.0) {
                     cancellation.notify_one();
                 }
@@ -182,7 +182,12 @@
                         }
                         _ => {
                             dest.inspect(|dest| node.fleet.ended(*dest, [outcome]));
-                            node.send_event(Event::Probed { endpoint, outcome, latency, allowance });
+                            node.send_event(Event::ProbeEnded {
+                                endpoint,
+                                outcome,
+                                latency,
+                                rate_limit_report: allowance,
+                            });
                         }
                     }
                 });
@@ -191,11 +196,11 @@
                 node.pool.close_idle(*endpoint);
             }
             Action::Subscribe => node.resubscribe.notify_one(),
-            Action::Remember { destination, out } => {
+            Action::RecordOutage { destination, ongoing: out } => {
                 node.fleet.out(node, destination.0, *out);
                 node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *out));
             }
-            Action::Note(text) => log::info(format_args!("{now:.3} {text}")),
+            Action::Log(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
     for call in batcher.calls {
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -31,7 +31,7 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
-use waydoor::{Allowance, EndpointId, Event, MessageId, Outcome, Seconds};
+use waydoor::{EndpointId, Event, MessageId, Outcome, RateLimitReport, Seconds};
 
 /// Longest response body: twice the longest request body, since a batch response reports on several messages.
 const MAX_RESPONSE_BYTES: usize = 128 * 1024;
@@ -334,7 +334,7 @@
 pub struct CallEnd {
     pub ends: Vec<MessageEnd>,
     pub retry_after: Option<Seconds>,
-    pub rate_limit_report: Option<Allowance>,
+    pub rate_limit_report: Option<RateLimitReport>,
     /// The call used a connection from the pool.
     pub connection_reused: bool,
     /// The connection went back to the pool.
@@ -410,7 +410,7 @@
         // Of a malformed response only a status line with 200 counts, and only for a single message: for a batch the
         // status line says nothing about its messages.
         let is_delivered = response.status == StatusCode::OK && messages.len() == 1;
-        let ends = all(if is_delivered { Outcome::Served } else { Outcome::Spoilt }, is_delivered);
+        let ends = all(if is_delivered { Outcome::Served } else { Outcome::MalformedResponse }, is_delivered);
         // Retry-After counts from when it was sent; honouring one that was not meant only delays messages.
         return CallEnd {
             retry_after: parse_retry_after(&response.headers),
@@ -423,18 +423,18 @@
         StatusCode::SERVICE_UNAVAILABLE
             if response.headers.get("X-Line-Busy").is_some_and(|value| value == "1") =>
         {
-            all(Outcome::Moot, false)
+            all(Outcome::NotSent, false)
         }
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Full, false),
-        StatusCode::GATEWAY_TIMEOUT => all(Outcome::Moot, false),
-        StatusCode::GONE => all(Outcome::Moot, true),
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Overloaded, false),
+        StatusCode::GATEWAY_TIMEOUT => all(Outcome::NotSent, false),
+        StatusCode::GONE => all(Outcome::NotSent, true),
         StatusCode::INTERNAL_SERVER_ERROR => all(Outcome::Error, false),
         status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) => {
             log::info_limited(format_args!(
                 "call to {address}: endpoint rejected {} messages with {status}",
                 messages.len()
             ));
-            all(Outcome::Rejected, false)
+            all(Outcome::InvalidRequest, false)
         }
         other => {
             log::info_limited(format_args!("call to {address}: unexpected status {other}"));
@@ -453,11 +453,11 @@
 }
 
 /// Sends a health check request to an endpoint.
-pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<Allowance>) {
-    let Some(listed) = node.directory.borrow().place(endpoint) else { return (Outcome::Moot, None) };
+pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<RateLimitReport>) {
+    let Some(listed) = node.directory.borrow().place(endpoint) else { return (Outcome::NotSent, None) };
     let deadline = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
     let request = Request::get("/health/live").header("Host", listed.dial.to_string()).body(Full::default());
-    let Ok(request) = request else { return (Outcome::Moot, None) };
+    let Ok(request) = request else { return (Outcome::NotSent, None) };
     let is_open = || node.directory.borrow().open(endpoint, listed.dial, listed.dest);
     let no_messages = (&[][..], listed.zone);
     match exchange(
@@ -472,18 +472,18 @@
     .await
     {
         Err(outcome) => (outcome, None),
-        Ok(response) if response.body.is_none() => (Outcome::Spoilt, None),
+        Ok(response) if response.body.is_none() => (Outcome::MalformedResponse, None),
         Ok(response) => {
             let report = node
                 .config
                 .report_fields
                 .and_then(|fields| parse_rate_limit_report(&response.headers, fields));
             if let Some(wait) = parse_retry_after(&response.headers) {
-                node.send_event(Event::WaitTold { endpoint, wait });
+                node.send_event(Event::RetryAfter { endpoint, delay: wait });
             }
             match response.status {
                 StatusCode::OK => (Outcome::Served, report),
-                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Full, report),
+                StatusCode::SERVICE_UNAVAILABLE => (Outcome::Overloaded, report),
                 _ => (Outcome::Error, report),
             }
         }
@@ -521,24 +521,24 @@
                     match timeout_at(deadline, timeout(connect_timeout, connect(address))).await {
                         Ok(Ok(Ok(conn))) => (conn, false),
                         // Nothing was sent, so this is not the timeout of a call that may have run.
-                        _ => return Err(Outcome::NoConnection),
+                        _ => return Err(Outcome::ConnectFailed),
                     }
                 }
             };
         match timeout_at(deadline, conn.sender.ready()).await {
             Ok(Ok(())) => {}
             _ if pool_use.connection_reused => continue,
-            _ => return Err(Outcome::NoConnection),
+            _ => return Err(Outcome::ConnectFailed),
         }
         // Connecting takes time. Meanwhile the endpoint may have begun draining or left the list, or this process may
         // have begun a handover.
         if !is_open() || node.serving_state.phase() != Phase::Serving {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         // The decision core may have received events meanwhile that forbid the call. The connection is unused.
-        if !node.dispatcher.borrow().may_begin(node.now(), endpoint, &ids) {
+        if !node.dispatcher.borrow().may_start_call(node.now(), endpoint, &ids) {
             pool_use.connection_kept = node.pool.put_back(endpoint, conn);
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         if !std::mem::replace(&mut start_recorded, true)
             && let Err(outcome) = node.record_call_start(messages, zone)
@@ -571,11 +571,11 @@
                     request = unsent;
                     continue;
                 }
-                Some(_) => return Err(Outcome::NoConnection),
+                Some(_) => return Err(Outcome::ConnectFailed),
                 // The connection broke before the last byte was written, and endpoints start work only on a complete
                 // request.
-                None if monitor.write_failed.get() => Outcome::NoConnection,
-                None => Outcome::Reset,
+                None if monitor.write_failed.get() => Outcome::ConnectFailed,
+                None => Outcome::ConnectionReset,
             },
             Err(_) => Outcome::TimedOut,
         };
@@ -591,7 +591,7 @@
         }
         // An endpoint that dies while responding also leaves a partial response, but then its connection closes.
         if has_started && !monitor.peer_closed.get() {
-            return Err(Outcome::Spoilt);
+            return Err(Outcome::MalformedResponse);
         }
         // A host that vanished leaves all its connections open and silent. A host that closes idle connections closes
         // the oldest first, so only older ones are suspect.
@@ -622,7 +622,7 @@
     if body.is_err() {
         // Retry-After counts from when it was sent, so it is reported before the body is complete.
         if let Some(wait) = parse_retry_after(&head.headers) {
-            node.send_event(Event::WaitTold { endpoint, wait });
+            node.send_event(Event::RetryAfter { endpoint, delay: wait });
         }
         body = timeout_at(deadline, collected).await;
     }
@@ -665,19 +665,19 @@
         let (outcome, settled) = match results.get(&*message.content.id).map(|result| result.trim()) {
             Some("delivered") => (Outcome::Served, true),
             Some("failed") => (Outcome::Error, false),
-            Some("refused") => (Outcome::Full, false),
-            Some("over") => (Outcome::Moot, true),
-            Some("spent") => (Outcome::Moot, false),
-            _ => (Outcome::Reset, false),
+            Some("refused") => (Outcome::Overloaded, false),
+            Some("over") => (Outcome::NotSent, true),
+            Some("spent") => (Outcome::NotSent, false),
+            _ => (Outcome::ConnectionReset, false),
         };
         MessageEnd { number: message.number, attempt: message.attempt, outcome, settled }
     };
     let mut ends: Vec<MessageEnd> = messages.iter().map(end).collect();
     // The last end is taken for the result of the whole call: "not run" is the least informative, a rejection the most.
     ends.sort_by_key(|end| match end.outcome {
-        Outcome::Moot => 0,
+        Outcome::NotSent => 0,
         Outcome::Served => 1,
-        Outcome::Full => 3,
+        Outcome::Overloaded => 3,
         _ => 2,
     });
     ends
@@ -690,11 +690,13 @@
 }
 
 /// The rate limit report in the Server-Load header: the fields `rate` and `left` of a JSON object.
-fn parse_rate_limit_report(headers: &HeaderMap, (rate, left): (&str, Option<&str>)) -> Option<Allowance> {
+fn parse_rate_limit_report(
+    headers: &HeaderMap, (rate, left): (&str, Option<&str>),
+) -> Option<RateLimitReport> {
     let report: serde_json::Value = serde_json::from_slice(headers.get("Server-Load")?.as_bytes()).ok()?;
     let rate = report.get(rate)?.as_f64().filter(|rate| rate.is_finite() && *rate >= 0.0)?;
     let left = left.and_then(|left| report.get(left)?.as_f64()).filter(|left| left.is_finite());
-    Some(Allowance { rate, left: left.map(|left| left.clamp(0.0, 1.0)) })
+    Some(RateLimitReport { rate, remaining_share: left.map(|left| left.clamp(0.0, 1.0)) })
 }
 
 #[cfg(test)]
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -113,7 +113,7 @@
         Step::Changes(change) => {
             let entry = node.directory.borrow_mut().hold(id, change == Change::Began);
             if let Some(entry) = entry {
-                node.send_event(Event::ListChanged(vec![entry]));
+                node.send_event(Event::ListUpdate(vec![entry]));
                 if change == Change::Began {
                     node.pool.close_idle(entry.endpoint);
                 }
@@ -147,7 +147,7 @@
     let directory = node.directory.borrow();
     node.overrides.cold.borrow_mut().retain(|id| {
         let serving = directory.serving(id);
-        serving.inspect(|endpoint| node.send_event(Event::Restarted(*endpoint)));
+        serving.inspect(|endpoint| node.send_event(Event::EndpointRestored(*endpoint)));
         serving.is_none()
     });
 }
@@ -159,7 +159,7 @@
     let (mut listed, mut avoided) = (0, 0);
     for (endpoint, ready) in directory.listed() {
         listed += 1;
-        avoided += u64::from(!ready || dispatcher.avoids(now, endpoint));
+        avoided += u64::from(!ready || dispatcher.is_unavailable(now, endpoint));
     }
     Gauges { open: node.journal.borrow().open_messages() as u64, listed, avoided }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -47,7 +47,7 @@
         Input::Accepted { number } => {
             if let Some(message) = node.journaled_message(number) {
                 node.traffic.count(message.destination.0, |count| count.taken += 1);
-                dispatcher.handle(now, Event::Taken(message));
+                dispatcher.handle(now, Event::Accepted(message));
             }
         }
         Input::CallEnded { endpoint, sent_at, end } => {
@@ -58,17 +58,17 @@
                 let id = MessageId(number);
                 dispatcher.handle(
                     now,
-                    Event::Ended(AttemptEnd {
+                    Event::AttemptEnded(AttemptEnd {
                         id,
                         endpoint,
                         attempt,
                         outcome,
-                        wait: retry_after,
-                        closed: settled,
+                        retry_after: wait: retry_after,
+                        settled: closed: settled,
                         latency,
-                        allowance: rate_limit_report,
-                        reused: connection_reused,
-                        kept: connection_kept,
+                        rate_limit_report: allowance: rate_limit_report,
+                        connection_reused: reused: connection_reused,
+                        connection_kept: kept: connection_kept,
                     }),
                 );
             }
@@ -144,12 +144,12 @@
             let leaving_node = node.clone();
             spawn_local(async move { leaving_node.fleet.leave(&leaving_node).await });
             node.metrics.set_ready(false);
-            node.dispatcher.borrow_mut().handle(now, Event::Closing(now + CALLS_DEADLINE_SECONDS));
+            node.dispatcher.borrow_mut().handle(now, Event::ShutdownAt(now + CALLS_DEADLINE_SECONDS));
         }
         let more_inputs = std::iter::from_fn(|| inputs.try_recv().ok());
         first_input.into_iter().chain(more_inputs).for_each(|input| apply_input(&node, now, input));
         if let Some((token, _)) = timer.take_if(|(_, due)| *due <= now) {
-            node.dispatcher.borrow_mut().handle(now, Event::Timer(token));
+            node.dispatcher.borrow_mut().handle(now, Event::TimerFired(token));
         }
         actions.clear();
         node.dispatcher.borrow_mut().decide(now, &mut actions);
@@ -168,8 +168,10 @@
         if now >= sweep_at {
             sweep_at = now + if stop_requested_at.is_some() { 0.05 } else { 0.5 };
             node.overrides.catch_up();
-            node.pool
-                .sweep(calls::idle_reuse_limit(&node), node.config.limits.idle(node.config.settings.slots));
+            node.pool.sweep(
+                calls::idle_reuse_limit(&node),
+                node.config.limits.idle(node.config.settings.max_concurrent_calls),
+            );
         }
         if let Some(stop_requested_at) = stop_requested_at {
             if now - stop_requested_at >= CLOSE_CLIENTS_SECONDS {
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -16,7 +16,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
-use waydoor::{Entry, Event, Outcome};
+use waydoor::{EndpointEntry, Event, Outcome};
 
 /// The thread answers an operator by then, or the answer is no.
 const SHOW_TIME: Duration = Duration::from_millis(500);
@@ -122,7 +122,7 @@
         for outcome in outcomes {
             match outcome {
                 Outcome::Served => self.tell(Fact::Tries(Of::Served(destination))),
-                Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset => {
+                Outcome::Error | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
                     self.tell(Fact::Tries(Of::Failed(destination)));
                 }
                 _ => {}
@@ -137,8 +137,15 @@
             return;
         }
         let endpoint = node.directory.borrow().endpoint_of(destination);
-        let (outcome, latency, allowance) = (Outcome::Reset, 0.0, None);
-        endpoint.inspect(|at| node.send_event(Event::Probed { endpoint: *at, outcome, latency, allowance }));
+        let (outcome, latency, allowance) = (Outcome::ConnectionReset, 0.0, None);
+        endpoint.inspect(|at| {
+            node.send_event(Event::ProbeEnded {
+                endpoint: *at,
+                outcome,
+                latency,
+                rate_limit_report: allowance,
+            })
+        });
     }
 
     /// Discovery's watch has ended.
@@ -198,12 +205,12 @@
         if *self.back.borrow() != due {
             self.hold_back(node, due)
                 .into_iter()
-                .for_each(|entries| node.send_event(Event::ListChanged(entries)));
+                .for_each(|entries| node.send_event(Event::ListUpdate(entries)));
         }
     }
 
     /// Holds back these destinations and no others; what that changes in the list.
-    fn hold_back(&self, node: &Node, due: BTreeSet<u32>) -> Vec<Vec<Entry>> {
+    fn hold_back(&self, node: &Node, due: BTreeSet<u32>) -> Vec<Vec<EndpointEntry>> {
         let before = self.back.replace(due.clone());
         let mut directory = node.directory.borrow_mut();
         let changed = before.symmetric_difference(&due);
@@ -217,12 +224,12 @@
             member.stop();
         }
         for entries in self.lift(node) {
-            node.dispatcher.borrow_mut().handle(node.now(), Event::ListChanged(entries));
+            node.dispatcher.borrow_mut().handle(node.now(), Event::ListUpdate(entries));
         }
     }
 
     /// No bound is in force any more; what that changes in the list.
-    fn lift(&self, node: &Node) -> Vec<Vec<Entry>> {
+    fn lift(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
         self.out.borrow_mut().clear();
         self.pace.set(Pace::Own);
         self.hold_back(node, BTreeSet::new())
@@ -240,7 +247,7 @@
         let member = self.member.take();
         if let Some(member) = member {
             member.leave().await;
-            self.lift(node).into_iter().for_each(|entries| node.send_event(Event::ListChanged(entries)));
+            self.lift(node).into_iter().for_each(|entries| node.send_event(Event::ListUpdate(entries)));
         }
     }
 
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -86,7 +86,7 @@
             deadline: self.to_monotonic(accepted.deadline),
             key: None,
             tenant: tenant.and_then(|(name, _)| self.tenant_index(name)).unwrap_or(NO_TENANT),
-            over_share: Some(tenant.is_some_and(|(_, quota)| quota.exceeded)),
+            over_quota: Some(tenant.is_some_and(|(_, quota)| quota.exceeded)),
         })
     }
 
@@ -109,7 +109,7 @@
             journal.pending_notices(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted_state) {
-            self.send_event(Event::Remembered(DestinationId(destination)));
+            self.send_event(Event::OutageRecovered(DestinationId(destination)));
         }
         for destination in journal.outages() {
             self.fleet.out(self, destination, true);
@@ -118,21 +118,21 @@
             journal.quota_levels().filter(|_| !self.adopted_state)
         {
             let Some(tenant) = self.tenant_index(&tenant) else { continue };
-            self.send_event(Event::Counted {
+            self.send_event(Event::QuotaRecovered {
                 tenant,
-                left: f64::from(remaining_thousandths) / 1000.0,
+                remaining: f64::from(remaining_thousandths) / 1000.0,
                 at: self.to_monotonic(at),
             });
         }
         for (number, entry) in open_messages {
             // The state of the decision core that was handed over includes this message.
-            if self.dispatcher.borrow().holds(MessageId(number)) {
+            if self.dispatcher.borrow().is_active(MessageId(number)) {
                 continue;
             }
             let Some(message) = self.journaled_message(number) else { continue };
-            self.send_event(Event::Resumed {
+            self.send_event(Event::Recovered {
                 message,
-                taken: self.to_monotonic(entry.message.accepted_at),
+                accepted_at: self.to_monotonic(entry.message.accepted_at),
                 attempts: entry.attempts,
                 may_have_run: entry.may_have_run.map(|start| self.first_attempt(message.class, start)),
             });
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -161,7 +161,7 @@
 
     /// How long a client should wait before it sends a message for this destination again.
     fn retry_after(&self, destination: DestinationId) -> Seconds {
-        let delay = self.dispatcher.borrow().come_back(self.now(), destination);
+        let delay = self.dispatcher.borrow().retry_after(self.now(), destination);
         delay.min(self.config.max_retry_after)
     }
 }
@@ -226,7 +226,7 @@
         config.name,
         config.classes.len(),
         config.kinds.len(),
-        config.settings.slots,
-        config.settings.room
+        config.settings.max_concurrent_calls,
+        config.settings.max_messages
     ))
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -155,7 +155,7 @@
         Some(mut state) => {
             let started_at = state.started();
             journal.restore_recent_outcomes(state.ended);
-            state.decisions.moved();
+            state.decisions.resume_in_new_process();
             (started_at, state.decisions, state.directory)
         }
         None => {
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -4,7 +4,7 @@
 use crate::stream::SharedStream;
 use fawnspoke_control::door::Order;
 use serde::{Deserialize, Serialize};
-use waydoor::{Allowance, EndpointId, Outcome, Seconds};
+use waydoor::{EndpointId, Outcome, RateLimitReport, Seconds};
 
 /// An item that is sent to the new process once it owns the dispatcher's state.
 pub enum Transfer {
@@ -24,5 +24,5 @@
     /// The end of a call.
     Call { endpoint: u64, dest: u32, sent_at: Seconds, end: CallEnd },
     /// The result of a probe.
-    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<Allowance> },
+    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<RateLimitReport> },
 }
