--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -16,7 +16,7 @@
 use waydoor::{Action, DestinationId, Effect, EndpointId, Event, Outcome, Seconds};
 
 /// Journals the end of a call and queues it for the decision core.
-pub fn complete_call(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
+pub fn complete_call(node: &Node, endpoint: EndpointId, destination: u32, sent_at: Seconds, end: CallEnd) {
     for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
         node.count_message_end(end.number, End::Fulfilled);
     }
@@ -31,8 +31,8 @@
             });
         }
     }
-    node.traffic.ended(dest, &end);
-    node.fleet.ended(dest, end.ends.iter().map(|end| end.outcome));
+    node.traffic.ended(destination, &end);
+    node.fleet.ended(destination, end.ends.iter().map(|end| end.outcome));
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
@@ -57,7 +57,7 @@
     };
     node.calls_with_connection.set(node.calls_with_connection.get() - 1);
     single.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
-    let (endpoint, dest) = (call.endpoint, call.dest);
+    let (endpoint, destination) = (call.endpoint, call.destination);
     match node.serving_state.wait_until_settled().await {
         Phase::HandedOver if is_aborted => {}
         Phase::HandedOver => {
@@ -65,12 +65,12 @@
             end.connection_kept = false;
             node.transfer(Transfer::Completion(Completion::Call {
                 endpoint: endpoint.0,
-                dest,
+                destination,
                 sent_at,
                 end,
             }));
         }
-        _ => complete_call(&node, endpoint, dest, sent_at, end),
+        _ => complete_call(&node, endpoint, destination, sent_at, end),
     }
     node.calls_in_flight.set(node.calls_in_flight.get() - 1);
 }
@@ -82,7 +82,7 @@
     attempt: u32,
     timeout: Seconds,
     /// The message must not share its call with others.
-    alone: bool,
+    unbatched: bool,
 }
 
 /// Groups the messages sent in one tick into calls: messages to one endpoint share a call up to the batch size of the
@@ -97,7 +97,7 @@
 
 impl CallBatcher {
     fn add(&mut self, node: &Node, request: SendRequest) {
-        let SendRequest { number, endpoint, attempt, timeout, alone } = request;
+        let SendRequest { number, endpoint, attempt, timeout, unbatched } = request;
         let Some(content) = node.journal.borrow().get(number).map(|e| e.message.clone()) else { return };
         let message = CallMessage { number, attempt, content };
         let listed = node
@@ -117,7 +117,7 @@
         let effect = node.class_effect(&message.content.class);
         let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.max_batch);
         let batch_key = (endpoint, effect == Some(Effect::Unsafe));
-        if !alone
+        if !unbatched
             && let Some(call) = self.open.get(&batch_key).and_then(|index| self.calls.get_mut(*index))
             && call.messages.len() < max_batch
         {
@@ -125,11 +125,11 @@
             call.timeout = call.timeout.min(timeout);
             return;
         }
-        if !alone {
+        if !unbatched {
             self.open.insert(batch_key, self.calls.len());
         }
-        let Place { dial: address, dest, zone, .. } = listed;
-        self.calls.push(Call { endpoint, address, dest, zone, messages: vec![message], timeout });
+        let Place { dial: address, dest: destination, zone, .. } = listed;
+        self.calls.push(Call { endpoint, address, destination, zone, messages: vec![message], timeout });
     }
 }
 
@@ -138,22 +138,27 @@
     let mut batcher = CallBatcher::default();
     for action in actions {
         match action {
-            Action::Send { id, endpoint, attempt, timeout, unbatched: alone } => {
+            Action::Send { id, endpoint, attempt, timeout, unbatched } => {
                 let (number, endpoint, attempt) = (id.0, *endpoint, *attempt);
-                batcher
-                    .add(node, SendRequest { number, endpoint, attempt, timeout: *timeout, alone: *alone });
+                batcher.add(
+                    node,
+                    SendRequest { number, endpoint, attempt, timeout: *timeout, unbatched: *unbatched },
+                );
             }
             Action::Reject(id) => {
-                let dest =
+                let destination =
                     node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.message.destination));
-                dest.inspect(|dest| node.traffic.count(dest.0, |count| count.back += 1));
-                let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
+                destination.inspect(|destination| node.traffic.count(destination.0, |count| count.back += 1));
+                let retry_in_ms = destination
+                    .map_or(0.0, |destination| node.retry_after(destination) * 1000.0)
+                    .ceil() as u64;
                 node.count_message_end(id.0, End::Throttled);
                 end_undelivered(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|entry| entry.message.destination);
-                dest.inspect(|dest| node.traffic.count(*dest, |count| count.given_up += 1));
+                let destination = node.journal.borrow().get(id.0).map(|entry| entry.message.destination);
+                destination
+                    .inspect(|destination| node.traffic.count(*destination, |count| count.given_up += 1));
                 node.count_message_end(id.0, End::Faulted);
                 end_undelivered(node, id.0, Notice::GivenUp);
             }
@@ -165,10 +170,11 @@
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
-                let dest = node.directory.borrow().place(endpoint).map(|listed| listed.dest);
-                dest.inspect(|dest| node.traffic.count(*dest, |count| count.probes += 1));
+                let destination = node.directory.borrow().place(endpoint).map(|listed| listed.dest);
+                destination
+                    .inspect(|destination| node.traffic.count(*destination, |count| count.probes += 1));
                 spawn_local(async move {
-                    let (outcome, allowance) = calls::probe(&node, endpoint).await;
+                    let (outcome, rate_limit_report) = calls::probe(&node, endpoint).await;
                     let latency = node.now() - now;
                     match node.serving_state.wait_until_settled().await {
                         Phase::HandedOver => {
@@ -177,16 +183,16 @@
                                 endpoint,
                                 outcome,
                                 latency,
-                                allowance,
+                                rate_limit_report,
                             }));
                         }
                         _ => {
-                            dest.inspect(|dest| node.fleet.ended(*dest, [outcome]));
+                            destination.inspect(|destination| node.fleet.ended(*destination, [outcome]));
                             node.send_event(Event::ProbeEnded {
                                 endpoint,
                                 outcome,
                                 latency,
-                                rate_limit_report: allowance,
+                                rate_limit_report,
                             });
                         }
                     }
@@ -196,15 +202,15 @@
                 node.pool.close_idle(*endpoint);
             }
             Action::Subscribe => node.resubscribe.notify_one(),
-            Action::RecordOutage { destination, ongoing: out } => {
-                node.fleet.out(node, destination.0, *out);
-                node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *out));
+            Action::RecordOutage { destination, ongoing } => {
+                node.fleet.out(node, destination.0, *ongoing);
+                node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *ongoing));
             }
             Action::Log(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
     for call in batcher.calls {
-        node.traffic.count(call.dest, |count| {
+        node.traffic.count(call.destination, |count| {
             count.calls += 1;
             count.messages += call.messages.len() as u64;
         });
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -312,7 +312,7 @@
 pub struct Call {
     pub endpoint: EndpointId,
     pub address: SocketAddr,
-    pub dest: u32,
+    pub destination: u32,
     /// The endpoint's zone.
     pub zone: u16,
     pub messages: Vec<CallMessage>,
@@ -366,8 +366,8 @@
 /// Makes a call and waits for its end.
 pub async fn perform(node: &Node, call: &Call) -> CallEnd {
     let deadline = Instant::now() + Duration::from_secs_f64(call.timeout.clamp(0.0, 3600.0));
-    let Call { endpoint, address, dest, ref messages, .. } = *call;
-    let is_open = || node.directory.borrow().open(endpoint, address, dest);
+    let Call { endpoint, address, destination, ref messages, .. } = *call;
+    let is_open = || node.directory.borrow().open(endpoint, address, destination);
     let mut pool_use = PoolUse::default();
     let response = match build_request(call) {
         Ok(request) => {
@@ -478,8 +478,8 @@
                 .config
                 .report_fields
                 .and_then(|fields| parse_rate_limit_report(&response.headers, fields));
-            if let Some(wait) = parse_retry_after(&response.headers) {
-                node.send_event(Event::RetryAfter { endpoint, delay: wait });
+            if let Some(delay) = parse_retry_after(&response.headers) {
+                node.send_event(Event::RetryAfter { endpoint, delay });
             }
             match response.status {
                 StatusCode::OK => (Outcome::Served, report),
@@ -621,8 +621,8 @@
     let mut body = timeout_at(deadline.min(now + BUFFERED_READ_TIMEOUT), collected.as_mut()).await;
     if body.is_err() {
         // Retry-After counts from when it was sent, so it is reported before the body is complete.
-        if let Some(wait) = parse_retry_after(&head.headers) {
-            node.send_event(Event::RetryAfter { endpoint, delay: wait });
+        if let Some(delay) = parse_retry_after(&head.headers) {
+            node.send_event(Event::RetryAfter { endpoint, delay });
         }
         body = timeout_at(deadline, collected).await;
     }
@@ -689,14 +689,16 @@
     Some(seconds).filter(|seconds| seconds.is_finite() && *seconds > 0.0)
 }
 
-/// The rate limit report in the Server-Load header: the fields `rate` and `left` of a JSON object.
+/// The rate limit report in the Server-Load header, a JSON object. The names of its fields are configured; that of the
+/// remaining share is optional.
 fn parse_rate_limit_report(
-    headers: &HeaderMap, (rate, left): (&str, Option<&str>),
+    headers: &HeaderMap, (rate_field, remaining_field): (&str, Option<&str>),
 ) -> Option<RateLimitReport> {
     let report: serde_json::Value = serde_json::from_slice(headers.get("Server-Load")?.as_bytes()).ok()?;
-    let rate = report.get(rate)?.as_f64().filter(|rate| rate.is_finite() && *rate >= 0.0)?;
-    let left = left.and_then(|left| report.get(left)?.as_f64()).filter(|left| left.is_finite());
-    Some(RateLimitReport { rate, remaining_share: left.map(|left| left.clamp(0.0, 1.0)) })
+    let rate = report.get(rate_field)?.as_f64().filter(|rate| rate.is_finite() && *rate >= 0.0)?;
+    let remaining =
+        remaining_field.and_then(|field| report.get(field)?.as_f64()).filter(|share| share.is_finite());
+    Some(RateLimitReport { rate, remaining_share: remaining.map(|share| share.clamp(0.0, 1.0)) })
 }
 
 #[cfg(test)]
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -63,12 +63,12 @@
                         endpoint,
                         attempt,
                         outcome,
-                        retry_after: wait: retry_after,
-                        settled: closed: settled,
+                        retry_after,
+                        settled,
                         latency,
-                        rate_limit_report: allowance: rate_limit_report,
-                        connection_reused: reused: connection_reused,
-                        connection_kept: kept: connection_kept,
+                        rate_limit_report,
+                        connection_reused,
+                        connection_kept,
                     }),
                 );
             }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -625,18 +625,18 @@
             }
         }
         (FromGiver::Ended(bytes), _) => match frames::read(&bytes) {
-            Ok(Completion::Call { endpoint, dest, sent_at, mut end }) => {
+            Ok(Completion::Call { endpoint, destination, sent_at, mut end }) => {
                 end.ends.retain(|end| out.remove(&(end.number, end.attempt)).is_some());
                 if !end.ends.is_empty() {
-                    complete_call(node, EndpointId(endpoint), dest, sent_at, end);
+                    complete_call(node, EndpointId(endpoint), destination, sent_at, end);
                 }
             }
-            Ok(Completion::Probe { endpoint, outcome, latency, allowance }) => {
+            Ok(Completion::Probe { endpoint, outcome, latency, rate_limit_report }) => {
                 node.send_event(Happened::ProbeEnded {
                     endpoint: EndpointId(endpoint),
                     outcome,
                     latency,
-                    rate_limit_report: allowance,
+                    rate_limit_report,
                 });
             }
             Err(error) => log::info_limited(format_args!("handover: {error}")),
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 pub enum Completion {
     /// The end of a call.
-    Call { endpoint: u64, dest: u32, sent_at: Seconds, end: CallEnd },
+    Call { endpoint: u64, destination: u32, sent_at: Seconds, end: CallEnd },
     /// The result of a probe.
-    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, allowance: Option<RateLimitReport> },
+    Probe { endpoint: u64, outcome: Outcome, latency: Seconds, rate_limit_report: Option<RateLimitReport> },
 }
