--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,9 +1,9 @@
 //! Calls and probes to endpoints over HTTP/1.1, and the pool of idle connections.
 //!
-//! A call carries one message (`/receive`) or a batch (`/receive-many`). [`perform`] always returns a [`CallEnd`] that
-//! says for each message what happened, above all whether it may have run at the endpoint: a message is never sent
-//! again as if it had not run when some of its request may have been processed. To tell these cases apart,
-//! [`ResponseMonitor`] watches the bytes of a connection beside hyper, which reports only that a request failed.
+//! A call carries one message (`/receive`) or a batch (`/receive-many`). [`perform`] always returns a [`CallEnd`] with the
+//! outcome for each message. Above all the outcome says whether the message may have run at the endpoint, since that
+//! decides whether it may be sent again. hyper reports only that a request failed, so [`ResponseMonitor`] also watches
+//! the bytes of the connection.
 
 use crate::serving::Phase;
 use crate::stream::{HeadScanner, SharedStream, Unread};
@@ -174,6 +174,7 @@
     monitor: Rc<ResponseMonitor>,
     /// Task that drives the connection.
     driver: AbortHandle,
+    /// When it was last put into the pool or opened.
     pub idle_since: Instant,
 }
 
@@ -303,7 +304,9 @@
 
 /// A message that a call carries.
 pub struct CallMessage {
+    /// Its number in the journal.
     pub number: u64,
+    /// The number of the attempt, from 0.
     pub attempt: u32,
     pub content: AcceptedMessage,
 }
@@ -322,7 +325,9 @@
 /// How a call ended for one of its messages.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct MessageEnd {
+    /// The message's number in the journal.
     pub number: u64,
+    /// The number of the attempt, from 0.
     pub attempt: u32,
     pub outcome: Outcome,
     /// The message is done: no retry and no notice is due.
@@ -332,6 +337,7 @@
 /// How a call ended.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CallEnd {
+    /// The end for each message, ordered so that the last one can stand for the whole call.
     pub ends: Vec<MessageEnd>,
     pub retry_after: Option<Seconds>,
     pub rate_limit_report: Option<RateLimitReport>,
@@ -673,7 +679,7 @@
         MessageEnd { number: message.number, attempt: message.attempt, outcome, settled }
     };
     let mut ends: Vec<MessageEnd> = messages.iter().map(end).collect();
-    // The last end is taken for the result of the whole call: "not run" is the least informative, a rejection the most.
+    // The last end is taken for the result of the whole call: "not sent" is the least informative, a rejection the most.
     ends.sort_by_key(|end| match end.outcome {
         Outcome::NotSent => 0,
         Outcome::Served => 1,
--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct ServingState {
     phase: watch::Sender<Phase>,
-    /// Readers that wait for this process to serve again. A handover lasts only moments, so they stay few.
+    /// Readers that wait for this process to serve again or to end. Either happens within moments.
     blocked_readers: RefCell<Vec<Waker>>,
 }
 
