--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -2,7 +2,7 @@
 //! undelivered.
 
 use crate::calls::{self, Call, CallEnd, CallMessage};
-use crate::directory::Place;
+use crate::directory::ListedEndpoint;
 use crate::event_loop::Input;
 use crate::serving::Phase;
 use crate::transfer::{Completion, Transfer};
@@ -31,8 +31,8 @@
             });
         }
     }
-    node.traffic.ended(destination, &end);
-    node.fleet.ended(destination, end.ends.iter().map(|end| end.outcome));
+    node.traffic.record_call_end(destination, &end);
+    node.fleet.report_outcomes(destination, end.ends.iter().map(|end| end.outcome));
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
@@ -103,9 +103,9 @@
         let listed = node
             .directory
             .borrow()
-            .place(endpoint)
-            .filter(|listed| listed.dest == message.content.destination);
-        let Some(listed) = listed.filter(|listed| node.fleet.may_try(listed.dest)) else {
+            .get(endpoint)
+            .filter(|listed| listed.destination == message.content.destination);
+        let Some(listed) = listed.filter(|listed| node.fleet.may_send(listed.destination)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
@@ -128,7 +128,7 @@
         if !unbatched {
             self.open.insert(batch_key, self.calls.len());
         }
-        let Place { dial: address, dest: destination, zone, .. } = listed;
+        let ListedEndpoint { address, destination, zone, .. } = listed;
         self.calls.push(Call { endpoint, address, destination, zone, messages: vec![message], timeout });
     }
 }
@@ -148,7 +148,9 @@
             Action::Reject(id) => {
                 let destination =
                     node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.message.destination));
-                destination.inspect(|destination| node.traffic.count(destination.0, |count| count.back += 1));
+                destination.inspect(|destination| {
+                    node.traffic.update(destination.0, |counters| counters.handed_back += 1)
+                });
                 let retry_in_ms = destination
                     .map_or(0.0, |destination| node.retry_after(destination) * 1000.0)
                     .ceil() as u64;
@@ -157,8 +159,9 @@
             }
             Action::Fail(id) => {
                 let destination = node.journal.borrow().get(id.0).map(|entry| entry.message.destination);
-                destination
-                    .inspect(|destination| node.traffic.count(*destination, |count| count.given_up += 1));
+                destination.inspect(|destination| {
+                    node.traffic.update(*destination, |counters| counters.given_up += 1)
+                });
                 node.count_message_end(id.0, End::Faulted);
                 end_undelivered(node, id.0, Notice::GivenUp);
             }
@@ -170,9 +173,10 @@
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
-                let destination = node.directory.borrow().place(endpoint).map(|listed| listed.dest);
-                destination
-                    .inspect(|destination| node.traffic.count(*destination, |count| count.probes += 1));
+                let destination = node.directory.borrow().get(endpoint).map(|listed| listed.destination);
+                destination.inspect(|destination| {
+                    node.traffic.update(*destination, |counters| counters.probes += 1)
+                });
                 spawn_local(async move {
                     let (outcome, rate_limit_report) = calls::probe(&node, endpoint).await;
                     let latency = node.now() - now;
@@ -187,7 +191,8 @@
                             }));
                         }
                         _ => {
-                            destination.inspect(|destination| node.fleet.ended(*destination, [outcome]));
+                            destination
+                                .inspect(|destination| node.fleet.report_outcomes(*destination, [outcome]));
                             node.send_event(Event::ProbeEnded {
                                 endpoint,
                                 outcome,
@@ -203,16 +208,16 @@
             }
             Action::Subscribe => node.resubscribe.notify_one(),
             Action::RecordOutage { destination, ongoing } => {
-                node.fleet.out(node, destination.0, *ongoing);
+                node.fleet.set_unavailable(node, destination.0, *ongoing);
                 node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *ongoing));
             }
             Action::Log(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
     for call in batcher.calls {
-        node.traffic.count(call.destination, |count| {
-            count.calls += 1;
-            count.messages += call.messages.len() as u64;
+        node.traffic.update(call.destination, |counters| {
+            counters.calls += 1;
+            counters.messages += call.messages.len() as u64;
         });
         node.calls_in_flight.set(node.calls_in_flight.get() + 1);
         node.calls_with_connection.set(node.calls_with_connection.get() + 1);
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -373,7 +373,7 @@
 pub async fn perform(node: &Node, call: &Call) -> CallEnd {
     let deadline = Instant::now() + Duration::from_secs_f64(call.timeout.clamp(0.0, 3600.0));
     let Call { endpoint, address, destination, ref messages, .. } = *call;
-    let is_open = || node.directory.borrow().open(endpoint, address, destination);
+    let is_open = || node.directory.borrow().may_receive(endpoint, address, destination);
     let mut pool_use = PoolUse::default();
     let response = match build_request(call) {
         Ok(request) => {
@@ -460,15 +460,16 @@
 
 /// Sends a health check request to an endpoint.
 pub async fn probe(node: &Node, endpoint: EndpointId) -> (Outcome, Option<RateLimitReport>) {
-    let Some(listed) = node.directory.borrow().place(endpoint) else { return (Outcome::NotSent, None) };
-    let deadline = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout);
-    let request = Request::get("/health/live").header("Host", listed.dial.to_string()).body(Full::default());
+    let Some(listed) = node.directory.borrow().get(endpoint) else { return (Outcome::NotSent, None) };
+    let deadline = Instant::now() + Duration::from_secs_f64(node.config.connect_timeout_seconds);
+    let request =
+        Request::get("/health/live").header("Host", listed.address.to_string()).body(Full::default());
     let Ok(request) = request else { return (Outcome::NotSent, None) };
-    let is_open = || node.directory.borrow().open(endpoint, listed.dial, listed.dest);
+    let is_open = || node.directory.borrow().may_receive(endpoint, listed.address, listed.destination);
     let no_messages = (&[][..], listed.zone);
     match exchange(
         node,
-        (endpoint, listed.dial),
+        (endpoint, listed.address),
         request,
         deadline,
         &is_open,
@@ -523,7 +524,7 @@
             match node.pool.checkout(endpoint, address, idle_reuse_limit(node)) {
                 Some(conn) => (conn, true),
                 None => {
-                    let connect_timeout = Duration::from_secs_f64(node.config.connect_timeout);
+                    let connect_timeout = Duration::from_secs_f64(node.config.connect_timeout_seconds);
                     match timeout_at(deadline, timeout(connect_timeout, connect(address))).await {
                         Ok(Ok(Ok(conn))) => (conn, false),
                         // Nothing was sent, so this is not the timeout of a call that may have run.
@@ -634,7 +635,7 @@
     }
     let body = body.ok().and_then(Result::ok).map(|body| body.to_bytes());
     // The endpoint may have left the list meanwhile.
-    let is_listed = node.directory.borrow().ready_at(endpoint) == Some(connection.address);
+    let is_listed = node.directory.borrow().ready_address(endpoint) == Some(connection.address);
     let connection_kept = body.is_some() && is_listed && node.pool.put_back(endpoint, connection);
     EndpointResponse { status: head.status, headers: head.headers, body, connection_kept }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -4,7 +4,7 @@
 
 use crate::actions::execute;
 use crate::calls::{self, CallEnd};
-use crate::handover::{self, After, Asked};
+use crate::handover::{self, HandoverRequest, HandoverResult};
 use crate::transfer::Transfer;
 use crate::{Node, compaction, control, log};
 use std::rc::Rc;
@@ -46,7 +46,7 @@
         Input::Event(event) => dispatcher.handle(now, event),
         Input::Accepted { number } => {
             if let Some(message) = node.journaled_message(number) {
-                node.traffic.count(message.destination.0, |count| count.taken += 1);
+                node.traffic.update(message.destination.0, |counters| counters.accepted += 1);
                 dispatcher.handle(now, Event::Accepted(message));
             }
         }
@@ -82,7 +82,7 @@
     pub terminate: Signal,
     pub interrupt: Signal,
     /// Processes that ask to take over.
-    pub takeover_requests: UnboundedReceiver<Asked>,
+    pub takeover_requests: UnboundedReceiver<HandoverRequest>,
     /// What is to be transferred to the process that has taken over.
     pub transfers: UnboundedReceiver<Transfer>,
 }
@@ -98,7 +98,7 @@
 pub async fn run_event_loop(node: Rc<Node>, sources: EventSources) -> ExitAction {
     let EventSources { mut inputs, mut terminate, mut interrupt, mut takeover_requests, mut transfers } =
         sources;
-    let tick = Duration::from_secs_f64(node.config.tick);
+    let tick = Duration::from_secs_f64(node.config.tick_seconds);
     let instant_of = |seconds: Seconds| -> tokio::time::Instant {
         (node.started_at + Duration::from_secs_f64(seconds.clamp(0.0, 1e9))).into()
     };
@@ -127,22 +127,29 @@
             std::iter::from_fn(|| inputs.try_recv().ok())
                 .for_each(|input| apply_input(&node, node.now(), input));
             let signals = (&mut terminate, &mut interrupt);
-            match handover::give(&node, stopping, takeover, &mut takeover_requests, signals, &mut transfers)
-                .await
+            match handover::hand_over(
+                &node,
+                stopping,
+                takeover,
+                &mut takeover_requests,
+                signals,
+                &mut transfers,
+            )
+            .await
             {
-                After::Resumed { stopping } => stop_signalled |= stopping,
-                After::Ended => return ExitAction::Exit,
-                After::Restart => return ExitAction::Restart,
+                HandoverResult::Resumed { stopping } => stop_signalled |= stopping,
+                HandoverResult::Ended => return ExitAction::Exit,
+                HandoverResult::Restart => return ExitAction::Restart,
             }
         }
-        node.fleet.look(&node);
+        node.fleet.refresh(&node);
         let now = node.now();
         if stop_signalled && stop_requested_at.is_none() {
             log::info(format_args!("{now:.3} told to stop"));
             stop_requested_at = Some(now);
             node.shutting_down.set(true);
             let leaving_node = node.clone();
-            spawn_local(async move { leaving_node.fleet.leave(&leaving_node).await });
+            spawn_local(async move { leaving_node.fleet.leave_fleet(&leaving_node).await });
             node.metrics.set_ready(false);
             node.dispatcher.borrow_mut().handle(now, Event::ShutdownAt(now + CALLS_DEADLINE_SECONDS));
         }
@@ -163,14 +170,14 @@
             let ages = open_messages.map(|(_, entry)| {
                 (entry.message.destination, -node.to_monotonic(entry.message.accepted_at) + now)
             });
-            node.traffic.line(now, ages).inspect(|line| log::info_limited(line));
+            node.traffic.take_line(now, ages).inspect(|line| log::info_limited(line));
         }
         if now >= sweep_at {
             sweep_at = now + if stop_requested_at.is_some() { 0.05 } else { 0.5 };
-            node.overrides.catch_up();
+            node.overrides.retry_save();
             node.pool.sweep(
                 calls::idle_reuse_limit(&node),
-                node.config.limits.idle(node.config.settings.max_concurrent_calls),
+                node.config.limits.max_idle_connections(node.config.settings.max_concurrent_calls),
             );
         }
         if let Some(stop_requested_at) = stop_requested_at {
@@ -180,7 +187,7 @@
             let journal = node.journal.borrow();
             let is_empty = journal.iter().next().is_none() && now - stop_requested_at >= MIN_EXIT_SECONDS;
             let is_done = node.calls_in_flight.get() == 0
-                && node.clients.asking() == 0
+                && node.clients.awaiting_response() == 0
                 && (is_empty || now - stop_requested_at >= CALLS_DEADLINE_SECONDS);
             if is_done || now - stop_requested_at >= EXIT_DEADLINE_SECONDS {
                 return ExitAction::Exit;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -31,7 +31,7 @@
 mod transfer;
 
 use calls::ConnectionPool;
-use clients::Clients;
+use clients::ClientConnections;
 use clock::JournalClock;
 use config::Config;
 use directory::Directory;
@@ -73,20 +73,20 @@
     journal: RefCell<Journal>,
     directory: RefCell<Directory>,
     pool: ConnectionPool,
-    traffic: traffic::Counts,
+    traffic: traffic::TrafficCounters,
     /// Metrics shown to operators.
     metrics: Arc<Figures>,
     /// Overrides that operators have set.
-    overrides: control::Control,
+    overrides: control::OperatorOverrides,
     /// Constraints that the fleet puts on this dispatcher.
-    fleet: fleet::Bounds,
+    fleet: fleet::FleetConstraints,
     /// Current address of discovery; a reloaded configuration may change it.
     discovery_address: watch::Sender<SocketAddr>,
     /// Since when journal writes have been failing.
     journal_failing_since: Cell<Option<Instant>>,
     /// Journaled messages whose 202 response has not been written yet.
     unacknowledged: RefCell<HashSet<u64>>,
-    clients: Clients,
+    clients: ClientConnections,
     /// Calls that have begun and whose end is not processed yet.
     calls_in_flight: Cell<usize>,
     /// Those of the calls in flight that may have a connection open.
@@ -108,7 +108,7 @@
     /// Shared lock of all processes that may have calls in flight.
     calls_lock: RefCell<Option<Lock>>,
     /// Where a new process connects to take over from this one.
-    handover_socket: handover::Doorstep,
+    handover_socket: handover::HandoverListener,
     /// Queue of what is transferred to the new process.
     transfer_sender: UnboundedSender<Transfer>,
     /// Aborts all calls in flight.
@@ -162,7 +162,7 @@
     /// How long a client should wait before it sends a message for this destination again.
     fn retry_after(&self, destination: DestinationId) -> Seconds {
         let delay = self.dispatcher.borrow().retry_after(self.now(), destination);
-        delay.min(self.config.max_retry_after)
+        delay.min(self.config.max_retry_after_seconds)
     }
 }
 
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -1,12 +1,12 @@
 //! Startup of a dispatcher process: signal handlers, the journal, and the tasks in their order.
 
 use crate::calls::ConnectionPool;
-use crate::clients::{self, Clients};
+use crate::clients::{self, ClientConnections};
 use crate::clock::JournalClock;
 use crate::config::Config;
 use crate::directory::Directory;
 use crate::event_loop::{EventSources, ExitAction, apply_input, run_event_loop};
-use crate::fleet::{self, Bounds};
+use crate::fleet::{self, FleetConstraints};
 use crate::retry::{self, Retry};
 use crate::serving::ServingState;
 use crate::{Node, client_listener, clock, control, discovery, handover, log, traffic};
@@ -60,10 +60,10 @@
                 };
                 log::info(format_args!(
                     "configuration reloaded: discovery at {}{unapplied}",
-                    config.discovery
+                    config.discovery_address
                 ));
                 node.discovery_address.send_if_modified(|address| {
-                    std::mem::replace(address, config.discovery) != config.discovery
+                    std::mem::replace(address, config.discovery_address) != config.discovery_address
                 });
             }
             Err(error) => log::info(format_args!("configuration not read, the old one stays: {error}")),
@@ -73,18 +73,18 @@
 
 /// Opens the journal and its clock, and logs what recovery found.
 pub fn open_journal(config: &Config) -> Result<(Journal, JournalClock), OpenError> {
-    let stored_clock = JournalClock::read(&config.state)?;
+    let stored_clock = JournalClock::read(&config.state_dir)?;
     let now = stored_clock.map_or_else(clock::wall_clock, JournalClock::now);
     let options = Options {
         // Reserves three blocks: one by which the platform's own count may exceed ours, and one each for the clock's
         // file and its replacement.
-        limits: Limits::for_budget(config.limits.journal().saturating_sub(3 * compaction::BLOCK_BYTES)),
+        limits: Limits::for_budget(config.limits.journal_bytes().saturating_sub(3 * compaction::BLOCK_BYTES)),
         durability: Durability::None,
         now,
         identity: u128::from(config.seed) << 64 | u128::from(now),
         remembered_outcomes: REMEMBERED_OUTCOMES,
     };
-    let (journal, recovery) = Journal::open(&config.state, options)?;
+    let (journal, recovery) = Journal::open(&config.state_dir, options)?;
     let Recovery { torn_bytes, damage, migrated_messages, latest_timestamp } = recovery;
     if torn_bytes > 0 {
         log::info(format_args!("journal: discarded {torn_bytes} bytes of an incomplete record"));
@@ -98,7 +98,7 @@
     let clock = match stored_clock.filter(|clock| !clock.is_behind(latest_timestamp)) {
         Some(clock) => clock,
         None => {
-            let clock = JournalClock::create(&config.state, latest_timestamp)?;
+            let clock = JournalClock::create(&config.state_dir, latest_timestamp)?;
             let ahead = clock.now().saturating_sub(clock::wall_clock()) as f64 / 1e6;
             log::info(format_args!("clock: first start in this boot; {ahead:.3} s ahead of the wall clock"));
             clock
@@ -110,7 +110,7 @@
 /// Opens the journal, with retries while its folder is not writable.
 async fn open_when_writable(config: &Config) -> Result<(Journal, JournalClock), String> {
     let mut retry = Retry::new();
-    let describe = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state.display());
+    let describe = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state_dir.display());
     loop {
         let error = match open_journal(config) {
             Err(error @ OpenError::Io(_)) => error,
@@ -131,14 +131,15 @@
 pub async fn run(config: Config, mut signals: Signals) -> Result<ExitAction, String> {
     let metrics = Arc::new(Figures::new(&config.classes));
     let (control_sender, control_requests) = unbounded_channel();
-    if let Some(control) = config.control {
+    if let Some(control_address) = config.control_address {
         // The control port answers from now on, also while the journal is read.
-        let address = retry::blocking(|| door::open(control, metrics.clone(), control_sender.clone()));
-        let address = address.map_err(|error| format!("control: {control}: {error}"))?;
+        let address =
+            retry::blocking(|| door::open(control_address, metrics.clone(), control_sender.clone()));
+        let address = address.map_err(|error| format!("control: {control_address}: {error}"))?;
         log::info(format_args!("{} answers operators at {address}", config.name));
     }
     let (locks, handover) = tokio::select! {
-        arrived = handover::arrive(&config) => arrived,
+        arrived = handover::acquire_ownership(&config) => arrived,
         // This process owns nothing yet.
         _ = signals.terminate.recv() => return Ok(ExitAction::Exit),
         _ = signals.interrupt.recv() => return Ok(ExitAction::Exit),
@@ -153,10 +154,10 @@
     let adopted_state = state.is_some();
     let (started_at, dispatcher, directory) = match state {
         Some(mut state) => {
-            let started_at = state.started();
-            journal.restore_recent_outcomes(state.ended);
-            state.decisions.resume_in_new_process();
-            (started_at, state.decisions, state.directory)
+            let started_at = state.clock_start();
+            journal.restore_recent_outcomes(state.ended_messages);
+            state.dispatcher.resume_in_new_process();
+            (started_at, state.dispatcher, state.directory)
         }
         None => {
             let dispatcher = Dispatcher::new(config.settings.clone(), config.seed);
@@ -165,14 +166,14 @@
     };
     let (listener, handover) =
         handover.map_or((None, None), |mut handover| (handover.listener.take(), Some(handover)));
-    let listener = client_listener::open(config.listen, listener).await?;
+    let listener = client_listener::open(config.listen_address, listener).await?;
     log::info(format_args!(
         "{} listens at {}",
         config.name,
         listener.local_addr().map_err(|error| error.to_string())?
     ));
     let (sender, mut inputs) = unbounded_channel();
-    let (handover_socket, takeover_requests) = handover::Doorstep::new(&config.state);
+    let (handover_socket, takeover_requests) = handover::HandoverListener::new(&config.state_dir);
     let (transfer_sender, transfer_receiver) = unbounded_channel();
     let node = Rc::new(Node {
         started_at,
@@ -182,14 +183,14 @@
         journal: RefCell::new(journal),
         directory: RefCell::new(directory),
         pool: ConnectionPool::default(),
-        traffic: traffic::Counts::default(),
+        traffic: traffic::TrafficCounters::default(),
         metrics,
-        fleet: Bounds::new(&config),
-        overrides: control::Control::open(&config.state),
-        discovery_address: watch::Sender::new(config.discovery),
+        fleet: FleetConstraints::new(&config),
+        overrides: control::OperatorOverrides::open(&config.state_dir),
+        discovery_address: watch::Sender::new(config.discovery_address),
         journal_failing_since: Cell::new(None),
         unacknowledged: RefCell::default(),
-        clients: Clients::default(),
+        clients: ClientConnections::default(),
         calls_in_flight: Cell::new(0),
         calls_with_connection: Cell::new(0),
         shutting_down: Cell::new(false),
@@ -208,23 +209,23 @@
         config,
     });
     if !adopted_state {
-        let result = discovery::list(&node, node.config.file["known"].to_string().as_bytes());
+        let result = discovery::apply_list(&node, node.config.document["known"].to_string().as_bytes());
         result.unwrap_or_else(|error| log::info_limited(format_args!("known: ignored: {error}")));
     }
-    node.fleet.begin(&node.config);
+    node.fleet.start_member(&node.config);
     node.restore_from_journal();
     // The decision core gets the list and the restored messages before the first client is served.
     std::iter::from_fn(|| inputs.try_recv().ok()).for_each(|input| apply_input(&node, node.now(), input));
     if let Some(handover) = handover {
-        spawn_local(handover::own(node.clone(), handover));
+        spawn_local(handover::complete_takeover(node.clone(), handover));
     }
     node.handover_socket.open();
-    spawn_local(discovery::watch(node.clone()));
-    spawn_local(discovery::notices(node.clone()));
+    spawn_local(discovery::watch_list(node.clone()));
+    spawn_local(discovery::deliver_notices(node.clone()));
     // Clients are served once all journaled messages are restored; this does not wait for discovery.
     spawn_local(clients::serve(node.clone()));
-    spawn_local(fleet::hear(node.clone()));
-    spawn_local(control::obey(node.clone(), control_requests));
+    spawn_local(fleet::process_updates(node.clone()));
+    spawn_local(control::process_commands(node.clone(), control_requests));
     node.metrics.set(control::gauges(&node));
     node.metrics.set_ready(true);
     spawn_local(reload(node.clone(), signals.hangup));
