--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -393,7 +393,7 @@
             Err(Outcome::Error)
         }
     };
-    let all = |outcome: Outcome, settled: bool| {
+    let end_all = |outcome: Outcome, settled: bool| {
         let end = |message: &CallMessage| MessageEnd {
             number: message.number,
             attempt: message.attempt,
@@ -408,7 +408,7 @@
             let PoolUse { connection_reused, connection_kept } = pool_use;
             return CallEnd {
                 connection_kept,
-                ..CallEnd::without_report(all(outcome, false), connection_reused)
+                ..CallEnd::without_report(end_all(outcome, false), connection_reused)
             };
         }
     };
@@ -416,7 +416,8 @@
         // Of a malformed response only a status line with 200 counts, and only for a single message: for a batch the
         // status line says nothing about its messages.
         let is_delivered = response.status == StatusCode::OK && messages.len() == 1;
-        let ends = all(if is_delivered { Outcome::Served } else { Outcome::MalformedResponse }, is_delivered);
+        let ends =
+            end_all(if is_delivered { Outcome::Served } else { Outcome::MalformedResponse }, is_delivered);
         // Retry-After counts from when it was sent; honouring one that was not meant only delays messages.
         return CallEnd {
             retry_after: parse_retry_after(&response.headers),
@@ -425,26 +426,28 @@
     };
     let ends = match response.status {
         StatusCode::OK if messages.len() > 1 => parse_batch_response(messages, body),
-        StatusCode::OK => all(Outcome::Served, true),
+        StatusCode::OK => end_all(Outcome::Served, true),
         StatusCode::SERVICE_UNAVAILABLE
             if response.headers.get("X-Line-Busy").is_some_and(|value| value == "1") =>
         {
-            all(Outcome::NotSent, false)
+            end_all(Outcome::NotSent, false)
         }
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => all(Outcome::Overloaded, false),
-        StatusCode::GATEWAY_TIMEOUT => all(Outcome::NotSent, false),
-        StatusCode::GONE => all(Outcome::NotSent, true),
-        StatusCode::INTERNAL_SERVER_ERROR => all(Outcome::Error, false),
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+            end_all(Outcome::Overloaded, false)
+        }
+        StatusCode::GATEWAY_TIMEOUT => end_all(Outcome::NotSent, false),
+        StatusCode::GONE => end_all(Outcome::NotSent, true),
+        StatusCode::INTERNAL_SERVER_ERROR => end_all(Outcome::Error, false),
         status @ (StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE) => {
             log::info_limited(format_args!(
                 "call to {address}: endpoint rejected {} messages with {status}",
                 messages.len()
             ));
-            all(Outcome::InvalidRequest, false)
+            end_all(Outcome::InvalidRequest, false)
         }
         other => {
             log::info_limited(format_args!("call to {address}: unexpected status {other}"));
-            all(Outcome::Error, false)
+            end_all(Outcome::Error, false)
         }
     };
     let rate_limit_report =
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -3,7 +3,7 @@
 //! All decisions are made by [`Dispatcher`], the decision core in the `waydoor` crate, which does no I/O. This crate
 //! turns what happens on sockets and timers into its events, and carries out the actions that it returns.
 //!
-//! Everything runs on one thread. Inputs are collected in one queue; once per tick the [`event_loop`] passes the queue
+//! Everything runs on one thread. Inputs are collected in one queue; once per tick the `event_loop` module passes it
 //! to the decision core and executes the resulting actions.
 
 mod actions;
