--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -1,6 +1,7 @@
-//! What the decisions ask for, carried out: calls and their ends, final answers, probes.
+//! Executes the actions of the decision core: starts calls and probes, journals how they end, ends messages
+//! undelivered.
 
-use crate::calls::{self, Call, CallEnd, Item};
+use crate::calls::{self, Call, CallEnd, CallMessage};
 use crate::directory::ListedEndpoint;
 use crate::event_loop::Input;
 use crate::serving::Phase;
@@ -14,8 +15,8 @@
 use tokio::task::spawn_local;
 use waydoor::{Action, DestinationId, Effect, EndpointId, Event, Outcome, Seconds};
 
-/// Records how a call ended as soon as that is known, then tells the round loop.
-pub fn complete_call(node: &Node, endpoint: EndpointId, dest: u32, sent_at: Seconds, end: CallEnd) {
+/// Journals the end of a call and queues it for the decision core.
+pub fn complete_call(node: &Node, endpoint: EndpointId, destination: u32, sent_at: Seconds, end: CallEnd) {
     for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
         node.count_message_end(end.number, End::Fulfilled);
     }
@@ -24,82 +25,87 @@
         for end in &end.ends {
             node.observe_journal_write(match end.settled {
                 true => journal.close(end.number),
-                // Its start was never on record: it never began.
-                false if journal.get(end.number).is_none_or(|kept| kept.in_flight.is_none()) => continue,
+                // Its start was not journaled, so the call never began.
+                false if journal.get(end.number).is_none_or(|entry| entry.in_flight.is_none()) => continue,
                 false => journal.attempt_ended(end.number, !end.outcome.never_ran()),
             });
         }
     }
-    node.traffic.record_call_end(dest, &end);
-    node.fleet.report_outcomes(dest, end.ends.iter().map(|end| end.outcome));
+    node.traffic.record_call_end(destination, &end);
+    node.fleet.report_outcomes(destination, end.ends.iter().map(|end| end.outcome));
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
-/// Makes a call, and sees to it that its end is known to whoever owns by then.
+/// Makes a call and reports its end: here, or to the new process if that has taken over meanwhile.
 pub async fn run_call(node: Rc<Node>, call: Call, sent_at: Seconds) {
-    let one = call.items.first().filter(|_| call.items.len() == 1).map(|item| item.number);
-    let broken_off = Rc::new(Notify::new());
-    one.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, broken_off.clone())));
-    let ended = |outcome: Outcome| {
-        let end = |item: &Item| calls::MessageEnd {
-            number: item.number,
-            attempt: item.attempt,
+    let single = call.messages.first().filter(|_| call.messages.len() == 1).map(|message| message.number);
+    let cancellation = Rc::new(Notify::new());
+    single.inspect(|number| drop(node.cancellations.borrow_mut().insert(*number, cancellation.clone())));
+    let end_with = |outcome: Outcome| {
+        let end = |message: &CallMessage| calls::MessageEnd {
+            number: message.number,
+            attempt: message.attempt,
             outcome,
             settled: false,
         };
-        CallEnd::without_report(call.items.iter().map(end).collect(), false)
+        CallEnd::without_report(call.messages.iter().map(end).collect(), false)
     };
-    let (mut end, cut) = tokio::select! {
-        end = calls::call(&node, &call) => (end, false),
-        () = broken_off.notified() => (ended(Outcome::Cancelled), false),
-        () = node.abort_signal.notified() => (ended(Outcome::ConnectionReset), true),
+    let (mut end, is_aborted) = tokio::select! {
+        end = calls::perform(&node, &call) => (end, false),
+        () = cancellation.notified() => (end_with(Outcome::Cancelled), false),
+        () = node.abort_signal.notified() => (end_with(Outcome::ConnectionReset), true),
     };
     node.calls_with_connection.set(node.calls_with_connection.get() - 1);
-    one.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
-    let (endpoint, dest) = (call.endpoint, call.dest);
+    single.inspect(|number| drop(node.cancellations.borrow_mut().remove(number)));
+    let (endpoint, destination) = (call.endpoint, call.destination);
     match node.serving_state.wait_until_settled().await {
-        Phase::HandedOver if cut => {}
+        Phase::HandedOver if is_aborted => {}
         Phase::HandedOver => {
-            // Its connection stays behind.
+            // The connection is not transferred.
             end.connection_kept = false;
             node.transfer(Transfer::Completion(Completion::Call {
                 endpoint: endpoint.0,
-                dest,
+                destination,
                 sent_at,
                 end,
             }));
         }
-        _ => complete_call(&node, endpoint, dest, sent_at, end),
+        _ => complete_call(&node, endpoint, destination, sent_at, end),
     }
     node.calls_in_flight.set(node.calls_in_flight.get() - 1);
 }
 
-/// A send that the decisions ask for.
-struct Send {
+/// A message that the decision core wants sent.
+struct SendRequest {
     number: u64,
     endpoint: EndpointId,
     attempt: u32,
     timeout: Seconds,
-    alone: bool,
+    /// The message must not share its call with others.
+    unbatched: bool,
 }
 
-/// The sends of one round, as calls: those to one endpoint share a call as far as its kind allows.
+/// Groups the messages sent in one tick into calls: messages to one endpoint share a call up to the batch size of the
+/// destination.
 #[derive(Default)]
-pub struct Calls {
+pub struct CallBatcher {
     calls: Vec<Call>,
-    /// The call with room for more, by endpoint and by whether its messages may never run twice: those are waited
-    /// for, and a call has one time-out.
+    /// The index of the last call that can take more messages, by endpoint and by whether a repeat of its messages is
+    /// unsafe: unsafe messages get a longer timeout, and a call has only one.
     open: BTreeMap<(EndpointId, bool), usize>,
 }
 
-impl Calls {
-    fn add(&mut self, node: &Node, send: Send) {
-        let Send { number, endpoint, attempt, timeout, alone } = send;
-        let Some(handed) = node.journal.borrow().get(number).map(|kept| kept.message.clone()) else { return };
-        let item = Item { number, attempt, handed };
-        let place =
-            node.directory.borrow().get(endpoint).filter(|p| p.destination == item.handed.destination);
-        let Some(place) = place.filter(|place| node.fleet.may_send(place.destination)) else {
+impl CallBatcher {
+    fn add(&mut self, node: &Node, request: SendRequest) {
+        let SendRequest { number, endpoint, attempt, timeout, unbatched } = request;
+        let Some(content) = node.journal.borrow().get(number).map(|e| e.message.clone()) else { return };
+        let message = CallMessage { number, attempt, content };
+        let listed = node
+            .directory
+            .borrow()
+            .get(endpoint)
+            .filter(|listed| listed.destination == message.content.destination);
+        let Some(listed) = listed.filter(|listed| node.fleet.may_send(listed.destination)) else {
             let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
@@ -108,60 +114,71 @@
             });
             return;
         };
-        let effect = node.class_effect(&item.handed.class);
-        let batch = node.config.settings.kinds.get(place.kind).map_or(1, |kind| kind.max_batch);
-        let alike = (endpoint, effect == Some(Effect::Unsafe));
-        if !alone
-            && let Some(call) = self.open.get(&alike).and_then(|at| self.calls.get_mut(*at))
-            && call.items.len() < batch
+        let effect = node.class_effect(&message.content.class);
+        let max_batch = node.config.settings.kinds.get(listed.kind).map_or(1, |kind| kind.max_batch);
+        let batch_key = (endpoint, effect == Some(Effect::Unsafe));
+        if !unbatched
+            && let Some(call) = self.open.get(&batch_key).and_then(|index| self.calls.get_mut(*index))
+            && call.messages.len() < max_batch
         {
-            call.items.push(item);
+            call.messages.push(message);
             call.timeout = call.timeout.min(timeout);
             return;
         }
-        if !alone {
-            self.open.insert(alike, self.calls.len());
+        if !unbatched {
+            self.open.insert(batch_key, self.calls.len());
         }
-        let ListedEndpoint { address: at, destination: dest, zone, .. } = place;
-        self.calls.push(Call { endpoint, at, dest, zone, items: vec![item], timeout });
+        let ListedEndpoint { address, destination, zone, .. } = listed;
+        self.calls.push(Call { endpoint, address, destination, zone, messages: vec![message], timeout });
     }
 }
 
-/// Carries out what the decisions ask for.
+/// Executes the actions that the decision core returned for one tick.
 pub fn execute(node: &Rc<Node>, now: Seconds, actions: &[Action], timer: &mut Option<(u32, Seconds)>) {
-    let mut sends = Calls::default();
+    let mut batcher = CallBatcher::default();
     for action in actions {
         match action {
-            Action::Send { id, endpoint, attempt, timeout, unbatched: alone } => {
+            Action::Send { id, endpoint, attempt, timeout, unbatched } => {
                 let (number, endpoint, attempt) = (id.0, *endpoint, *attempt);
-                sends.add(node, Send { number, endpoint, attempt, timeout: *timeout, alone: *alone });
+                batcher.add(
+                    node,
+                    SendRequest { number, endpoint, attempt, timeout: *timeout, unbatched: *unbatched },
+                );
             }
             Action::Reject(id) => {
-                let dest =
-                    node.journal.borrow().get(id.0).map(|kept| DestinationId(kept.message.destination));
-                dest.inspect(|dest| node.traffic.update(dest.0, |counters| counters.handed_back += 1));
-                let retry_in_ms = dest.map_or(0.0, |dest| node.retry_after(dest) * 1000.0).ceil() as u64;
+                let destination =
+                    node.journal.borrow().get(id.0).map(|entry| DestinationId(entry.message.destination));
+                destination.inspect(|destination| {
+                    node.traffic.update(destination.0, |counters| counters.handed_back += 1)
+                });
+                let retry_in_ms = destination
+                    .map_or(0.0, |destination| node.retry_after(destination) * 1000.0)
+                    .ceil() as u64;
                 node.count_message_end(id.0, End::Throttled);
-                end(node, id.0, Notice::HandedBack { retry_in_ms });
+                end_undelivered(node, id.0, Notice::HandedBack { retry_in_ms });
             }
             Action::Fail(id) => {
-                let dest = node.journal.borrow().get(id.0).map(|kept| kept.message.destination);
-                dest.inspect(|dest| node.traffic.update(*dest, |counters| counters.given_up += 1));
+                let destination = node.journal.borrow().get(id.0).map(|entry| entry.message.destination);
+                destination.inspect(|destination| {
+                    node.traffic.update(*destination, |counters| counters.given_up += 1)
+                });
                 node.count_message_end(id.0, End::Faulted);
-                end(node, id.0, Notice::GivenUp);
+                end_undelivered(node, id.0, Notice::GivenUp);
             }
             Action::SetTimer { token, at } => *timer = Some((*token, *at)),
             Action::CancelAttempt { id, .. } => {
-                if let Some(out) = node.cancellations.borrow().get(&id.0) {
-                    out.notify_one();
+                if let Some(cancellation) = node.cancellations.borrow().get(&id.0) {
+                    cancellation.notify_one();
                 }
             }
             Action::Probe(endpoint) => {
                 let (node, endpoint) = (node.clone(), *endpoint);
-                let dest = node.directory.borrow().get(endpoint).map(|info| info.destination);
-                dest.inspect(|dest| node.traffic.update(*dest, |counters| counters.probes += 1));
+                let destination = node.directory.borrow().get(endpoint).map(|listed| listed.destination);
+                destination.inspect(|destination| {
+                    node.traffic.update(*destination, |counters| counters.probes += 1)
+                });
                 spawn_local(async move {
-                    let (outcome, allowance) = calls::probe(&node, endpoint).await;
+                    let (outcome, rate_limit_report) = calls::probe(&node, endpoint).await;
                     let latency = node.now() - now;
                     match node.serving_state.wait_until_settled().await {
                         Phase::HandedOver => {
@@ -170,16 +187,17 @@
                                 endpoint,
                                 outcome,
                                 latency,
-                                allowance,
+                                rate_limit_report,
                             }));
                         }
                         _ => {
-                            dest.inspect(|dest| node.fleet.report_outcomes(*dest, [outcome]));
+                            destination
+                                .inspect(|destination| node.fleet.report_outcomes(*destination, [outcome]));
                             node.send_event(Event::ProbeEnded {
                                 endpoint,
                                 outcome,
                                 latency,
-                                rate_limit_report: allowance,
+                                rate_limit_report,
                             });
                         }
                     }
@@ -189,17 +207,17 @@
                 node.pool.close_idle(*endpoint);
             }
             Action::Subscribe => node.resubscribe.notify_one(),
-            Action::RecordOutage { destination, ongoing: out } => {
-                node.fleet.set_unavailable(node, destination.0, *out);
-                node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *out));
+            Action::RecordOutage { destination, ongoing } => {
+                node.fleet.set_unavailable(node, destination.0, *ongoing);
+                node.observe_journal_write(node.journal.borrow_mut().set_outage(destination.0, *ongoing));
             }
             Action::Log(text) => log::info(format_args!("{now:.3} {text}")),
         }
     }
-    for call in sends.calls {
-        node.traffic.update(call.dest, |counters| {
+    for call in batcher.calls {
+        node.traffic.update(call.destination, |counters| {
             counters.calls += 1;
-            counters.messages += call.items.len() as u64;
+            counters.messages += call.messages.len() as u64;
         });
         node.calls_in_flight.set(node.calls_in_flight.get() + 1);
         node.calls_with_connection.set(node.calls_with_connection.get() + 1);
@@ -207,7 +225,8 @@
     }
 }
 
-pub fn end(node: &Node, number: u64, notice: Notice) {
+/// Ends a message undelivered: journals the notice and wakes the task that sends it.
+pub fn end_undelivered(node: &Node, number: u64, notice: Notice) {
     node.observe_journal_write(node.journal.borrow_mut().notice_due(number, notice));
     node.notice_due.notify_one();
 }
