--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -685,18 +685,18 @@
             }
         }
         (SenderFrame::CallCompleted(bytes), _) => match frames::decode(&bytes) {
-            Ok(Completion::Call { endpoint, dest, sent_at, mut end }) => {
+            Ok(Completion::Call { endpoint, destination, sent_at, mut end }) => {
                 end.ends.retain(|end| in_flight.remove(&(end.number, end.attempt)).is_some());
                 if !end.ends.is_empty() {
-                    complete_call(node, EndpointId(endpoint), dest, sent_at, end);
+                    complete_call(node, EndpointId(endpoint), destination, sent_at, end);
                 }
             }
-            Ok(Completion::Probe { endpoint, outcome, latency, allowance }) => {
+            Ok(Completion::Probe { endpoint, outcome, latency, rate_limit_report }) => {
                 node.send_event(DispatcherEvent::ProbeEnded {
                     endpoint: EndpointId(endpoint),
                     outcome,
                     latency,
-                    rate_limit_report: allowance,
+                    rate_limit_report,
                 });
             }
             Err(error) => log::info_limited(format_args!("handover: {error}")),
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -143,7 +143,7 @@
         Ok(Some(number)) => {
             node.observe_journal_write(Ok(()));
             if let Some((tenant, QuotaStatus { remaining, .. })) = quota {
-                let event = Event::QuotaRecovered { tenant, remaining, at: now };
+                let event = Event::QuotaUpdate { tenant, remaining, at: now };
                 node.dispatcher.borrow_mut().handle(now, event);
             }
             node.unacknowledged.borrow_mut().insert(number);
--- a/crates/waydoor/tests/rules.rs
+++ b/crates/waydoor/tests/rules.rs
@@ -784,8 +784,11 @@
                 harness.end_attempt(sent.id, 1, 0, outcome, 0.05);
                 harness.dispatcher.handle(harness.now, Event::Withdrawn(MessageId(id)));
             }
-            log_lines +=
-                harness.actions.iter().filter(|a| matches!(a, Action::Log(t) if t.contains("Shut"))).count();
+            log_lines += harness
+                .actions
+                .iter()
+                .filter(|a| matches!(a, Action::Log(t) if t.contains("Unavailable")))
+                .count();
             harness.now += 0.5;
         }
         log_lines
@@ -802,7 +805,7 @@
     }
     harness.run_round();
     let logged_unavailable =
-        harness.actions.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Shut")));
+        harness.actions.iter().any(|a| matches!(a, Action::Log(t) if t.contains("Unavailable")));
     assert!(
         logged_unavailable,
         "two resets in a row are an outage at a destination that loses no calls otherwise"
