--- a/crates/duty/src/discovery_polling.rs
+++ b/crates/duty/src/discovery_polling.rs
@@ -1,31 +1,34 @@
-//! Who asks discovery while it does not answer: the holder asks often, the others on its word or slowly. A dispatcher
-//! sends only to endpoints that its own list has named: a word makes it ask, and tells it no endpoint.
+//! Which member polls the discovery service while it does not answer: the holder of the duty polls often, the others
+//! slowly, or when the holder announces a list.
+//!
+//! A dispatcher sends only to endpoints that its own list contains: an announcement makes it poll, and carries no
+//! endpoints.
 
 use crate::Seconds;
 
-/// A list that a word told of and that has not come by then is asked for, as a part of the time for which others are slow.
+/// An announced list that has not arrived after this share of the maximum deferral is polled for.
 const OVERDUE_SHARE: f64 = 0.5;
 
-/// What binds the dispatcher's questions to discovery.
+/// How often this member's dispatcher may poll discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PollingRate {
-    /// As alone.
+    /// At its usual rate, as without a fleet.
     Normal,
-    /// Another member asks; this one no more often than this, until then: spacing, end.
+    /// Another member polls. This one polls at most once per interval until the given time: interval, end.
     Reduced(Seconds, Seconds),
 }
 
-/// What this member knows of discovery, and of who asks it.
+/// This member's view of discovery and of the holder of the duty.
 #[derive(Clone, Debug)]
 pub struct DiscoveryPolling {
     max_deferral: Seconds,
-    /// Discovery does not answer this member since then.
+    /// Since when discovery has not answered this member.
     failing_since: Option<Seconds>,
-    /// The duty is another member's, since then.
+    /// When another holder last gave a sign of life.
     other_holder_seen_at: Option<Seconds>,
-    /// The sequence of the own list.
+    /// Sequence number of this member's list.
     own_seq: u64,
-    /// A word told of a newer one, then. A watch that lives brings it by itself in a moment.
+    /// A newer list that the holder announced, and when. An intact subscription delivers it without polling.
     announced: Option<(u64, Seconds)>,
     rate: Option<PollingRate>,
     unpublished: Option<u64>,
@@ -47,14 +50,14 @@
         }
     }
 
-    /// Discovery has ended or refused the watch.
+    /// The discovery subscription has ended or was rejected.
     pub fn discovery_failed(&mut self, now: Seconds) {
         self.failing_since.get_or_insert(now);
     }
 
-    /// A list of this sequence has come.
+    /// A list with this sequence number has arrived.
     pub fn list_received(&mut self, seq: u64) {
-        // Whoever holds the duty tells the others: what they have may be older.
+        // If this member is the holder, it announces the list: the others' lists may be older.
         if seq > self.own_seq || self.failing_since.is_some() {
             self.unpublished = Some(seq);
         }
@@ -62,29 +65,30 @@
         self.announced = self.announced.filter(|(announced_seq, _)| *announced_seq > seq);
     }
 
-    /// The duty was given: to this member, to another one, or to nobody.
+    /// The log has granted the duty: to this member (`Some(true)`), to another one, or to nobody.
     pub fn granted(&mut self, now: Seconds, holder: Option<bool>) {
         self.other_holder_seen_at = (holder == Some(false)).then_some(now);
     }
 
-    /// The holder has told of a list, or that it asks still.
+    /// The holder has announced a list, or (`seq` 0) that it is still polling.
     pub fn holder_update(&mut self, now: Seconds, seq: u64) {
         if self.other_holder_seen_at.is_some() {
             self.other_holder_seen_at = Some(now);
         }
-        // Discovery has answered the holder. One that can't reach it asks now; another one in a while, if it has to.
+        // Discovery has answered the holder. A member that cannot reach it polls now; any other waits for its
+        // subscription first.
         self.poll_requested |= seq > 0 && self.failing_since.is_some();
         if seq > self.own_seq && self.announced.is_none_or(|(announced_seq, _)| seq > announced_seq) {
             self.announced = Some((seq, now));
         }
     }
 
-    /// Whether discovery is out of this member's reach: the duty is of use.
+    /// Whether this member cannot reach discovery and needs the duty.
     pub fn is_needed(&self) -> bool {
         self.failing_since.is_some()
     }
 
-    /// The pace, where it has changed.
+    /// The polling rate, if it has changed.
     pub fn changed_rate(&mut self, now: Seconds) -> Option<PollingRate> {
         let deferred_until = self.other_holder_seen_at.map(|at| at + self.max_deferral);
         let rate = match deferred_until {
@@ -96,12 +100,12 @@
         (self.rate.replace(rate) != Some(rate)).then_some(rate)
     }
 
-    /// A list that the holder has to tell of.
+    /// The sequence number of a list that the holder has to announce.
     pub fn take_update(&mut self) -> Option<u64> {
         self.unpublished.take()
     }
 
-    /// Discovery is to be asked now.
+    /// Whether discovery is to be polled now.
     pub fn take_poll_request(&mut self, now: Seconds) -> bool {
         let overdue = self.announced.take_if(|(_, at)| now - *at > OVERDUE_SHARE * self.max_deferral);
         std::mem::take(&mut self.poll_requested) || overdue.is_some()
@@ -127,7 +131,7 @@
         assert!(polling.take_poll_request(3.0));
         polling.list_received(4);
         assert_eq!(polling.changed_rate(3.1), Some(PollingRate::Normal));
-        // A newer list comes by itself where the watch lives; where it does not come, it is asked for, once.
+        // An intact subscription delivers a newer list; if the list does not arrive, it is polled for once.
         polling.holder_update(4.0, 5);
         assert!(!polling.take_poll_request(5.0));
         polling.list_received(5);
--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -1,4 +1,8 @@
-//! All duties of one member, as a part that stands on the agreed log.
+//! All duties of one member, as a state machine over the replicated log.
+//!
+//! Input: agreed entries, confirmations of renewal requests, leadership changes, and reports from the dispatcher.
+//! Output: entries to propose, grants by the leader, and events for the dispatcher. A member publishes updates about
+//! a duty only while its lease term is valid.
 
 use crate::discovery_polling::{DiscoveryPolling, PollingRate};
 use crate::granter::LeaseGranter;
@@ -10,62 +14,63 @@
 use fawnspoke_cluster::part::{Part, View, Wants};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What was sent and not agreed by then is sent anew, in terms.
-const RETRY_TERMS: f64 = 0.3;
-/// A holder of the lists' duty says that it still asks so often, as a part of the time for which others are slow.
+/// A proposal that has not been applied after this share of a lease term is sent again.
+const RETRY_TERM_SHARE: f64 = 0.3;
+/// Interval, as a share of the maximum deferral, at which the holder of the discovery polling duty publishes that it
+/// is still polling.
 const KEEPALIVE_SHARE: f64 = 0.3;
 
-/// What the dispatcher tells.
+/// Reports from the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DutyReport {
-    /// Of a destination.
+    /// About the state of a destination.
     Destination(trials::DestinationReport),
-    /// Discovery's watch has ended or was refused.
+    /// The discovery subscription has ended or was rejected.
     DiscoveryFailed,
-    /// A list of this sequence has come.
+    /// A list with this sequence number has arrived from discovery.
     ListReceived(u64),
 }
 
-/// What the dispatcher hears.
+/// Events for the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DutyEvent {
-    /// The duties begin, and know nothing of what was told before.
+    /// The duties have started and know none of the earlier reports.
     Started,
-    /// What binds its tries at a destination.
+    /// The permission for this member's trials at a destination has changed.
     TrialPermission(u32, trials::TrialPermission),
-    /// What binds its questions to discovery.
+    /// The rate of this member's discovery polling has changed.
     PollingRate(PollingRate),
-    /// Discovery is to be asked now.
+    /// Discovery is to be polled now.
     PollDiscovery,
-    /// For the log: a duty was given.
+    /// To be logged: a duty was granted under this epoch, or lost its holder.
     Granted(DutyId, u64, Option<Id>),
-    /// For the log: a holder's word was agreed.
+    /// To be logged: an update by the holder was agreed.
     Updated(DutyId, u64, HolderUpdate),
-    /// For the log: a word under an older epoch was refused; the duty's own is the second.
+    /// To be logged: an update was rejected; its epoch, and the duty's current epoch.
     Rejected(DutyId, u64, u64),
-    /// For the log: this member acts under an epoch, and found that its term runs at this time.
+    /// To be logged: this member acted under this epoch, after checking its lease term at this time.
     Acted(DutyId, u64, Seconds),
 }
 
-/// How the duties are run.
+/// Settings of the duties.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// A member's term, in seconds.
+    /// Length of a lease term, in seconds.
     pub lease_term: Seconds,
-    /// How far a clock's rate may be from true.
+    /// Maximum relative deviation of a clock from true time.
     pub max_clock_error: f64,
-    /// How long others hold back on the word of a holder, in seconds.
+    /// How long other members defer to a holder after its last update, in seconds.
     pub max_deferral: Seconds,
-    /// Entries of the log after which the keeper has it cut.
+    /// Number of log entries after which the log is compacted.
     pub compaction_threshold: u64,
-    /// The keeper's round, in seconds.
+    /// Interval of the log maintenance rounds, in seconds.
     pub maintenance_interval: Seconds,
-    /// All of them, but in tests.
+    /// All rules, except in tests.
     pub rules: SafetyRules,
 }
 
 impl Settings {
-    /// As the operators' file says.
+    /// The settings from the operators' fleet file.
     pub fn from_file(file: &File) -> Settings {
         Settings {
             lease_term: file.term_s,
@@ -81,16 +86,16 @@
 /// All duties of one member.
 pub struct Duties {
     settings: Settings,
-    me: Id,
+    own_id: Id,
     leases: LeaseTable,
     lease_term: LeaseTerm,
     granter: LeaseGranter,
     trials: TrialCoordinator,
     discovery_polling: DiscoveryPolling,
-    /// Given up by the own word: nothing is done under these epochs any more.
+    /// Epochs of leases that this member has released: it no longer acts under them.
     released_epochs: BTreeSet<u64>,
     leaving: bool,
-    /// What is to be agreed, until it is: sent when.
+    /// Proposals that have not been applied yet, with the time at which each was last sent.
     proposals: BTreeMap<Proposal, Option<Seconds>>,
     updates: Vec<(DutyId, u64, HolderUpdate)>,
     completed_rounds: u64,
@@ -101,7 +106,7 @@
     compaction_due: bool,
 }
 
-/// What a member wants of the log for as long as it isn't so.
+/// A change of the lease table that this member proposes until it has been applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Proposal {
     Request(DutyId),
@@ -110,11 +115,11 @@
 }
 
 impl Duties {
-    /// The duties of the member of this number; `first`: see [`LeaseTerm::new`].
+    /// The duties of a member that has not been told its number yet. `first_renewal`: see [`LeaseTerm::new`].
     pub fn new(settings: Settings, first_renewal: u64) -> Duties {
         let Settings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
         Duties {
-            me: 0,
+            own_id: 0,
             leases: LeaseTable::default(),
             lease_term: LeaseTerm::new(lease_term, rules, first_renewal),
             granter: LeaseGranter::new(lease_term, max_clock_error, rules),
@@ -134,18 +139,19 @@
         }
     }
 
-    /// The epoch under which this member may act on a duty now; it looks right before each act.
+    /// The epoch under which this member may act on a duty now. Callers check it immediately before each action.
     pub fn active_epoch(&self, now: Seconds, duty: DutyId) -> Option<u64> {
-        let lease = self.leases.get(duty).filter(|lease| lease.holder == Some(self.me) && self.me != 0)?;
+        let lease =
+            self.leases.get(duty).filter(|lease| lease.holder == Some(self.own_id) && self.own_id != 0)?;
         (self.lease_term.is_valid(now) && !self.released_epochs.contains(&lease.epoch)).then_some(lease.epoch)
     }
 
-    /// What is agreed.
+    /// The replicated lease table.
     pub fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 
-    /// Looks, and acts: a word goes out under the epoch.
+    /// Queues an update for the log, if this member may act on the duty now.
     fn publish(&mut self, now: Seconds, duty: DutyId, update: HolderUpdate) {
         if let Some(epoch) = self.active_epoch(now, duty) {
             self.events.push(DutyEvent::Acted(duty, epoch, now));
@@ -162,7 +168,7 @@
             self.publish(now, DutyId::LogMaintenance, HolderUpdate::Round(self.completed_rounds + 1));
         }
         if view.log >= self.settings.compaction_threshold && now >= self.next_compaction_at {
-            self.next_compaction_at = now + RETRY_TERMS * self.settings.lease_term;
+            self.next_compaction_at = now + RETRY_TERM_SHARE * self.settings.lease_term;
             self.publish(now, DutyId::LogMaintenance, HolderUpdate::Cut);
         }
     }
@@ -172,11 +178,11 @@
             ApplyResult::NoChange => {}
             ApplyResult::Granted(duty, epoch, holder) => {
                 self.events.push(DutyEvent::Granted(duty, epoch, holder));
-                let is_own = holder.map(|holder| holder == self.me);
+                let is_own = holder.map(|holder| holder == self.own_id);
                 match duty {
                     DutyId::Trials(destination) => {
                         self.trials.granted(now, destination, epoch, is_own);
-                        // Given, and of no use here any more.
+                        // Granted, but no longer needed here.
                         if is_own == Some(true) && !self.trials.is_needed(destination) {
                             self.proposals.insert(Proposal::Release(duty, epoch), None);
                         }
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Whether something that was asked for is so, or makes no sense any more.
+    /// Whether a proposal has been applied, or has become pointless.
     fn is_settled(&self, proposal: &Proposal) -> bool {
         match *proposal {
             Proposal::Request(duty) => {
@@ -223,14 +229,15 @@
         }
     }
 
-    /// Whether it is agreed that this member has use for a duty.
+    /// Whether the table records this member's request for a duty.
     fn has_requested(&self, duty: DutyId) -> bool {
-        self.leases.get(duty).is_some_and(|lease| lease.requested_by.contains(&self.me))
+        self.leases.get(duty).is_some_and(|lease| lease.requested_by.contains(&self.own_id))
     }
 
-    /// What it is agreed to have use for and has none: it has begun anew since, or discovery has answered.
+    /// Withdraws recorded requests that are no longer needed: made by a previous process, or obsolete as discovery
+    /// answers again.
     fn withdraw_unneeded(&mut self) {
-        let requested = self.leases.iter().filter(|(_, lease)| lease.requested_by.contains(&self.me));
+        let requested = self.leases.iter().filter(|(_, lease)| lease.requested_by.contains(&self.own_id));
         let unneeded = requested.filter(|(duty, _)| match duty {
             DutyId::Trials(destination) => !self.trials.is_needed(*destination),
             DutyId::DiscoveryPolling => !self.discovery_polling.is_needed(),
@@ -241,7 +248,7 @@
         }
     }
 
-    /// What this member wants of the log now.
+    /// The entries that this member proposes now.
     fn pending_entries(&mut self, now: Seconds) -> Vec<Entry> {
         let (request_changes, updates, releases) = self.trials.take_pending();
         for (destination, needed) in request_changes {
@@ -273,7 +280,7 @@
         let settled: Vec<Proposal> =
             self.proposals.keys().filter(|proposal| self.is_settled(proposal)).copied().collect();
         self.proposals.retain(|proposal, _| !settled.contains(proposal));
-        let (member, retry_before) = (self.me, now - RETRY_TERMS * self.settings.lease_term);
+        let (member, retry_before) = (self.own_id, now - RETRY_TERM_SHARE * self.settings.lease_term);
         let due = self
             .proposals
             .iter_mut()
@@ -297,14 +304,14 @@
         entries
     }
 
-    /// What is to be given up is acted on no more, before the word of it goes out.
+    /// Stops acting on a lease before its release is proposed.
     fn stop_acting_on_released(&mut self) {
         for proposal in self.proposals.keys() {
             if let Proposal::Release(_, epoch) = proposal {
                 self.released_epochs.insert(*epoch);
             }
         }
-        let held: BTreeSet<u64> = self.leases.held_by(self.me).map(|(_, epoch)| epoch).collect();
+        let held: BTreeSet<u64> = self.leases.held_by(self.own_id).map(|(_, epoch)| epoch).collect();
         let release_proposed = |epoch: &u64| {
             self.proposals
                 .keys()
@@ -318,8 +325,8 @@
     type Fact = DutyReport;
     type News = DutyEvent;
 
-    fn begin(&mut self, me: Id) {
-        self.me = me;
+    fn begin(&mut self, own_id: Id) {
+        self.own_id = own_id;
         self.events.push(DutyEvent::Started);
     }
 
@@ -397,25 +404,25 @@
 
     fn leave(&mut self, _now: Seconds) {
         self.leaving = true;
-        let held: Vec<_> = self.leases.held_by(self.me).collect();
+        let held: Vec<_> = self.leases.held_by(self.own_id).collect();
         self.proposals.extend(held.into_iter().map(|(duty, epoch)| (Proposal::Release(duty, epoch), None)));
         self.stop_acting_on_released();
     }
 
     fn left(&self) -> bool {
-        self.leases.held_by(self.me).next().is_none()
+        self.leases.held_by(self.own_id).next().is_none()
     }
 
     fn fact(&mut self, now: Seconds, report: DutyReport) {
         match report {
             DutyReport::Destination(report) => {
                 self.trials.handle_report(now, report);
-                // Others may have found it out before, and the duty been given already.
+                // Others may have detected the outage earlier, and the duty may have been granted already.
                 if let trials::DestinationReport::Unavailable(destination) = report
                     && let Some(lease) = self.leases.get(TrialCoordinator::duty_id(destination))
                     && let Some(holder) = lease.holder
                 {
-                    self.trials.already_granted(now, destination, lease.epoch, holder == self.me);
+                    self.trials.already_granted(now, destination, lease.epoch, holder == self.own_id);
                 }
             }
             DutyReport::DiscoveryFailed => self.discovery_polling.discovery_failed(now),
@@ -424,10 +431,10 @@
     }
 
     fn decide(&mut self, now: Seconds, view: &View) -> Wants<DutyEvent> {
-        if view.members.0.contains_key(&self.me) {
+        if view.members.0.contains_key(&self.own_id) {
             self.maintain_log(now, view);
             self.trials.release_idle(now);
-            // Nobody hears of lists but those that can't reach discovery.
+            // Lists are announced only while some member cannot reach discovery.
             let is_requested =
                 self.leases.get(DutyId::DiscoveryPolling).is_some_and(|lease| !lease.requested_by.is_empty());
             if let Some(seq) = self.discovery_polling.take_update().filter(|_| is_requested) {
@@ -441,7 +448,7 @@
             }
         }
         let mut entries = self.pending_entries(now);
-        if !view.members.0.contains_key(&self.me) {
+        if !view.members.0.contains_key(&self.own_id) {
             entries.clear();
         }
         let grants = self.granter.decide_grants(now, &self.leases, view.members);
@@ -500,7 +507,7 @@
         }
     }
 
-    /// Member 1 of two.
+    /// Member 1 of a fleet of two.
     struct TestMember {
         duties: Duties,
         members: Members,
@@ -531,7 +538,7 @@
             (actions.propose.iter().map(decode).collect(), actions.news)
         }
 
-        /// Its term runs until `now` and three seconds.
+        /// Extends the lease term to three seconds from `now`.
         fn renew_term(&mut self, now: Seconds) {
             let renewal = self.duties.question(now).unwrap();
             self.duties.confirmed(now, renewal, self.log_index);
@@ -593,7 +600,7 @@
         let keepalive =
             Entry::Update { duty: DutyId::DiscoveryPolling, epoch: 1, update: HolderUpdate::List(0) };
         assert!(member.decide(1.2).0.contains(&keepalive));
-        // It answers, with nothing new.
+        // Discovery answers, with no change.
         member.duties.fact(2.0, DutyReport::ListReceived(4));
         let withdraw = Entry::Withdraw { duty: DutyId::DiscoveryPolling, member: 1 };
         assert!(member.decide(2.0).0.contains(&withdraw));
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -1,4 +1,4 @@
-//! The leader's side: who gets what, and from when on it is free to be given.
+//! The leader's side: which member is granted a duty, and when an expired lease may be granted again.
 
 use crate::lease_table::{DutyId, Entry, LeaseTable};
 use crate::{Id, SafetyRules, Seconds};
@@ -7,30 +7,31 @@
 use rendezvous_hash::{IdNode, RendezvousNodes};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A member that lost duties by its own lapses so often ...
+/// A member whose leases expired this many times ...
 const MAX_EXPIRATIONS: usize = 3;
-/// ... in this time gets none for as long, in seconds.
-const EXPIRATION_WINDOW: Seconds = 60.0;
-/// What was proposed and not agreed by then, in terms, is proposed anew.
-const RETRY_TERMS: f64 = 0.25;
+/// ... within this time is granted nothing until the window has passed, in seconds.
+const EXPIRATION_WINDOW_SECONDS: Seconds = 60.0;
+/// A grant that has not been applied after this share of a lease term is proposed again.
+const RETRY_TERM_SHARE: f64 = 0.25;
 
-/// What a leader knows of members' terms, in memory alone: the next leader knows nothing of it and waits.
+/// What the leader knows about members' lease terms. It is kept in memory only: the next leader starts without it and
+/// waits.
 #[derive(Clone, Debug)]
 pub struct LeaseGranter {
     term: Seconds,
     guard: Seconds,
     rules: SafetyRules,
-    /// Since when this member leads, where it does.
+    /// Since when this member has been the leader; `None` if it is not.
     leading_since: Option<Seconds>,
     last_renewals: BTreeMap<Id, Seconds>,
-    /// Members that stop: they get nothing until then.
-    released_until: BTreeMap<Id, Seconds>,
+    /// Members that released a duty recently, and until when they are granted nothing.
+    excluded_until: BTreeMap<Id, Seconds>,
     expirations: BTreeMap<Id, VecDeque<Seconds>>,
     pending_grants: BTreeMap<DutyId, (u64, Seconds)>,
 }
 
 impl LeaseGranter {
-    /// One that does not lead.
+    /// A granter on a member that is not the leader.
     pub fn new(term: Seconds, max_clock_error: f64, rules: SafetyRules) -> LeaseGranter {
         let guard = guard(term, if rules.guard_covers_drift { max_clock_error } else { 0.0 });
         LeaseGranter {
@@ -39,31 +40,31 @@
             rules,
             leading_since: None,
             last_renewals: BTreeMap::new(),
-            released_until: BTreeMap::new(),
+            excluded_until: BTreeMap::new(),
             expirations: BTreeMap::new(),
             pending_grants: BTreeMap::new(),
         }
     }
 
-    /// It leads from now on, or no more. `now` was read after the votes had been cast.
+    /// This member has become the leader or has stopped being it. `now` was read after the votes were cast.
     pub fn set_leading(&mut self, now: Seconds, leading: bool) {
         self.leading_since = leading.then_some(now);
         self.last_renewals.clear();
-        self.released_until.clear();
+        self.excluded_until.clear();
         self.pending_grants.clear();
     }
 
-    /// A member's question has come. `now` was read after that.
+    /// A member's renewal request has arrived. `now` was read after its arrival.
     pub fn renewal_received(&mut self, now: Seconds, member: Id) {
         self.last_renewals.insert(member, now);
     }
 
-    /// A member gave up a duty by its word: it stops, or has no use for it.
+    /// A member released a duty: it is shutting down, or cannot use the duty at present.
     pub fn duty_released(&mut self, now: Seconds, member: Id) {
-        self.released_until.insert(member, now + self.term);
+        self.excluded_until.insert(member, now + self.term);
     }
 
-    /// Whether a term that a member may have has surely passed on its own clock.
+    /// Whether any lease term that the member may have has certainly expired on its own clock.
     pub fn has_expired(&self, now: Seconds, member: Id) -> bool {
         let Some(leading_since) = self.leading_since else { return false };
         let last_renewal = self.last_renewals.get(&member).copied();
@@ -75,22 +76,22 @@
         now >= start + self.guard
     }
 
-    /// Whether a member may be given something.
+    /// Whether a member may be granted a duty.
     fn is_eligible(&self, now: Seconds, member: Id) -> bool {
         let is_reachable = self.last_renewals.get(&member).is_some_and(|at| now < at + self.term);
-        let released_recently = self.released_until.get(&member).is_some_and(|until| now < *until);
+        let released_recently = self.excluded_until.get(&member).is_some_and(|until| now < *until);
         is_reachable && !released_recently && !self.is_flapping(now, member)
     }
 
-    /// Whether it lost duties by its own lapses too often.
+    /// Whether a member's leases have expired too often in the recent past.
     pub fn is_flapping(&self, now: Seconds, member: Id) -> bool {
         let Some(expirations) = self.expirations.get(&member) else { return false };
-        let recent_count = expirations.iter().filter(|at| now < **at + EXPIRATION_WINDOW).count();
+        let recent_count = expirations.iter().filter(|at| now < **at + EXPIRATION_WINDOW_SECONDS).count();
         recent_count >= MAX_EXPIRATIONS
     }
 
-    /// What is due: each duty whose holder has surely lapsed, or that nobody holds, goes to one that is there and has use
-    /// for it. What is held stays where it is.
+    /// The grants that are due. A duty without a holder, or with one whose term has certainly expired, is granted to
+    /// an eligible member that can use it. Held leases are not moved.
     pub fn decide_grants(&mut self, now: Seconds, table: &LeaseTable, members: &Members) -> Vec<Entry> {
         if self.leading_since.is_none() {
             return Vec::new();
@@ -102,7 +103,7 @@
             if !is_free {
                 continue;
             }
-            let retry_before = now - RETRY_TERMS * self.term;
+            let retry_before = now - RETRY_TERM_SHARE * self.term;
             if self.pending_grants.get(&duty_id).is_some_and(|(decided_epoch, proposed_at)| {
                 *decided_epoch == lease.epoch && *proposed_at > retry_before
             }) {
@@ -134,7 +135,8 @@
     }
 }
 
-/// One of these, by the highest random weight: duties are spread evenly, and few move as members come and go.
+/// Selects a member by rendezvous hashing: duties are spread evenly, and few change their holder when members come
+/// and go.
 fn select_holder(duty: DutyId, candidates: Vec<Id>) -> Option<Id> {
     let mut nodes = RendezvousNodes::default();
     for id in candidates {
@@ -148,13 +150,13 @@
     use super::*;
     use fawnspoke_cluster::members::Change;
 
-    fn members(ids: &[Id]) -> Members {
+    fn members_with(ids: &[Id]) -> Members {
         let mut members = Members::default();
         ids.iter().for_each(|id| members.apply(&Change::Join { id: *id, name: format!("n{id}") }));
         members
     }
 
-    fn table(entries: &[Entry]) -> LeaseTable {
+    fn table_after(entries: &[Entry]) -> LeaseTable {
         let mut table = LeaseTable::default();
         for entry in entries {
             table.apply(entry, SafetyRules::default());
@@ -166,8 +168,9 @@
 
     #[test]
     fn an_expired_lease_is_regranted_only_after_the_guard() {
-        let (members, mut granter) = (members(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
-        let table = table(&[
+        let (members, mut granter) =
+            (members_with(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+        let table = table_after(&[
             Entry::Request { duty: MAINTENANCE, member: 1 },
             Entry::Grant { duty: MAINTENANCE, expected_epoch: 0, holder: Some(1) },
         ]);
@@ -180,36 +183,36 @@
             assert!(granter.decide_grants(now, &table, &members).is_empty(), "{now}");
         }
         granter.renewal_received(104.2, 2);
-        let give = Entry::Grant { duty: MAINTENANCE, expected_epoch: 1, holder: Some(2) };
-        assert_eq!(granter.decide_grants(104.2, &table, &members), [give]);
-        // It is proposed once, and again where nothing came of it.
+        let regrant = Entry::Grant { duty: MAINTENANCE, expected_epoch: 1, holder: Some(2) };
+        assert_eq!(granter.decide_grants(104.2, &table, &members), [regrant]);
+        // It is proposed once, and again only if it was not applied.
         assert!(granter.decide_grants(104.3, &table, &members).is_empty());
-        assert_eq!(granter.decide_grants(105.1, &table, &members), [give]);
+        assert_eq!(granter.decide_grants(105.1, &table, &members), [regrant]);
     }
 
     #[test]
     fn a_new_leader_waits_for_terms_granted_before_it_led() {
         let (members, table) = (
-            members(&[1, 2]),
-            table(&[
+            members_with(&[1, 2]),
+            table_after(&[
                 Entry::Request { duty: MAINTENANCE, member: 1 },
                 Entry::Grant { duty: MAINTENANCE, expected_epoch: 0, holder: Some(1) },
             ]),
         );
-        let grant_times = |rules: SafetyRules| {
+        let grants_at_once = |rules: SafetyRules| {
             let mut granter = LeaseGranter::new(3.0, 0.02, rules);
             granter.set_leading(100.0, true);
             granter.renewal_received(100.1, 2);
             !granter.decide_grants(100.2, &table, &members).is_empty()
         };
-        assert!(!grant_times(SafetyRules::default()));
-        assert!(grant_times(SafetyRules { new_leader_waits: false, ..SafetyRules::default() }));
+        assert!(!grants_at_once(SafetyRules::default()));
+        assert!(grants_at_once(SafetyRules { new_leader_waits: false, ..SafetyRules::default() }));
     }
 
     #[test]
     fn leases_are_spread_and_stay_with_their_holders() {
         let (members, mut granter) =
-            (members(&[1, 2, 3, 4]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+            (members_with(&[1, 2, 3, 4]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
         granter.set_leading(0.0, true);
         let mut table = LeaseTable::default();
         for number in 0..200 {
@@ -225,20 +228,21 @@
         let counts: Vec<usize> = (1..=4).map(|id| table.held_by(id).count()).collect();
         assert_eq!(counts.iter().sum::<usize>(), 200);
         assert!(counts[..3].iter().all(|count| (40..95).contains(count)) && counts[3] == 0, "{counts:?}");
-        // One that returns takes nothing back at once.
+        // A member that comes back is given no lease held by another.
         [1, 2, 3, 4].iter().for_each(|id| granter.renewal_received(2.0, *id));
         assert!(granter.decide_grants(2.0, &table, &members).is_empty());
     }
 
     #[test]
     fn a_flapping_member_gets_nothing_for_a_while() {
-        let (members, mut granter) = (members(&[1]), LeaseGranter::new(1.0, 0.0, SafetyRules::default()));
+        let (members, mut granter) =
+            (members_with(&[1]), LeaseGranter::new(1.0, 0.0, SafetyRules::default()));
         granter.set_leading(0.0, true);
-        let mut table = table(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
+        let mut table = table_after(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
         let mut grant_times = Vec::new();
         for tick in 0..2000 {
             let now = f64::from(tick) * 0.1;
-            // There for 2 s of each 4.
+            // The member is reachable for 2 s of each 4 s.
             if tick % 40 < 20 {
                 granter.renewal_received(now, 1);
             }
@@ -255,9 +259,10 @@
 
     #[test]
     fn a_released_lease_does_not_return_to_the_same_member_at_once() {
-        let (members, mut granter) = (members(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
+        let (members, mut granter) =
+            (members_with(&[1, 2]), LeaseGranter::new(3.0, 0.02, SafetyRules::default()));
         granter.set_leading(0.0, true);
-        let table = table(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
+        let table = table_after(&[Entry::Request { duty: MAINTENANCE, member: 1 }]);
         granter.renewal_received(1.0, 1);
         granter.duty_released(1.0, 1);
         assert!(granter.decide_grants(1.1, &table, &members).is_empty());
--- a/crates/duty/src/lease_table.rs
+++ b/crates/duty/src/lease_table.rs
@@ -1,25 +1,28 @@
-//! Who holds what, as agreed in the log.
+//! The replicated table of leases: which member holds which duty.
+//!
+//! Every member applies the same entries in the same order. Each change of holder gets a new epoch, larger than all
+//! epochs before it over all duties, so that an entry decided on outdated state is recognised and ignored.
 
 use crate::{Id, SafetyRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Duties at most; one more is not agreed, and each dispatcher does it alone.
+/// Limit on duties in the table. A request for one more is ignored, and every dispatcher does that work on its own.
 pub const MAX_DUTIES: usize = 512;
 
-/// Members of whom it is agreed that they have use for one duty. More hold back all the same; they get it once others do not
-/// want it any more. All of them go into each snapshot.
+/// Limit on recorded requesters of one duty, as all of them are part of each snapshot. Further members still defer to
+/// the holder, and are recorded once others withdraw.
 pub const MAX_REQUESTERS: usize = 64;
 
-/// What there is to hold.
+/// Identifies a duty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum DutyId {
-    /// Looks after the log: has it cut, and writes a round so often.
+    /// Maintains the log: has it compacted, and publishes a numbered round at a fixed interval.
     LogMaintenance,
-    /// Asks discovery while that does not answer.
+    /// Polls the discovery service while that does not answer.
     DiscoveryPolling,
-    /// Tries a destination that is out.
+    /// Sends trial calls to an unavailable destination.
     Trials(u32),
 }
 
@@ -33,111 +36,114 @@
     }
 }
 
-/// What a holder tells all members, under its epoch.
+/// What a holder publishes to all members under its epoch. The variant names appear in log lines and in the status
+/// output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum HolderUpdate {
-    /// It tried, and the place is out yet.
+    /// A trial failed: the destination is still unavailable.
     Out,
-    /// The place has served a call.
+    /// The destination has served a call.
     Served,
-    /// Discovery has told a list of this sequence.
+    /// Discovery has delivered the list with this sequence number; 0 if the holder is still polling.
     List(u64),
-    /// The keeper's round of this number.
+    /// Number of a log maintenance round.
     Round(u64),
-    /// The log is to be cut here.
+    /// The log is to be compacted up to this entry.
     Cut,
 }
 
-/// One entry of the log.
+/// One entry of the replicated log. Serialised by position, so the order of variants and fields is part of the
+/// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A member has use for a duty.
+    /// A member could use a duty, and requests it.
     Request {
-        /// Which.
+        /// The requested duty.
         duty: DutyId,
-        /// Who.
+        /// The requesting member.
         member: Id,
     },
-    /// A member has no use for it any more.
+    /// A member withdraws its request.
     Withdraw {
-        /// Which.
+        /// The requested duty.
         duty: DutyId,
-        /// Who.
+        /// The member that had requested it.
         member: Id,
     },
-    /// The granter gives it, taking it off the holder under an epoch.
+    /// The leader grants a duty to a member, or revokes it.
     Grant {
-        /// Which.
+        /// The granted duty.
         duty: DutyId,
-        /// The duty's epoch when that was decided; another one means that it was decided on what is no longer so.
+        /// The duty's epoch when the leader decided. If it has changed since, the grant is outdated and ignored.
         expected_epoch: u64,
-        /// To whom; to nobody where nobody may hold it.
+        /// The new holder; `None` if no member is eligible.
         holder: Option<Id>,
     },
-    /// The holder gives it up and acts no more.
+    /// The holder releases a duty and no longer acts on it.
     Release {
-        /// Which.
+        /// The released duty.
         duty: DutyId,
-        /// Its epoch.
+        /// The epoch under which it was held.
         epoch: u64,
     },
-    /// The holder tells something.
+    /// The holder publishes an update.
     Update {
-        /// Which.
+        /// The duty that the update is about.
         duty: DutyId,
-        /// Its epoch.
+        /// The epoch under which the holder acted.
         epoch: u64,
-        /// What.
+        /// The content of the update.
         update: HolderUpdate,
     },
 }
 
-/// One duty.
+/// State of one duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Lease {
-    /// Grows with each change of holder, over all duties together.
+    /// Epoch of the last grant or release; 0 if it was never granted. Epochs grow over all duties together.
     pub epoch: u64,
-    /// Who holds it, where somebody does.
+    /// The current holder, if any.
     pub holder: Option<Id>,
-    /// Who has use for it.
+    /// Members that have requested the duty.
     pub requested_by: BTreeSet<Id>,
-    /// The last word under this epoch.
+    /// The last update published under this epoch.
     pub latest_update: Option<HolderUpdate>,
 }
 
-/// What an entry did.
+/// The effect of applying one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// Nothing that anybody has to act on.
+    /// No effect that anybody has to react to.
     NoChange,
-    /// The duty has this holder from here on, under a new epoch.
+    /// The duty has a new holder, or none, under this new epoch.
     Granted(DutyId, u64, Option<Id>),
-    /// Its holder has told something.
+    /// The holder published an update under this epoch.
     Updated(DutyId, u64, HolderUpdate),
-    /// A word under this epoch came too late; the duty's own is the second one.
+    /// An update was rejected: the epoch it carried, and the duty's current epoch (the table's last one if the duty has
+    /// no lease).
     Rejected(DutyId, u64, u64),
 }
 
-/// All duties.
+/// The leases on all duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// The last epoch that was given.
+    /// The epoch of the last change of holder, over all duties.
     last_epoch: u64,
     leases: BTreeMap<DutyId, Lease>,
 }
 
 impl LeaseTable {
-    /// A duty, where there is one of this name.
+    /// The lease on a duty, if the table has one.
     pub fn get(&self, duty: DutyId) -> Option<&Lease> {
         self.leases.get(&duty)
     }
 
-    /// All of them.
+    /// All leases.
     pub fn iter(&self) -> impl Iterator<Item = (DutyId, &Lease)> {
         self.leases.iter().map(|(duty, lease)| (*duty, lease))
     }
 
-    /// Those that a member holds, as agreed, with their epochs.
+    /// The duties that the table assigns to a member, with their epochs.
     pub fn held_by(&self, member: Id) -> impl Iterator<Item = (DutyId, u64)> {
         self.leases
             .iter()
@@ -145,7 +151,8 @@
             .map(|(duty, lease)| (*duty, lease.epoch))
     }
 
-    /// A member that is no more wants nothing. What it held is given on once its term has passed.
+    /// Drops the requests of a member that was removed. What it holds is granted to others once its lease term has
+    /// expired.
     pub fn remove_member(&mut self, member: Id) {
         self.leases.values_mut().for_each(|lease| {
             lease.requested_by.remove(&member);
@@ -153,7 +160,8 @@
         self.remove_unused();
     }
 
-    /// A duty that nobody wants is gone; a holder that is there has to give it up first, by its word or its term.
+    /// Removes leases that nobody has requested and nobody holds. A holder has to release its lease, or let it
+    /// expire, before the lease can be removed.
     fn remove_unused(&mut self) {
         self.leases.retain(|_, lease| lease.holder.is_some() || !lease.requested_by.is_empty());
     }
@@ -167,7 +175,7 @@
         result
     }
 
-    /// Carries out one entry, on every member alike.
+    /// Applies one log entry, with the same effect on every member.
     pub fn apply(&mut self, entry: &Entry, rules: SafetyRules) -> ApplyResult {
         match *entry {
             Entry::Request { duty, member } => {
@@ -274,7 +282,7 @@
             table.get(DutyId::LogMaintenance).map(|lease| lease.requested_by.len()),
             Some(MAX_REQUESTERS)
         );
-        // Members that are gone leave nothing behind.
+        // Removed members leave nothing behind.
         (1..=MAX_REQUESTERS as Id).for_each(|member| table.remove_member(member));
         assert!(table.get(DutyId::LogMaintenance).is_none());
         for number in 0..MAX_DUTIES as u32 + 5 {
--- a/crates/duty/src/lease_term.rs
+++ b/crates/duty/src/lease_term.rs
@@ -1,31 +1,34 @@
-//! How long a member may act on what it holds, on its own clock.
+//! How long a member may act on its leases, measured on its own clock.
+//!
+//! The member sends renewal requests to the leader. Each confirmation extends the term, counted from the time at
+//! which the request was sent.
 
 use crate::{SafetyRules, Seconds};
 use std::collections::VecDeque;
 
-/// Questions in one term.
+/// Renewal requests sent per lease term.
 const RENEWALS_PER_TERM: f64 = 6.0;
-/// Questions that wait for their answers; an older one's answer is of no more use.
+/// Limit on unanswered renewal requests, and on confirmations that wait for the log; older ones are dropped.
 const MAX_PENDING_RENEWALS: usize = 16;
 
-/// A member's own term.
+/// A member's own lease term.
 #[derive(Clone, Debug)]
 pub struct LeaseTerm {
     duration: Seconds,
     rules: SafetyRules,
-    /// Questions, and when each was about to be sent.
+    /// Unanswered renewal requests: number, and the time read before sending.
     pending: VecDeque<(u64, Seconds)>,
     last_number: u64,
     next_renewal_at: Seconds,
-    /// Answers, by the place of the log that has to be applied before each counts, and until when it lets act.
+    /// Confirmations that wait for the log: the index that has to be applied first, and the expiry that they grant.
     confirmations: Vec<(u64, Seconds)>,
     applied_index: u64,
     expires_at: Seconds,
 }
 
 impl LeaseTerm {
-    /// None yet. `first`: the number of the first question; another than that of an earlier life, as an answer to that one's
-    /// may come yet.
+    /// A term that has not started. `first_number` has to differ from the numbers of the previous process, whose
+    /// confirmations may still arrive.
     pub fn new(duration: Seconds, rules: SafetyRules, first_number: u64) -> LeaseTerm {
         let pending = VecDeque::new();
         LeaseTerm {
@@ -40,7 +43,8 @@
         }
     }
 
-    /// The next question, where one is due. `now` was read before it is sent: the term counts from here.
+    /// The number of the next renewal request, if one is due. `now` was read before the request is sent: the term
+    /// counts from it.
     pub fn next_renewal(&mut self, now: Seconds) -> Option<u64> {
         if now < self.next_renewal_at {
             return None;
@@ -54,7 +58,7 @@
         Some(self.last_number)
     }
 
-    /// An answer to a question: what was given away before lies in the log up to `after`.
+    /// The leader confirmed a renewal request. All grants made until then are in the log up to `required_index`.
     pub fn renewal_confirmed(&mut self, now: Seconds, renewal: u64, required_index: u64) {
         let Some(position) = self.pending.iter().position(|(number, _)| *number == renewal) else { return };
         let (_, sent_at) = self.pending[position];
@@ -65,7 +69,7 @@
         self.update_expiry();
     }
 
-    /// The log is applied up to here.
+    /// The log has been applied up to this index.
     pub fn log_applied(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
         self.update_expiry();
@@ -79,23 +83,23 @@
             }
             *required_index > applied_index
         });
-        // Those that are over before they count never will.
+        // Drops the oldest confirmations: they would have expired before they take effect.
         let excess = self.confirmations.len().saturating_sub(MAX_PENDING_RENEWALS);
         self.confirmations.drain(..excess);
     }
 
-    /// Until when the member may act on what it holds. It looks right before each act: what it found a line earlier may
-    /// be old.
+    /// The end of the member's term. Callers check it immediately before each action; an earlier result may be
+    /// outdated.
     pub fn expires_at(&self) -> Seconds {
         self.expires_at
     }
 
-    /// Whether it may act now.
+    /// Whether the member may act now.
     pub fn is_valid(&self, now: Seconds) -> bool {
         now < self.expires_at
     }
 
-    /// Nothing more is done under this term; the next one counts from a question after this.
+    /// Ends the term at once. Only a renewal request sent after this starts a new one.
     pub fn revoke(&mut self) {
         self.pending.clear();
         self.confirmations.clear();
@@ -108,7 +112,7 @@
     use super::*;
 
     #[test]
-    fn a_term_starts_before_the_request_and_needs_the_log_applied() {
+    fn a_term_counts_from_its_request_and_needs_the_log_applied() {
         let mut term = LeaseTerm::new(3.0, SafetyRules::default(), 10);
         let renewal = term.next_renewal(100.0).unwrap();
         assert_eq!(term.next_renewal(100.1), None);
@@ -118,14 +122,14 @@
         assert!(!term.is_valid(102.0));
         term.log_applied(5);
         assert!(term.is_valid(102.9) && !term.is_valid(103.0));
-        // A second answer to the same question gives nothing, nor one to a question that was never asked.
+        // A second confirmation of the same request has no effect, nor one of a request that was never sent.
         term.renewal_confirmed(102.5, renewal, 0);
         term.renewal_confirmed(102.5, 999, 0);
         assert_eq!(term.expires_at(), 103.0);
-        // An answer to an older question than the last one answered is of no use.
-        let (first_number, second) = (term.next_renewal(104.0).unwrap(), term.next_renewal(105.0).unwrap());
+        // A confirmation of an older request than the last confirmed one has no effect.
+        let (first, second) = (term.next_renewal(104.0).unwrap(), term.next_renewal(105.0).unwrap());
         term.renewal_confirmed(105.1, second, 5);
-        term.renewal_confirmed(105.2, first_number, 5);
+        term.renewal_confirmed(105.2, first, 5);
         assert_eq!(term.expires_at(), 108.0);
         term.revoke();
         assert!(!term.is_valid(105.3));
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,24 +1,24 @@
-//! What one dispatcher of a fleet holds at a time.
+//! Leases on work that exactly one dispatcher of a fleet does at a time.
 //!
-//! - [`roll`]: who holds what, as agreed: epochs that only grow, words under them;
-//! - [`term`]: how long a member may act on it, on its own clock;
-//! - [`granter`]: the leader's side: who gets what, and when it is free to be given;
-//! - [`tries`]: tries at a place that is out, by the one that holds them;
-//! - [`lists`]: who asks discovery while it does not answer;
-//! - [`duties`]: all of them as a part that stands on the agreed log.
+//! - [`lease_table`]: the replicated table of leases: who holds which duty, under an epoch that only grows;
+//! - [`lease_term`]: for how long a member may act on its leases, measured on its own clock;
+//! - [`granter`]: the leader's side: who is granted a duty, and when an expired lease may be granted again;
+//! - [`trials`]: trials at an unavailable destination, sent by the one member that holds the duty;
+//! - [`discovery_polling`]: which member polls the discovery service while that does not answer;
+//! - [`duties`]: the state machine over the replicated log that combines all of these.
 //!
-//! Free of I/O: times are arguments.
+//! The crate does no I/O; the current time is an argument.
 //!
-//! # Promises
+//! # Guarantees
 //!
-//! Taken for granted: a majority of voters whose folders keep what was synced; clocks that run at 1 ± `clock_rate` of true
-//! time, asleep too.
+//! They assume a majority of voters whose state directories keep what was synced, and clocks whose rate stays within
+//! 1 ± `clock_rate` of true time, also while the machine is suspended.
 //!
-//! 1. At no instant do two members look at their clocks and find that they hold the same duty.
-//! 2. A word under an epoch that is not its duty's is refused by every member alike.
-//! 3. A duty whose holder is gone has another holder after [`bound`] at most, once a leader stands and somebody lives
-//!    that may hold it.
-//! 4. Without a majority no bound outlasts `hold_most`: each dispatcher does what it does alone.
+//! 1. At no instant do two members that read their own clocks both find that they hold the same duty.
+//! 2. Every member rejects an update that carries another epoch than the duty's current one.
+//! 3. A duty whose holder has failed is granted to another member within [`max_failover_time`], once there is a
+//!    leader and an eligible member.
+//! 4. Without a majority no restriction lasts longer than `hold_most`; after that each dispatcher works on its own.
 
 pub mod discovery_polling;
 pub mod duties;
@@ -30,18 +30,18 @@
 use fawnspoke_cluster::file::File;
 pub use fawnspoke_cluster::{Id, Seconds};
 
-/// Which of the rules hold. All of them, but in tests that show that checkers find a break.
+/// Which safety rules are in force. Tests switch one off to show that the checkers detect the resulting violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyRules {
-    /// A term counts from before the question was sent, not from when its answer came.
+    /// A lease term starts when its renewal request is sent, not when the confirmation arrives.
     pub term_from_request: bool,
-    /// A new leader waits as if each term had just begun.
+    /// A new leader waits as if every term had just started.
     pub new_leader_waits: bool,
-    /// Words under an older epoch are refused.
+    /// Updates that carry an outdated epoch are rejected.
     pub reject_stale_epochs: bool,
-    /// The guard covers clocks that run differently.
+    /// The guard interval covers the difference between clock rates.
     pub guard_covers_drift: bool,
-    /// A confirmation counts once the log up to it is applied.
+    /// A confirmation takes effect only once the log it depends on has been applied.
     pub apply_before_use: bool,
 }
 
@@ -58,7 +58,7 @@
 }
 
 impl SafetyRules {
-    /// All rules but the one of this name; nothing where there is none.
+    /// All rules except the named one; `None` for an unknown name.
     pub fn without(name: &str) -> Option<SafetyRules> {
         let mut rules = SafetyRules::default();
         match name {
@@ -73,9 +73,11 @@
     }
 }
 
-/// The longest time from the end of a holder to its duty being another's, on any clock within the rate, in seconds: the
-/// guard and two beats until the granter looks; before that an election, where the holder led too. Taken for granted: a
-/// majority, an election in which votes are not split, and round trips that are short beside a beat.
+/// Upper bound, in seconds, from the failure of a holder until its duty is granted to another member, on any clock
+/// within the permitted rate: the guard plus two heartbeats until the granter runs; if the holder was also the leader
+/// (`led`), an election comes first.
+///
+/// Assumes a majority, an election without split votes, and round trips that are short compared to a heartbeat.
 pub fn max_failover_time(file: &File, led: bool) -> Seconds {
     let election = if led { file.election_most() } else { 0.0 };
     (file.guard() + election + 2.0 * file.beat()) / (1.0 - file.clock_rate)
@@ -86,11 +88,14 @@
     use super::*;
 
     #[test]
-    fn the_bound_has_an_election_in_it_where_the_holder_led() {
+    fn failover_time_includes_an_election_if_the_holder_led() {
         let text = "cluster = \"m\"\nterm_s = 1.0\nmember \"a\" {\n at = \"127.0.0.1:1\"\n voter = true\n}\n";
         let file = File::parse(text, "a").unwrap();
-        let (alone, led) = (max_failover_time(&file, false), max_failover_time(&file, true));
-        // (1.02 / 0.98 + 0.1) / 0.98, and a term more for twenty beats.
-        assert!((alone - 1.1641).abs() < 0.001 && (led - alone - 1.0 / 0.98).abs() < 0.001, "{alone} {led}");
+        let (follower, led) = (max_failover_time(&file, false), max_failover_time(&file, true));
+        // (1.02 / 0.98 + 0.1) / 0.98; with an election, one more term of twenty heartbeats.
+        assert!(
+            (follower - 1.1641).abs() < 0.001 && (led - follower - 1.0 / 0.98).abs() < 0.001,
+            "{follower} {led}"
+        );
     }
 }
--- a/crates/duty/src/trials.rs
+++ b/crates/duty/src/trials.rs
@@ -1,71 +1,73 @@
-//! TrialCoordinator at a destination that is state: who holds them tries, the others hold theirs back until its word.
+//! Trials at an unavailable destination: the holder of the duty sends them, the other members defer theirs until it
+//! reports recovery.
 //!
-//! What a member hears of others only takes state or holds back, for `hold_most` at a time. A bound that nobody renews ends
-//! by itself, and the member tries as it would alone.
+//! Information from other members can only defer trials, for at most the maximum deferral at a time. A deferral that
+//! is not renewed ends by itself, and the member sends its own trials as it would without a fleet.
 
 use crate::Seconds;
 use crate::lease_table::{DutyId, HolderUpdate};
 use std::collections::BTreeMap;
 
-/// Destinations out at once that are looked after; each beyond is tried as alone.
+/// Limit on coordinated destinations. Each further one is tried by every member independently.
 const MAX_UNAVAILABLE: usize = 256;
-/// A holder says at most so often that it tried, as a part of the time for which others hold back.
+/// Minimum interval between failure updates of a holder, as a share of the maximum deferral.
 const UPDATE_INTERVAL_SHARE: f64 = 0.3;
-/// A holder that has nothing to try with for so long gives the duty up, in the same unit.
+/// Idle time after which a holder without messages to send releases the duty, as a share of the maximum deferral.
 const IDLE_SHARE: f64 = 0.6;
 
-/// What the dispatcher tells of a destination.
+/// Reports from the dispatcher about a destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DestinationReport {
-    /// The decisions take it for state, or for just back and cold.
+    /// The dispatcher considers it unavailable, or recovering and still cold.
     Unavailable(u32),
-    /// They take it for in service.
+    /// The dispatcher considers it in service.
     InService(u32),
-    /// A call there has failed.
+    /// A call to it has failed.
     CallFailed(u32),
-    /// A call there was served.
+    /// It has served a call.
     CallServed(u32),
 }
 
-/// What binds the dispatcher's tries.
+/// What the dispatcher may send to an unavailable destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TrialPermission {
-    /// Another member tries; nothing goes there until then, or until the bound is lifted.
+    /// Another member sends the trials. Nothing may be sent until this time, or until the permission changes.
     Deferred(Seconds),
-    /// This member tries, under this epoch, until its term ends.
+    /// This member sends the trials, under this epoch, until the end of its lease term.
     Holder(u64, Seconds),
-    /// It tries as alone.
+    /// The member sends its own trials, as without a fleet.
     Unrestricted,
 }
 
-/// One destination that is out for this member.
+/// State of one destination that this member considers unavailable.
 #[derive(Clone, Copy, Debug)]
 struct UnavailableDestination {
-    /// The duty as the log gave it last: its epoch, and whether it is this member's.
+    /// The last grant in the log: the epoch, and whether this member is the holder.
     grant: Option<(u64, bool)>,
-    /// When the last sign of life of another holder came: its being given the duty, or its word.
+    /// When another holder last gave a sign of life: when it was granted the duty, or published an update.
     holder_seen_at: Seconds,
-    /// The holder's word was that it is served again.
+    /// Whether the holder has reported that the destination serves calls again.
     recovered: bool,
-    /// As a holder: the last word, and when it was told; when something was last tried.
+    /// For the holder: the last published update and its time.
     last_update: Option<(HolderUpdate, Seconds)>,
+    /// When a call to the destination last ended, or the duty was granted.
     last_trial: Seconds,
     permission: TrialPermission,
 }
 
-/// All destinations that are out for this member.
+/// The destinations that this member considers unavailable, and who sends trials to them.
 #[derive(Clone, Debug)]
 pub struct TrialCoordinator {
     max_deferral: Seconds,
     unavailable: BTreeMap<u32, UnavailableDestination>,
     updates: Vec<(u32, u64, HolderUpdate)>,
-    /// Destinations of which a duty is wanted or not, that the log has not been told of.
+    /// Changed requests that have not been proposed yet: destination, and whether the duty is needed.
     request_changes: Vec<(u32, bool)>,
     releases: Vec<(u32, u64)>,
 }
 
 impl TrialCoordinator {
-    /// None is state.
+    /// No destination is unavailable.
     pub fn new(max_deferral: Seconds) -> TrialCoordinator {
         TrialCoordinator {
             max_deferral,
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The dispatcher tells something.
+    /// Handles a report from the dispatcher.
     pub fn handle_report(&mut self, now: Seconds, report: DestinationReport) {
         match report {
             DestinationReport::Unavailable(destination) => {
@@ -126,14 +128,14 @@
         }
     }
 
-    /// The duty was somebody's before this member found the place state.
+    /// The duty had been granted before this member detected the outage.
     pub fn already_granted(&mut self, now: Seconds, destination: u32, epoch: u64, is_own: bool) {
         if self.unavailable.get(&destination).is_some_and(|state| state.grant.is_none()) {
             self.granted(now, destination, epoch, Some(is_own));
         }
     }
 
-    /// The log has given the duty to somebody.
+    /// The log has granted the duty: to this member (`Some(true)`), to another one, or to nobody.
     pub fn granted(&mut self, now: Seconds, destination: u32, epoch: u64, holder: Option<bool>) {
         let Some(state) = self.unavailable.get_mut(&destination) else { return };
         state.grant = holder.map(|is_own| (epoch, is_own));
@@ -141,25 +143,26 @@
             (now, false, None, now);
     }
 
-    /// The holder has told something.
+    /// The holder has published an update.
     pub fn holder_update(&mut self, now: Seconds, destination: u32, update: HolderUpdate) {
         let Some(state) = self.unavailable.get_mut(&destination) else { return };
         (state.holder_seen_at, state.recovered) = (now, update == HolderUpdate::Served);
     }
 
-    /// Whether this member has use for the duty now.
+    /// Whether this member needs the duty now.
     pub fn is_needed(&self, destination: u32) -> bool {
         self.unavailable.contains_key(&destination)
     }
 
-    /// The bounds that have changed. `until`: the end of the member's own term.
+    /// The permissions that have changed. `term_end`: the end of this member's lease term.
     pub fn changed_permissions(&mut self, now: Seconds, term_end: Seconds) -> Vec<(u32, TrialPermission)> {
         let mut changed = Vec::new();
         for (destination, state) in &mut self.unavailable {
             let deferred_until = state.holder_seen_at + self.max_deferral;
             let permission = match state.grant {
                 Some((epoch, true)) if now < term_end => TrialPermission::Holder(epoch, term_end),
-                // Its term has ended: somebody else may be trying. For as long as others would hold back, it does.
+                // This member's term has ended, so another one may be sending trials. It defers for as long as others
+                // would.
                 Some((_, true)) if term_end.is_finite() && now < term_end + self.max_deferral => {
                     TrialPermission::Deferred(term_end + self.max_deferral)
                 }
@@ -175,7 +178,7 @@
         changed
     }
 
-    /// A holder with nothing to try with gives the duty up, and wants it no more until it has.
+    /// Releases the duty of destinations to which this member has sent no trial for a while, and withdraws its requests.
     pub fn release_idle(&mut self, now: Seconds) {
         for (destination, state) in &mut self.unavailable {
             if let Some((epoch, true)) = state.grant
@@ -189,7 +192,7 @@
         }
     }
 
-    /// What the log is to be told: duties wanted or not, words, duties given up.
+    /// Takes what is to be proposed: changed requests, updates, and releases.
     #[allow(clippy::type_complexity)]
     pub fn take_pending(&mut self) -> (Vec<(u32, bool)>, Vec<(u32, u64, HolderUpdate)>, Vec<(u32, u64)>) {
         (
@@ -199,7 +202,7 @@
         )
     }
 
-    /// The name of a destination's duty.
+    /// The duty of a destination's trials.
     pub fn duty_id(destination: u32) -> DutyId {
         DutyId::Trials(destination)
     }
@@ -223,12 +226,12 @@
         assert_eq!(trials.changed_permissions(12.0, FOREVER), [(7, TrialPermission::Deferred(15.0))]);
         trials.holder_update(13.0, 7, HolderUpdate::Served);
         assert_eq!(trials.changed_permissions(13.0, FOREVER), [(7, TrialPermission::Unrestricted)]);
-        // It fails again: the next word holds back again.
+        // It fails again: the next update defers trials again.
         trials.holder_update(14.0, 7, HolderUpdate::Out);
         assert_eq!(trials.changed_permissions(14.0, FOREVER), [(7, TrialPermission::Deferred(17.0))]);
-        // No word came: the bound ends by itself.
+        // No update came: the deferral ends by itself.
         assert_eq!(trials.changed_permissions(17.0, FOREVER), [(7, TrialPermission::Unrestricted)]);
-        // What another holder does is no affair of one for which the place is well.
+        // A member that considers the destination in service ignores other holders' updates.
         trials.handle_report(18.0, DestinationReport::InService(7));
         trials.holder_update(18.1, 7, HolderUpdate::Out);
         assert!(trials.changed_permissions(18.1, FOREVER).is_empty());
