--- a/crates/duty/tests/simulation/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Members without sockets: a network, clocks, stalls, kills and folders by one seed, over the core and the library that
-//! run in a dispatcher.
+//! A fleet simulated without sockets, files or real clocks. One seed determines the network, clock rates, pauses,
+//! kills and disk faults. The members run the same `Core` and `Duties` as a dispatcher does.
 
 use fawnspoke_cluster::core::{Core, founded};
 use fawnspoke_cluster::file::File;
@@ -14,30 +14,31 @@
 use std::sync::Arc;
 
 /// Length of a step, in seconds of true time.
-const STEP: Seconds = 0.01;
-/// Frames on their way at once, per world.
-const FRAMES_MOST: usize = 20_000;
+const STEP_SECONDS: Seconds = 0.01;
+/// Limit on frames in flight; further frames are lost.
+const MAX_FRAMES_IN_FLIGHT: usize = 20_000;
 
-/// What a play is made of.
+/// Configuration of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct SimulationConfig {
     pub voters: usize,
     pub observers: usize,
-    /// Seconds with faults, and seconds after them.
-    pub faults_s: Seconds,
-    pub quiet_s: Seconds,
+    /// Duration of the phase with faults, and of the phase without faults after it.
+    pub fault_seconds: Seconds,
+    pub quiet_seconds: Seconds,
     pub rules: SafetyRules,
-    /// The clocks' rates lie within this of true; the file says 2%.
-    pub rate: f64,
-    /// Folders lose their last record at a kill, and nobody looks at them.
-    pub forgetful: bool,
+    /// Maximum deviation of the clock rates from true time; the fleet file says 2 %.
+    pub max_clock_error: f64,
+    /// Each kill loses the last synced record, and the other members do not check for outdated stores.
+    pub loses_records: bool,
 }
 
-pub const SOUND: Plan = Plan {
+/// A correct program: all safety rules, clocks within the permitted rate, and no records lost.
+pub const BASELINE: SimulationConfig = SimulationConfig {
     voters: 3,
     observers: 1,
-    faults_s: 8.0,
-    quiet_s: 5.0,
+    fault_seconds: 8.0,
+    quiet_seconds: 5.0,
     rules: SafetyRules {
         term_from_request: true,
         new_leader_waits: true,
@@ -45,73 +46,75 @@
         guard_covers_drift: true,
         apply_before_use: true,
     },
-    rate: 0.02,
-    forgetful: false,
+    max_clock_error: 0.02,
+    loses_records: false,
 };
 
-struct Member {
+/// A member, with its disk and its clock.
+struct SimulatedMember {
     name: String,
     identity: Identity,
     disk: Vec<Record>,
-    /// So many of its records outlast the machine.
-    synced: usize,
+    /// Number of records that survive a crash of the machine.
+    synced_records: usize,
     core: Option<Core<Duties>>,
-    rate: f64,
-    offset: Seconds,
-    /// Stopped, or dead, until then.
-    stopped_until: Seconds,
-    full_until: Seconds,
-    questions: u64,
+    clock_rate: f64,
+    clock_offset: Seconds,
+    /// Paused or not running until then.
+    paused_until: Seconds,
+    disk_full_until: Seconds,
+    last_renewal: u64,
 }
 
-/// One frame on its way.
-struct Flight {
-    at: Seconds,
+/// A frame in flight.
+struct FrameInFlight {
+    arrives_at: Seconds,
     from: Id,
     to: Id,
     frame: Frame,
 }
 
-/// What somebody outside would write down, with true time.
+/// What an outside observer records, with true time.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
-    /// A member looked at its clock and acted under an epoch.
-    Acted { at: Seconds, by: Id, name: DutyId, epoch: u64 },
-    /// A member begins, and learns the log anew.
-    Began { by: Id },
-    /// A member learnt from the log that a duty was given.
-    Given { by: Id, name: DutyId, epoch: u64, holder: Option<Id> },
-    /// A member learnt of a word that was agreed.
-    Told { at: Seconds, by: Id, name: DutyId, epoch: u64, word: HolderUpdate },
+pub enum Observation {
+    /// A member checked its clock and acted under an epoch.
+    Acted { at: Seconds, member: Id, duty: DutyId, epoch: u64 },
+    /// A member has started, and replays the log.
+    Started { member: Id },
+    /// A member applied a grant from the log.
+    Granted { member: Id, duty: DutyId, epoch: u64, holder: Option<Id> },
+    /// A member applied an update from the log.
+    Updated { at: Seconds, member: Id, duty: DutyId, epoch: u64, update: HolderUpdate },
 }
 
-pub struct World {
-    plan: Plan,
+/// A running simulation of one fleet.
+pub struct Simulation {
+    config: SimulationConfig,
     file: Arc<File>,
     rng: fastrand::Rng,
     now: Seconds,
-    members: Vec<Member>,
-    flights: Vec<Flight>,
-    linked: BTreeMap<(usize, usize), bool>,
-    /// A directed pair is cut until then.
-    cuts: BTreeMap<(usize, usize), Seconds>,
-    pub seen: Vec<Seen>,
-    /// Two that held one duty at one instant, by their own looks.
-    pub both: Vec<String>,
-    pub terms: u64,
-    /// Folders that others took for older copies.
-    pub reborn: u64,
+    members: Vec<SimulatedMember>,
+    frames_in_flight: Vec<FrameInFlight>,
+    connected: BTreeMap<(usize, usize), bool>,
+    /// Until when each directed connection is blocked.
+    blocked_until: BTreeMap<(usize, usize), Seconds>,
+    pub observations: Vec<Observation>,
+    /// Instants at which two members found that they held the same duty.
+    pub double_holders: Vec<String>,
+    pub last_raft_term: u64,
+    /// Number of stores that other members rejected as outdated copies.
+    pub rejected_stores: u64,
 }
 
-impl World {
-    pub fn new(plan: Plan, seed: u64) -> World {
+impl Simulation {
+    pub fn new(config: SimulationConfig, seed: u64) -> Simulation {
         let mut text =
             "cluster = \"sim\"\nterm_s = 1.0\nclock_rate = 0.02\ncut_after = 20\nkeeper_round_s = 0.1\n\
                         hold_most_s = 1.0\n"
                 .to_string();
-        let count = plan.voters + plan.observers;
+        let count = config.voters + config.observers;
         for i in 0..count {
-            let voter = i < plan.voters;
+            let voter = i < config.voters;
             let _ =
                 writeln!(text, "member \"m{i}\" {{\n at = \"127.0.0.1:{}\"\n voter = {voter}\n}}", 7000 + i);
         }
@@ -120,150 +123,162 @@
         let mut members = Vec::new();
         for i in 0..count {
             let identity = Identity { name: format!("m{i}"), birth: rng.u64(1..), life: 0 };
-            let rate =
-                1.0 + plan.rate * (2.0 * rng.f64() - 1.0).signum() * if rng.bool() { 1.0 } else { rng.f64() };
-            members.push(Member {
+            let clock_rate = 1.0
+                + config.max_clock_error
+                    * (2.0 * rng.f64() - 1.0).signum()
+                    * if rng.bool() { 1.0 } else { rng.f64() };
+            members.push(SimulatedMember {
                 name: format!("m{i}"),
                 identity,
                 disk: Vec::new(),
-                synced: 0,
+                synced_records: 0,
                 core: None,
-                rate,
-                offset: 1000.0 * rng.f64(),
-                stopped_until: 0.0,
-                full_until: 0.0,
-                questions: 0,
+                clock_rate,
+                clock_offset: 1000.0 * rng.f64(),
+                paused_until: 0.0,
+                disk_full_until: 0.0,
+                last_renewal: 0,
             });
         }
-        let mut world = World {
-            plan,
+        let mut simulation = Simulation {
+            config,
             file,
             rng,
             now: 0.0,
             members,
-            flights: Vec::new(),
-            linked: BTreeMap::new(),
-            cuts: BTreeMap::new(),
-            seen: Vec::new(),
-            both: Vec::new(),
-            terms: 0,
-            reborn: 0,
+            frames_in_flight: Vec::new(),
+            connected: BTreeMap::new(),
+            blocked_until: BTreeMap::new(),
+            observations: Vec::new(),
+            double_holders: Vec::new(),
+            last_raft_term: 0,
+            rejected_stores: 0,
         };
-        let part = world.part(0, 0);
-        world.members[0].disk = founded(&world.members[0].identity, &part).unwrap();
-        world.members[0].synced = world.members[0].disk.len();
-        world
+        let duties = simulation.create_duties(0, 0);
+        simulation.members[0].disk = founded(&simulation.members[0].identity, &duties).unwrap();
+        simulation.members[0].synced_records = simulation.members[0].disk.len();
+        simulation
     }
 
-    fn part(&self, _: usize, first: u64) -> Duties {
-        let settings = Settings { rules: self.plan.rules, ..Settings::from_file(&self.file) };
-        Duties::new(settings, first)
+    fn create_duties(&self, _: usize, first_renewal: u64) -> Duties {
+        let settings = Settings { rules: self.config.rules, ..Settings::from_file(&self.file) };
+        Duties::new(settings, first_renewal)
     }
 
     fn clock(&self, i: usize) -> Seconds {
-        self.members[i].offset + self.now * self.members[i].rate
+        self.members[i].clock_offset + self.now * self.members[i].clock_rate
     }
 
-    fn start(&mut self, i: usize) {
+    fn start_member(&mut self, i: usize) {
         self.members[i].identity.life += 1;
-        self.members[i].questions += 1 << 20;
-        let part = self.part(i, self.members[i].questions);
+        self.members[i].last_renewal += 1 << 20;
+        let duties = self.create_duties(i, self.members[i].last_renewal);
         let (now, seed, file) = (self.clock(i), self.rng.u64(..), self.file.clone());
         let member = &self.members[i];
-        let core = Core::new(file, member.identity.clone(), member.disk.clone(), part, now, seed).unwrap();
+        let core = Core::new(file, member.identity.clone(), member.disk.clone(), duties, now, seed).unwrap();
         self.members[i].core = Some(core);
-        self.seen.push(Seen::Began { by: self.members[i].identity.birth });
-        // What the place is for it, it has forgotten; it finds out.
+        self.observations.push(Observation::Started { member: self.members[i].identity.birth });
+        // A restarted member doesn't remember that the destination is unavailable; it usually detects it again.
         if self.rng.f64() < 0.7 {
-            self.tell(i, trials::DestinationReport::Unavailable(7));
+            self.report(i, trials::DestinationReport::Unavailable(7));
         }
     }
 
-    fn tell(&mut self, i: usize, fact: trials::DestinationReport) {
+    fn report(&mut self, i: usize, report: trials::DestinationReport) {
         let now = self.clock(i);
         if let Some(core) = &mut self.members[i].core {
-            core.fact(now, DutyReport::Destination(fact));
+            core.fact(now, DutyReport::Destination(report));
         }
-        self.work(i);
+        self.process_output(i);
     }
 
-    fn up(&self, i: usize) -> bool {
-        self.members[i].core.is_some() && self.now >= self.members[i].stopped_until
+    fn is_running(&self, i: usize) -> bool {
+        self.members[i].core.is_some() && self.now >= self.members[i].paused_until
     }
 
-    fn index(&self, id: Id) -> Option<usize> {
+    fn index_of(&self, id: Id) -> Option<usize> {
         self.members.iter().position(|member| member.identity.birth == id)
     }
 
-    /// Syncs, applies, sends.
-    fn work(&mut self, i: usize) {
+    /// Writes and syncs records, applies entries, and sends frames.
+    fn process_output(&mut self, i: usize) {
         let now = self.clock(i);
-        let full = self.now < self.members[i].full_until;
+        let disk_full = self.now < self.members[i].disk_full_until;
         let member = &mut self.members[i];
         let Some(core) = &mut member.core else { return };
         while let Some((records, sync)) = core.poll() {
-            if full && !records.is_empty() {
-                // Nothing was written: it begins anew from what is there.
-                self.die(i, 0.3);
+            if disk_full && !records.is_empty() {
+                // Nothing was written: the member restarts from what is on its disk.
+                self.kill(i, 0.3);
                 return;
             }
             member.disk.extend(records);
             if sync {
-                member.synced = member.disk.len();
+                member.synced_records = member.disk.len();
             }
             core.synced(now).unwrap();
         }
         if let Some(records) = core.take_cut(false).unwrap() {
-            (member.disk, member.synced) = (records, 0);
-            member.synced = member.disk.len();
+            (member.disk, member.synced_records) = (records, 0);
+            member.synced_records = member.disk.len();
         }
-        let (me, name) = (member.identity.birth, i);
-        let (frames, news) = (core.take_frames(), core.take_news());
-        for news in news {
-            let seen = match news {
-                DutyEvent::Acted(name, epoch, _) => Seen::Acted { at: self.now, by: me, name, epoch },
-                DutyEvent::Granted(name, epoch, holder) => Seen::Given { by: me, name, epoch, holder },
-                DutyEvent::Updated(name, epoch, word) => {
-                    Seen::Told { at: self.now, by: me, name, epoch, word }
+        let (own_id, own_index) = (member.identity.birth, i);
+        let (frames, events) = (core.take_frames(), core.take_news());
+        for event in events {
+            let observation = match event {
+                DutyEvent::Acted(duty, epoch, _) => {
+                    Observation::Acted { at: self.now, member: own_id, duty, epoch }
+                }
+                DutyEvent::Granted(duty, epoch, holder) => {
+                    Observation::Granted { member: own_id, duty, epoch, holder }
+                }
+                DutyEvent::Updated(duty, epoch, update) => {
+                    Observation::Updated { at: self.now, member: own_id, duty, epoch, update }
                 }
                 _ => continue,
             };
-            self.seen.push(seen);
+            self.observations.push(observation);
         }
         for (to, frame) in frames {
-            // The first frame of a link finds room in its queue.
-            let lost = self.rng.f64() < 0.01 && frame != Frame::Looked;
-            let slow = self.rng.f64() < 0.02;
-            let delay = if slow { self.rng.f64() * 3.0 } else { 0.001 + 0.02 * self.rng.f64() };
-            let linked = self.index(to).is_some_and(|j| self.linked.get(&pair(name, j)) == Some(&true));
-            if !lost && linked && self.flights.len() < FRAMES_MOST {
-                self.flights.push(Flight { at: self.now + delay, from: me, to, frame });
+            // The first frame of a connection always fits into its queue.
+            let is_lost = self.rng.f64() < 0.01 && frame != Frame::Looked;
+            let is_slow = self.rng.f64() < 0.02;
+            let delay = if is_slow { self.rng.f64() * 3.0 } else { 0.001 + 0.02 * self.rng.f64() };
+            let is_connected =
+                self.index_of(to).is_some_and(|j| self.connected.get(&pair(own_index, j)) == Some(&true));
+            if !is_lost && is_connected && self.frames_in_flight.len() < MAX_FRAMES_IN_FLIGHT {
+                self.frames_in_flight.push(FrameInFlight {
+                    arrives_at: self.now + delay,
+                    from: own_id,
+                    to,
+                    frame,
+                });
             }
         }
     }
 
-    fn die(&mut self, i: usize, for_s: Seconds) {
+    fn kill(&mut self, i: usize, downtime: Seconds) {
         let (rng, member) = (&mut self.rng, &mut self.members[i]);
-        // What was not synced may be gone.
+        // Records that were not synced may be lost.
         if rng.bool() {
-            member.disk.truncate(member.synced);
+            member.disk.truncate(member.synced_records);
         }
-        if self.plan.forgetful && member.disk.len() > 1 {
+        if self.config.loses_records && member.disk.len() > 1 {
             member.disk.pop();
-            member.synced = member.synced.min(member.disk.len());
+            member.synced_records = member.synced_records.min(member.disk.len());
         }
         member.core = None;
-        member.stopped_until = self.now + for_s;
-        self.unlink(i);
+        member.paused_until = self.now + downtime;
+        self.disconnect(i);
     }
 
-    fn unlink(&mut self, i: usize) {
+    fn disconnect(&mut self, i: usize) {
         for j in 0..self.members.len() {
-            if i != j && self.linked.insert(pair(i, j), false) == Some(true) {
-                for (one, other) in [(i, j), (j, i)] {
-                    let id = self.members[other].identity.birth;
-                    if let Some(core) = &mut self.members[one].core {
-                        core.unlink(id);
+            if i != j && self.connected.insert(pair(i, j), false) == Some(true) {
+                for (member, peer) in [(i, j), (j, i)] {
+                    let peer_id = self.members[peer].identity.birth;
+                    if let Some(core) = &mut self.members[member].core {
+                        core.unlink(peer_id);
                     }
                 }
             }
@@ -273,83 +288,88 @@
     fn connect(&mut self) {
         for i in 0..self.members.len() {
             for j in i + 1..self.members.len() {
-                let cut = |a, b| self.cuts.get(&(a, b)).is_some_and(|until| self.now < *until);
-                let (one, other) = (&self.members[i].name, &self.members[j].name);
-                let calls = (self.file.calls(one, other), self.file.calls(other, one));
-                let there = self.up(i) && self.up(j) && !cut(i, j) && !cut(j, i);
-                if !there || calls == (false, false) || self.linked.get(&pair(i, j)) == Some(&true) {
+                let is_blocked =
+                    |a, b| self.blocked_until.get(&(a, b)).is_some_and(|until| self.now < *until);
+                let (name, peer_name) = (&self.members[i].name, &self.members[j].name);
+                let may_call = (self.file.calls(name, peer_name), self.file.calls(peer_name, name));
+                let can_connect =
+                    self.is_running(i) && self.is_running(j) && !is_blocked(i, j) && !is_blocked(j, i);
+                if !can_connect
+                    || may_call == (false, false)
+                    || self.connected.get(&pair(i, j)) == Some(&true)
+                {
                     continue;
                 }
-                let mut well = true;
-                for (one, other) in [(i, j), (j, i)] {
+                let mut accepted = true;
+                for (receiver, sender) in [(i, j), (j, i)] {
                     let (identity, mark) = {
-                        let core = self.members[other].core.as_ref().unwrap();
+                        let core = self.members[sender].core.as_ref().unwrap();
                         (core.identity().clone(), core.mark())
                     };
-                    let core = self.members[one].core.as_mut().unwrap();
-                    let linked = core.link(identity.birth, &identity.name, identity.life, &mark);
-                    if linked.is_err() && !self.plan.forgetful {
-                        // It is told so, and born anew.
-                        well = false;
-                        self.reborn += 1;
-                        self.die(other, 0.2);
+                    let core = self.members[receiver].core.as_mut().unwrap();
+                    let result = core.link(identity.birth, &identity.name, identity.life, &mark);
+                    if result.is_err() && !self.config.loses_records {
+                        // The member is told so, and restarts with a new identity.
+                        accepted = false;
+                        self.rejected_stores += 1;
+                        self.kill(sender, 0.2);
                         let birth = self.rng.u64(1..);
-                        let member = &mut self.members[other];
-                        (member.disk, member.synced) = (Vec::new(), 0);
+                        let member = &mut self.members[sender];
+                        (member.disk, member.synced_records) = (Vec::new(), 0);
                         member.identity = Identity { name: member.name.clone(), birth, life: 0 };
                         break;
                     }
                 }
-                if well {
-                    self.linked.insert(pair(i, j), true);
-                    // Who is called learns by what it hears.
-                    let (caller, called) = if calls.0 { (i, j) } else { (j, i) };
+                if accepted {
+                    self.connected.insert(pair(i, j), true);
+                    // The called member learns of the connection from the first frame.
+                    let (caller, called) = if may_call.0 { (i, j) } else { (j, i) };
                     let id = self.members[called].identity.birth;
                     self.members[caller].core.as_mut().unwrap().called(id);
-                    self.work(caller);
+                    self.process_output(caller);
                 }
             }
         }
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let (count, now) = (self.members.len(), self.now);
         let i = self.rng.usize(0..count);
         match self.rng.u8(0..9) {
             0 => {
-                let for_s = 0.05 + 2.0 * self.rng.f64();
-                self.die(i, for_s);
+                let downtime = 0.05 + 2.0 * self.rng.f64();
+                self.kill(i, downtime);
             }
-            1 | 2 => self.members[i].stopped_until = now + 0.1 + 3.0 * self.rng.f64(),
+            1 | 2 => self.members[i].paused_until = now + 0.1 + 3.0 * self.rng.f64(),
             3 => {
                 let until = now + 0.2 + 3.0 * self.rng.f64();
                 (0..count).filter(|j| *j != i).for_each(|j| {
-                    self.cuts.insert((i, j), until);
-                    self.cuts.insert((j, i), until);
+                    self.blocked_until.insert((i, j), until);
+                    self.blocked_until.insert((j, i), until);
                 });
             }
             4 => {
                 let until = now + 0.2 + 3.0 * self.rng.f64();
-                self.cuts.extend((0..count).filter(|j| *j != i).map(|j| ((i, j), until)));
+                self.blocked_until.extend((0..count).filter(|j| *j != i).map(|j| ((i, j), until)));
             }
             5 => {
                 let j = self.rng.usize(0..count);
-                self.cuts.insert((i, j), now + 0.2 + 3.0 * self.rng.f64());
+                self.blocked_until.insert((i, j), now + 0.2 + 3.0 * self.rng.f64());
             }
-            6 => self.members[i].full_until = now + 0.5 * self.rng.f64(),
+            6 => self.members[i].disk_full_until = now + 0.5 * self.rng.f64(),
             7 => {
-                // The leader, of all members.
+                // Pauses the leader in particular.
                 if let Some(i) = (0..count).find(|i| self.members[*i].core.as_ref().is_some_and(Core::leads))
                 {
-                    self.members[i].stopped_until = now + 0.1 + 3.0 * self.rng.f64();
+                    self.members[i].paused_until = now + 0.1 + 3.0 * self.rng.f64();
                 }
             }
             _ => {
-                // All at once, and started in another order.
+                // Kills all members; they restart in another order.
                 if self.rng.f64() < 0.3 {
                     for i in 0..count {
-                        let for_s = 0.05 + 0.5 * self.rng.f64();
-                        self.die(i, for_s);
+                        let downtime = 0.05 + 0.5 * self.rng.f64();
+                        self.kill(i, downtime);
                     }
                 }
             }
@@ -357,37 +377,38 @@
     }
 
     fn step(&mut self) {
-        self.now += STEP;
+        self.now += STEP_SECONDS;
         for i in 0..self.members.len() {
-            if self.members[i].core.is_none() && self.now >= self.members[i].stopped_until {
-                self.start(i);
+            if self.members[i].core.is_none() && self.now >= self.members[i].paused_until {
+                self.start_member(i);
             }
         }
         self.connect();
-        let (due, later) =
-            std::mem::take(&mut self.flights).into_iter().partition(|flight| flight.at <= self.now);
-        self.flights = later;
-        let mut due: Vec<Flight> = due;
+        let (due, later) = std::mem::take(&mut self.frames_in_flight)
+            .into_iter()
+            .partition(|frame| frame.arrives_at <= self.now);
+        self.frames_in_flight = later;
+        let mut due: Vec<FrameInFlight> = due;
         self.rng.shuffle(&mut due);
-        for flight in due {
-            let (Some(from), Some(to)) = (self.index(flight.from), self.index(flight.to)) else { continue };
-            let cut = self.cuts.get(&(from, to)).is_some_and(|until| self.now < *until);
-            if cut || self.linked.get(&pair(from, to)) != Some(&true) {
+        for sent in due {
+            let (Some(from), Some(to)) = (self.index_of(sent.from), self.index_of(sent.to)) else { continue };
+            let is_blocked = self.blocked_until.get(&(from, to)).is_some_and(|until| self.now < *until);
+            if is_blocked || self.connected.get(&pair(from, to)) != Some(&true) {
                 continue;
             }
-            if self.now < self.members[to].stopped_until {
-                // It waits in the socket.
-                self.flights.push(flight);
+            if self.now < self.members[to].paused_until {
+                // The frame waits in the socket buffer.
+                self.frames_in_flight.push(sent);
                 continue;
             }
             let now = self.clock(to);
             if let Some(core) = &mut self.members[to].core {
-                core.hear(now, flight.from, flight.frame);
+                core.hear(now, sent.from, sent.frame);
             }
-            self.work(to);
+            self.process_output(to);
         }
         for i in 0..self.members.len() {
-            if !self.up(i) {
+            if !self.is_running(i) {
                 continue;
             }
             let now = self.clock(i);
@@ -395,102 +416,104 @@
                 if let Some(core) = &mut self.members[i].core {
                     core.tick(now);
                 }
-                self.work(i);
+                self.process_output(i);
                 match self.rng.u16(0..400) {
-                    0..40 => self.tell(i, trials::DestinationReport::CallFailed(7)),
-                    40..42 => self.tell(i, trials::DestinationReport::CallServed(7)),
-                    42 => self.tell(i, trials::DestinationReport::InService(7)),
-                    43..46 => self.tell(i, trials::DestinationReport::Unavailable(7)),
+                    0..40 => self.report(i, trials::DestinationReport::CallFailed(7)),
+                    40..42 => self.report(i, trials::DestinationReport::CallServed(7)),
+                    42 => self.report(i, trials::DestinationReport::InService(7)),
+                    43..46 => self.report(i, trials::DestinationReport::Unavailable(7)),
                     _ => {}
                 }
             }
         }
-        self.look();
+        self.check_exclusive_holders();
     }
 
-    /// Whoever would look at its clock now, stopped or not: how many would find that they hold a duty?
-    fn look(&mut self) {
-        for name in [DutyId::LogMaintenance, DutyId::Trials(7)] {
-            let holds = |i: &usize| {
+    /// Every running or paused member checks its clock now: does more than one find that it holds a duty?
+    fn check_exclusive_holders(&mut self) {
+        for duty in [DutyId::LogMaintenance, DutyId::Trials(7)] {
+            let held_epoch = |i: &usize| {
                 let core = self.members[*i].core.as_ref()?;
-                core.part().active_epoch(self.clock(*i), name)
+                core.part().active_epoch(self.clock(*i), duty)
             };
             let holders: Vec<_> =
-                (0..self.members.len()).filter_map(|i| holds(&i).map(|epoch| (i, epoch))).collect();
+                (0..self.members.len()).filter_map(|i| held_epoch(&i).map(|epoch| (i, epoch))).collect();
             if holders.len() > 1 {
-                self.both.push(format!("{:.2} {name}: {holders:?}", self.now));
+                self.double_holders.push(format!("{:.2} {duty}: {holders:?}", self.now));
             }
         }
     }
 
-    /// Plays it all. After the faults a holder of the keeper's duty has to stand.
-    pub fn play(&mut self) {
-        let settled = 2.0;
-        let mut next = settled;
-        while self.now < settled + self.plan.faults_s {
+    /// Runs the whole schedule: a start-up phase, a phase with faults, and a phase without.
+    pub fn run(&mut self) {
+        let startup_seconds = 2.0;
+        let mut next_fault_at = startup_seconds;
+        while self.now < startup_seconds + self.config.fault_seconds {
             self.step();
-            if self.now >= next {
-                self.fault();
-                next = self.now + 0.1 + 0.8 * self.rng.f64();
+            if self.now >= next_fault_at {
+                self.inject_fault();
+                next_fault_at = self.now + 0.1 + 0.8 * self.rng.f64();
             }
         }
-        self.cuts.clear();
+        self.blocked_until.clear();
         for member in &mut self.members {
-            member.full_until = 0.0;
-            member.stopped_until = member.stopped_until.min(self.now + 0.1);
+            member.disk_full_until = 0.0;
+            member.paused_until = member.paused_until.min(self.now + 0.1);
         }
-        let end = self.now + self.plan.quiet_s;
+        let end = self.now + self.config.quiet_seconds;
         while self.now < end {
             self.step();
         }
-        self.terms = self.members.iter().filter_map(|m| m.core.as_ref()).map(Core::term).max().unwrap_or(0);
+        self.last_raft_term =
+            self.members.iter().filter_map(|m| m.core.as_ref()).map(Core::term).max().unwrap_or(0);
     }
 
-    /// Plays without faults until something holds: after how many seconds; none where it does not within a limit.
-    pub fn until(&mut self, limit: Seconds, holds: impl Fn(&World) -> bool) -> Option<Seconds> {
-        let began = self.now;
-        while self.now < began + limit {
+    /// Runs without faults until the condition holds. Returns after how many seconds it did; `None` if not within the
+    /// limit.
+    pub fn run_until(&mut self, limit: Seconds, condition: impl Fn(&Simulation) -> bool) -> Option<Seconds> {
+        let start = self.now;
+        while self.now < start + limit {
             self.step();
-            if holds(self) {
-                return Some(self.now - began);
+            if condition(self) {
+                return Some(self.now - start);
             }
         }
         None
     }
 
-    /// The keeper's duty is held, and by one that is there.
-    pub fn kept(&self) -> bool {
+    /// Whether a running member holds the log maintenance duty.
+    pub fn log_is_maintained(&self) -> bool {
         (0..self.members.len()).any(|i| {
             let core = self.members[i].core.as_ref();
             core.is_some_and(|core| core.part().active_epoch(self.clock(i), DutyId::LogMaintenance).is_some())
         })
     }
 
-    /// All take part in the library's protocol.
-    pub fn all_speak(&self) -> bool {
+    /// Whether every member takes part in the consensus protocol.
+    pub fn all_participate(&self) -> bool {
         self.members.iter().all(|member| member.core.as_ref().is_some_and(Core::speaks))
     }
 
-    /// All members agree, and all are members.
-    pub fn whole(&self) -> Result<(), String> {
+    /// Whether all members have joined and are close to the same log index.
+    pub fn check_agreement(&self) -> Result<(), String> {
         let cores: Vec<_> = self.members.iter().filter_map(|m| m.core.as_ref()).collect();
-        let most = cores.iter().map(|core| core.applied()).max().unwrap_or(0);
+        let max_applied = cores.iter().map(|core| core.applied()).max().unwrap_or(0);
         for core in &cores {
             let name = &core.identity().name;
             if !core.members().0.contains_key(&core.identity().birth) {
-                return Err(format!("{name} is no member; {:?}", core.members()));
+                return Err(format!("{name} is not a member; {:?}", core.members()));
             }
-            if core.applied() + 50 < most {
-                return Err(format!("{name} is at {} of {most}", core.applied()));
+            if core.applied() + 50 < max_applied {
+                return Err(format!("{name} has applied {} of {max_applied}", core.applied()));
             }
         }
         Ok(())
     }
 }
 
-impl World {
-    /// How things are, for whoever looks into a failure.
-    pub fn state(&self) -> String {
+impl Simulation {
+    /// Describes the state of all members, for failure messages.
+    pub fn describe(&self) -> String {
         let mut text = String::new();
         for (i, member) in self.members.iter().enumerate() {
             let id = member.identity.birth;
@@ -498,17 +521,19 @@
             let _ = write!(text, "{} {id:016x} life {life} disk {disk} ", member.name);
             if let Some(core) = &member.core {
                 let (term, applied, speaks) = (core.term(), core.applied(), core.speaks());
-                let linked: Vec<_> = core.linked().values().collect();
-                let (members, led) = (&core.members().0, core.leader().map(|id| format!("{id:016x}")));
-                let _ =
-                    write!(text, "term {term} applied {applied} speaks {speaks} leader {led:?} {linked:?} ");
+                let connected: Vec<_> = core.linked().values().collect();
+                let (members, leader) = (&core.members().0, core.leader().map(|id| format!("{id:016x}")));
+                let _ = write!(
+                    text,
+                    "term {term} applied {applied} speaks {speaks} leader {leader:?} {connected:?} "
+                );
                 let members: Vec<_> = members
                     .iter()
                     .map(|(id, m)| format!("{id:016x}={}{}", m.name, if m.voter { "v" } else { "o" }))
                     .collect();
                 let _ = write!(
                     text,
-                    "{members:?} mark {:?} leads {} {} kept {:?}",
+                    "{members:?} mark {:?} leads {} {} log maintenance epoch {:?}",
                     core.mark(),
                     core.leads(),
                     core.show(self.clock(i))["part"],
