--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -9,9 +9,9 @@
 use crate::lease_table::{ApplyResult, DutyId, Entry, HolderUpdate, LeaseTable, MAX_REQUESTERS};
 use crate::lease_term::LeaseTerm;
 use crate::trials::{self, TrialCoordinator};
-use crate::{Id, SafetyRules, Seconds};
-use fawnspoke_cluster::file::File;
-use fawnspoke_cluster::part::{Part, View, Wants};
+use crate::{MemberId, SafetyRules, Seconds};
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::state_machine::{Decisions, MemberView, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A proposal that has not been applied after this share of a lease term is sent again.
@@ -43,7 +43,7 @@
     /// Discovery is to be polled now.
     PollDiscovery,
     /// To be logged: a duty was granted under this epoch, or lost its holder.
-    Granted(DutyId, u64, Option<Id>),
+    Granted(DutyId, u64, Option<MemberId>),
     /// To be logged: an update by the holder was agreed.
     Updated(DutyId, u64, HolderUpdate),
     /// To be logged: an update was rejected; its epoch, and the duty's current epoch.
@@ -71,7 +71,7 @@
 
 impl Settings {
     /// The settings from the operators' fleet file.
-    pub fn from_file(file: &File) -> Settings {
+    pub fn from_file(file: &FleetConfig) -> Settings {
         Settings {
             lease_term: file.term_s,
             max_clock_error: file.clock_rate,
@@ -86,7 +86,7 @@
 /// All duties of one member.
 pub struct Duties {
     settings: Settings,
-    own_id: Id,
+    own_id: MemberId,
     leases: LeaseTable,
     lease_term: LeaseTerm,
     granter: LeaseGranter,
@@ -159,7 +159,7 @@
         }
     }
 
-    fn maintain_log(&mut self, now: Seconds, view: &View) {
+    fn maintain_log(&mut self, now: Seconds, view: &MemberView) {
         if self.active_epoch(now, DutyId::LogMaintenance).is_none() {
             return;
         }
@@ -167,7 +167,7 @@
             self.next_round_at = now + self.settings.maintenance_interval;
             self.publish(now, DutyId::LogMaintenance, HolderUpdate::Round(self.completed_rounds + 1));
         }
-        if view.log >= self.settings.compaction_threshold && now >= self.next_compaction_at {
+        if view.log_length >= self.settings.compaction_threshold && now >= self.next_compaction_at {
             self.next_compaction_at = now + RETRY_TERM_SHARE * self.settings.lease_term;
             self.publish(now, DutyId::LogMaintenance, HolderUpdate::Cut);
         }
@@ -321,20 +321,20 @@
     }
 }
 
-impl Part for Duties {
-    type Fact = DutyReport;
-    type News = DutyEvent;
+impl StateMachine for Duties {
+    type Input = DutyReport;
+    type Update = DutyEvent;
 
-    fn begin(&mut self, own_id: Id) {
+    fn set_member_id(&mut self, own_id: MemberId) {
         self.own_id = own_id;
         self.events.push(DutyEvent::Started);
     }
 
-    fn proposable(&self, entry: &[u8]) -> bool {
+    fn accepts_proposal(&self, entry: &[u8]) -> bool {
         postcard::from_bytes::<Entry>(entry).is_ok_and(|entry| !matches!(entry, Entry::Grant { .. }))
     }
 
-    fn agreed(&mut self, now: Seconds, _index: u64, entry: &[u8]) {
+    fn apply_entry(&mut self, now: Seconds, _index: u64, entry: &[u8]) {
         let Ok(entry) = postcard::from_bytes::<Entry>(entry) else { return };
         if let Entry::Release { duty, epoch } = entry
             && let Some(lease) = self.leases.get(duty).filter(|lease| lease.epoch == epoch)
@@ -349,11 +349,11 @@
         self.handle_result(now, result);
     }
 
-    fn removed(&mut self, member: Id) {
+    fn member_removed(&mut self, member: MemberId) {
         self.leases.remove_member(member);
     }
 
-    fn applied(&mut self, index: u64) {
+    fn applied_up_to(&mut self, index: u64) {
         self.lease_term.log_applied(index);
     }
 
@@ -382,38 +382,38 @@
         true
     }
 
-    fn question(&mut self, now: Seconds) -> Option<u64> {
+    fn confirmation_request(&mut self, now: Seconds) -> Option<u64> {
         if self.leaving { None } else { self.lease_term.next_renewal(now) }
     }
 
-    fn confirmed(&mut self, now: Seconds, renewal: u64, required_index: u64) {
+    fn leadership_confirmed(&mut self, now: Seconds, renewal: u64, required_index: u64) {
         self.lease_term.renewal_confirmed(now, renewal, required_index);
     }
 
-    fn leads(&mut self, now: Seconds, leading: bool) {
+    fn leadership_changed(&mut self, now: Seconds, leading: bool) {
         self.granter.set_leading(now, leading);
     }
 
-    fn heard(&mut self, now: Seconds, from: Id) {
+    fn request_received(&mut self, now: Seconds, from: MemberId) {
         self.granter.renewal_received(now, from);
     }
 
-    fn lapsed(&self, now: Seconds, member: Id) -> bool {
+    fn lease_expired(&self, now: Seconds, member: MemberId) -> bool {
         self.granter.has_expired(now, member)
     }
 
-    fn leave(&mut self, _now: Seconds) {
+    fn release_all(&mut self, _now: Seconds) {
         self.leaving = true;
         let held: Vec<_> = self.leases.held_by(self.own_id).collect();
         self.proposals.extend(held.into_iter().map(|(duty, epoch)| (Proposal::Release(duty, epoch), None)));
         self.stop_acting_on_released();
     }
 
-    fn left(&self) -> bool {
+    fn has_released_all(&self) -> bool {
         self.leases.held_by(self.own_id).next().is_none()
     }
 
-    fn fact(&mut self, now: Seconds, report: DutyReport) {
+    fn handle_input(&mut self, now: Seconds, report: DutyReport) {
         match report {
             DutyReport::Destination(report) => {
                 self.trials.handle_report(now, report);
@@ -430,7 +430,7 @@
         }
     }
 
-    fn decide(&mut self, now: Seconds, view: &View) -> Wants<DutyEvent> {
+    fn decide(&mut self, now: Seconds, view: &MemberView) -> Decisions<DutyEvent> {
         if view.members.0.contains_key(&self.own_id) {
             self.maintain_log(now, view);
             self.trials.release_idle(now);
@@ -462,16 +462,16 @@
         if self.discovery_polling.take_poll_request(now) {
             self.events.push(DutyEvent::PollDiscovery);
         }
-        Wants {
-            propose: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            grants: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            news: std::mem::take(&mut self.events),
-            cut: std::mem::take(&mut self.compaction_due),
+        Decisions {
+            proposals: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
+            leader_proposals: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
+            updates: std::mem::take(&mut self.events),
+            compact: std::mem::take(&mut self.compaction_due),
         }
     }
 
-    fn show(&self, now: Seconds, view: &View) -> serde_json::Value {
-        let member_name = |id: Id| view.members.0.get(&id).map(|member| member.name.clone());
+    fn status(&self, now: Seconds, view: &MemberView) -> serde_json::Value {
+        let member_name = |id: MemberId| view.members.0.get(&id).map(|member| member.name.clone());
         let duties: Vec<_> = self
             .leases
             .iter()
@@ -521,27 +521,28 @@
                 members.apply(&Change::Join { id, name: format!("n{id}") });
             }
             let mut duties = Duties::new(settings(), 0);
-            duties.begin(1);
+            duties.set_member_id(1);
             TestMember { duties, members, log_index: 0 }
         }
 
         fn apply_agreed(&mut self, now: Seconds, entry: Entry) {
             self.log_index += 1;
-            self.duties.agreed(now, self.log_index, &postcard::to_stdvec(&entry).unwrap());
-            self.duties.applied(self.log_index);
+            self.duties.apply_entry(now, self.log_index, &postcard::to_stdvec(&entry).unwrap());
+            self.duties.applied_up_to(self.log_index);
         }
 
         fn decide(&mut self, now: Seconds) -> (Vec<Entry>, Vec<DutyEvent>) {
-            let view = View { me: 1, name: "n1", leader: Some(2), members: &self.members, log: 0 };
+            let view =
+                MemberView { id: 1, name: "n1", leader: Some(2), members: &self.members, log_length: 0 };
             let actions = self.duties.decide(now, &view);
             let decode = |entry: &Vec<u8>| postcard::from_bytes(entry).unwrap();
-            (actions.propose.iter().map(decode).collect(), actions.news)
+            (actions.proposals.iter().map(decode).collect(), actions.updates)
         }
 
         /// Extends the lease term to three seconds from `now`.
         fn renew_term(&mut self, now: Seconds) {
-            let renewal = self.duties.question(now).unwrap();
-            self.duties.confirmed(now, renewal, self.log_index);
+            let renewal = self.duties.confirmation_request(now).unwrap();
+            self.duties.leadership_confirmed(now, renewal, self.log_index);
         }
     }
 
@@ -550,14 +551,14 @@
     #[test]
     fn grants_cannot_be_proposed_by_other_members() {
         let duties = Duties::new(settings(), 0);
-        let proposable = |entry: Entry| duties.proposable(&postcard::to_stdvec(&entry).unwrap());
+        let proposable = |entry: Entry| duties.accepts_proposal(&postcard::to_stdvec(&entry).unwrap());
         assert!(
             proposable(Entry::Request { duty: TRIALS, member: 1 })
                 && proposable(Entry::Release { duty: TRIALS, epoch: 1 })
         );
         assert!(
             !proposable(Entry::Grant { duty: TRIALS, expected_epoch: 0, holder: Some(1) })
-                && !duties.proposable(b"\xff\xff")
+                && !duties.accepts_proposal(b"\xff\xff")
         );
     }
 
@@ -567,7 +568,7 @@
         member.apply_agreed(1.0, Entry::Request { duty: TRIALS, member: 2 });
         member.apply_agreed(1.0, Entry::Grant { duty: TRIALS, expected_epoch: 0, holder: Some(2) });
         member.decide(1.0);
-        member.duties.fact(2.0, DutyReport::Destination(trials::DestinationReport::Unavailable(7)));
+        member.duties.handle_input(2.0, DutyReport::Destination(trials::DestinationReport::Unavailable(7)));
         let (entries, events) = member.decide(2.0);
         assert!(entries.contains(&Entry::Request { duty: TRIALS, member: 1 }), "{entries:?}");
         assert!(
@@ -589,7 +590,7 @@
     fn a_working_discovery_causes_no_log_entries() {
         let mut member = TestMember::new();
         member.apply_agreed(1.0, Entry::Request { duty: DutyId::LogMaintenance, member: 1 });
-        member.duties.fact(1.0, DutyReport::DiscoveryFailed);
+        member.duties.handle_input(1.0, DutyReport::DiscoveryFailed);
         assert!(member.decide(1.0).0.contains(&Entry::Request { duty: DutyId::DiscoveryPolling, member: 1 }));
         member.apply_agreed(1.1, Entry::Request { duty: DutyId::DiscoveryPolling, member: 1 });
         member.apply_agreed(
@@ -601,14 +602,14 @@
             Entry::Update { duty: DutyId::DiscoveryPolling, epoch: 1, update: HolderUpdate::List(0) };
         assert!(member.decide(1.2).0.contains(&keepalive));
         // Discovery answers, with no change.
-        member.duties.fact(2.0, DutyReport::ListReceived(4));
+        member.duties.handle_input(2.0, DutyReport::ListReceived(4));
         let withdraw = Entry::Withdraw { duty: DutyId::DiscoveryPolling, member: 1 };
         assert!(member.decide(2.0).0.contains(&withdraw));
         member.apply_agreed(2.1, withdraw);
         for tick in 0..40 {
             let now = 2.5 + f64::from(tick);
             member.renew_term(now);
-            member.duties.fact(now, DutyReport::ListReceived(5 + tick as u64));
+            member.duties.handle_input(now, DutyReport::ListReceived(5 + tick as u64));
             assert_eq!(member.decide(now).0, []);
         }
     }
@@ -623,7 +624,7 @@
         );
         member.renew_term(1.1);
         assert_eq!(member.duties.active_epoch(1.2, DutyId::LogMaintenance), Some(1));
-        member.duties.leave(1.3);
+        member.duties.release_all(1.3);
         assert_eq!(member.duties.active_epoch(1.3, DutyId::LogMaintenance), None);
         assert!(member.decide(1.3).0.contains(&Entry::Release { duty: DutyId::LogMaintenance, epoch: 1 }));
     }
--- a/crates/duty/src/lease_table.rs
+++ b/crates/duty/src/lease_table.rs
@@ -3,7 +3,7 @@
 //! Every member applies the same entries in the same order. Each change of holder gets a new epoch, larger than all
 //! epochs before it over all duties, so that an entry decided on outdated state is recognised and ignored.
 
-use crate::{Id, SafetyRules};
+use crate::{MemberId, SafetyRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -61,14 +61,14 @@
         /// The requested duty.
         duty: DutyId,
         /// The requesting member.
-        member: Id,
+        member: MemberId,
     },
     /// A member withdraws its request.
     Withdraw {
         /// The requested duty.
         duty: DutyId,
         /// The member that had requested it.
-        member: Id,
+        member: MemberId,
     },
     /// The leader grants a duty to a member, or revokes it.
     Grant {
@@ -77,7 +77,7 @@
         /// The duty's epoch when the leader decided. If it has changed since, the grant is outdated and ignored.
         expected_epoch: u64,
         /// The new holder; `None` if no member is eligible.
-        holder: Option<Id>,
+        holder: Option<MemberId>,
     },
     /// The holder releases a duty and no longer acts on it.
     Release {
@@ -103,9 +103,9 @@
     /// Epoch of the last grant or release; 0 if it was never granted. Epochs grow over all duties together.
     pub epoch: u64,
     /// The current holder, if any.
-    pub holder: Option<Id>,
+    pub holder: Option<MemberId>,
     /// Members that have requested the duty.
-    pub requested_by: BTreeSet<Id>,
+    pub requested_by: BTreeSet<MemberId>,
     /// The last update published under this epoch.
     pub latest_update: Option<HolderUpdate>,
 }
@@ -116,7 +116,7 @@
     /// No effect that anybody has to react to.
     NoChange,
     /// The duty has a new holder, or none, under this new epoch.
-    Granted(DutyId, u64, Option<Id>),
+    Granted(DutyId, u64, Option<MemberId>),
     /// The holder published an update under this epoch.
     Updated(DutyId, u64, HolderUpdate),
     /// An update was rejected: the epoch it carried, and the duty's current epoch (the table's last one if the duty has
@@ -144,7 +144,7 @@
     }
 
     /// The duties that the table assigns to a member, with their epochs.
-    pub fn held_by(&self, member: Id) -> impl Iterator<Item = (DutyId, u64)> {
+    pub fn held_by(&self, member: MemberId) -> impl Iterator<Item = (DutyId, u64)> {
         self.leases
             .iter()
             .filter(move |(_, lease)| lease.holder == Some(member))
@@ -153,7 +153,7 @@
 
     /// Drops the requests of a member that was removed. What it holds is granted to others once its lease term has
     /// expired.
-    pub fn remove_member(&mut self, member: Id) {
+    pub fn remove_member(&mut self, member: MemberId) {
         self.leases.values_mut().for_each(|lease| {
             lease.requested_by.remove(&member);
         });
@@ -166,7 +166,7 @@
         self.leases.retain(|_, lease| lease.holder.is_some() || !lease.requested_by.is_empty());
     }
 
-    fn grant(&mut self, duty: DutyId, holder: Option<Id>) -> ApplyResult {
+    fn grant(&mut self, duty: DutyId, holder: Option<MemberId>) -> ApplyResult {
         let Some(lease) = self.leases.get_mut(&duty) else { return ApplyResult::NoChange };
         self.last_epoch += 1;
         (lease.epoch, lease.holder, lease.latest_update) = (self.last_epoch, holder, None);
@@ -273,7 +273,7 @@
         assert!(table.get(TRIALS).is_some());
         table.apply(&Entry::Grant { duty: TRIALS, expected_epoch: 1, holder: None }, SafetyRules::default());
         assert!(table.get(TRIALS).is_none());
-        let requests = (1..=MAX_REQUESTERS as Id + 9)
+        let requests = (1..=MAX_REQUESTERS as MemberId + 9)
             .map(|member| Entry::Request { duty: DutyId::LogMaintenance, member });
         for entry in requests {
             table.apply(&entry, SafetyRules::default());
@@ -283,7 +283,7 @@
             Some(MAX_REQUESTERS)
         );
         // Removed members leave nothing behind.
-        (1..=MAX_REQUESTERS as Id).for_each(|member| table.remove_member(member));
+        (1..=MAX_REQUESTERS as MemberId).for_each(|member| table.remove_member(member));
         assert!(table.get(DutyId::LogMaintenance).is_none());
         for number in 0..MAX_DUTIES as u32 + 5 {
             table.apply(&Entry::Request { duty: DutyId::Trials(number), member: 1 }, SafetyRules::default());
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -27,8 +27,8 @@
 pub mod lease_term;
 pub mod trials;
 
-use fawnspoke_cluster::file::File;
-pub use fawnspoke_cluster::{Id, Seconds};
+use fawnspoke_cluster::config::FleetConfig;
+pub use fawnspoke_cluster::{MemberId, Seconds};
 
 /// Which safety rules are in force. Tests switch one off to show that the checkers detect the resulting violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,9 +78,9 @@
 /// (`led`), an election comes first.
 ///
 /// Assumes a majority, an election without split votes, and round trips that are short compared to a heartbeat.
-pub fn max_failover_time(file: &File, led: bool) -> Seconds {
-    let election = if led { file.election_most() } else { 0.0 };
-    (file.guard() + election + 2.0 * file.beat()) / (1.0 - file.clock_rate)
+pub fn max_failover_time(file: &FleetConfig, led: bool) -> Seconds {
+    let election = if led { file.max_election_time() } else { 0.0 };
+    (file.guard_time() + election + 2.0 * file.heartbeat_interval()) / (1.0 - file.clock_rate)
 }
 
 #[cfg(test)]
@@ -90,7 +90,7 @@
     #[test]
     fn failover_time_includes_an_election_if_the_holder_led() {
         let text = "cluster = \"m\"\nterm_s = 1.0\nmember \"a\" {\n at = \"127.0.0.1:1\"\n voter = true\n}\n";
-        let file = File::parse(text, "a").unwrap();
+        let file = FleetConfig::parse(text, "a").unwrap();
         let (follower, led) = (max_failover_time(&file, false), max_failover_time(&file, true));
         // (1.02 / 0.98 + 0.1) / 0.98; with an election, one more term of twenty heartbeats.
         assert!(
--- a/crates/duty/tests/simulation/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -1,14 +1,14 @@
 //! A fleet simulated without sockets, files or real clocks. One seed determines the network, clock rates, pauses,
 //! kills and disk faults. The members run the same `Core` and `Duties` as a dispatcher does.
 
-use fawnspoke_cluster::core::{Core, founded};
-use fawnspoke_cluster::file::File;
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::core::{Core, bootstrap_records};
 use fawnspoke_cluster::identity::Identity;
 use fawnspoke_cluster::store::Record;
 use fawnspoke_cluster::wire::Frame;
 use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, Settings};
 use fawnspoke_duty::lease_table::{DutyId, HolderUpdate};
-use fawnspoke_duty::{Id, SafetyRules, Seconds, trials};
+use fawnspoke_duty::{MemberId, SafetyRules, Seconds, trials};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::sync::Arc;
@@ -69,8 +69,8 @@
 /// A frame in flight.
 struct FrameInFlight {
     arrives_at: Seconds,
-    from: Id,
-    to: Id,
+    from: MemberId,
+    to: MemberId,
     frame: Frame,
 }
 
@@ -78,19 +78,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
     /// A member checked its clock and acted under an epoch.
-    Acted { at: Seconds, member: Id, duty: DutyId, epoch: u64 },
+    Acted { at: Seconds, member: MemberId, duty: DutyId, epoch: u64 },
     /// A member has started, and replays the log.
-    Started { member: Id },
+    Started { member: MemberId },
     /// A member applied a grant from the log.
-    Granted { member: Id, duty: DutyId, epoch: u64, holder: Option<Id> },
+    Granted { member: MemberId, duty: DutyId, epoch: u64, holder: Option<MemberId> },
     /// A member applied an update from the log.
-    Updated { at: Seconds, member: Id, duty: DutyId, epoch: u64, update: HolderUpdate },
+    Updated { at: Seconds, member: MemberId, duty: DutyId, epoch: u64, update: HolderUpdate },
 }
 
 /// A running simulation of one fleet.
 pub struct Simulation {
     config: SimulationConfig,
-    file: Arc<File>,
+    file: Arc<FleetConfig>,
     rng: fastrand::Rng,
     now: Seconds,
     members: Vec<SimulatedMember>,
@@ -118,11 +118,11 @@
             let _ =
                 writeln!(text, "member \"m{i}\" {{\n at = \"127.0.0.1:{}\"\n voter = {voter}\n}}", 7000 + i);
         }
-        let file = Arc::new(File::parse(&text, "m0").unwrap());
+        let file = Arc::new(FleetConfig::parse(&text, "m0").unwrap());
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut members = Vec::new();
         for i in 0..count {
-            let identity = Identity { name: format!("m{i}"), birth: rng.u64(1..), life: 0 };
+            let identity = Identity { name: format!("m{i}"), id: rng.u64(1..), start_count: 0 };
             let clock_rate = 1.0
                 + config.max_clock_error
                     * (2.0 * rng.f64() - 1.0).signum()
@@ -155,7 +155,7 @@
             rejected_stores: 0,
         };
         let duties = simulation.create_duties(0, 0);
-        simulation.members[0].disk = founded(&simulation.members[0].identity, &duties).unwrap();
+        simulation.members[0].disk = bootstrap_records(&simulation.members[0].identity, &duties).unwrap();
         simulation.members[0].synced_records = simulation.members[0].disk.len();
         simulation
     }
@@ -170,14 +170,14 @@
     }
 
     fn start_member(&mut self, i: usize) {
-        self.members[i].identity.life += 1;
+        self.members[i].identity.start_count += 1;
         self.members[i].last_renewal += 1 << 20;
         let duties = self.create_duties(i, self.members[i].last_renewal);
         let (now, seed, file) = (self.clock(i), self.rng.u64(..), self.file.clone());
         let member = &self.members[i];
         let core = Core::new(file, member.identity.clone(), member.disk.clone(), duties, now, seed).unwrap();
         self.members[i].core = Some(core);
-        self.observations.push(Observation::Started { member: self.members[i].identity.birth });
+        self.observations.push(Observation::Started { member: self.members[i].identity.id });
         // A restarted member doesn't remember that the destination is unavailable; it usually detects it again.
         if self.rng.f64() < 0.7 {
             self.report(i, trials::DestinationReport::Unavailable(7));
@@ -187,7 +187,7 @@
     fn report(&mut self, i: usize, report: trials::DestinationReport) {
         let now = self.clock(i);
         if let Some(core) = &mut self.members[i].core {
-            core.fact(now, DutyReport::Destination(report));
+            core.handle_input(now, DutyReport::Destination(report));
         }
         self.process_output(i);
     }
@@ -196,8 +196,8 @@
         self.members[i].core.is_some() && self.now >= self.members[i].paused_until
     }
 
-    fn index_of(&self, id: Id) -> Option<usize> {
-        self.members.iter().position(|member| member.identity.birth == id)
+    fn index_of(&self, id: MemberId) -> Option<usize> {
+        self.members.iter().position(|member| member.identity.id == id)
     }
 
     /// Writes and syncs records, applies entries, and sends frames.
@@ -206,7 +206,7 @@
         let disk_full = self.now < self.members[i].disk_full_until;
         let member = &mut self.members[i];
         let Some(core) = &mut member.core else { return };
-        while let Some((records, sync)) = core.poll() {
+        while let Some((records, sync)) = core.take_records() {
             if disk_full && !records.is_empty() {
                 // Nothing was written: the member restarts from what is on its disk.
                 self.kill(i, 0.3);
@@ -216,14 +216,14 @@
             if sync {
                 member.synced_records = member.disk.len();
             }
-            core.synced(now).unwrap();
+            core.records_persisted(now).unwrap();
         }
-        if let Some(records) = core.take_cut(false).unwrap() {
+        if let Some(records) = core.compact(false).unwrap() {
             (member.disk, member.synced_records) = (records, 0);
             member.synced_records = member.disk.len();
         }
-        let (own_id, own_index) = (member.identity.birth, i);
-        let (frames, events) = (core.take_frames(), core.take_news());
+        let (own_id, own_index) = (member.identity.id, i);
+        let (frames, events) = (core.take_frames(), core.take_updates());
         for event in events {
             let observation = match event {
                 DutyEvent::Acted(duty, epoch, _) => {
@@ -241,7 +241,7 @@
         }
         for (to, frame) in frames {
             // The first frame of a connection always fits into its queue.
-            let is_lost = self.rng.f64() < 0.01 && frame != Frame::Looked;
+            let is_lost = self.rng.f64() < 0.01 && frame != Frame::HelloVerified;
             let is_slow = self.rng.f64() < 0.02;
             let delay = if is_slow { self.rng.f64() * 3.0 } else { 0.001 + 0.02 * self.rng.f64() };
             let is_connected =
@@ -276,9 +276,9 @@
         for j in 0..self.members.len() {
             if i != j && self.connected.insert(pair(i, j), false) == Some(true) {
                 for (member, peer) in [(i, j), (j, i)] {
-                    let peer_id = self.members[peer].identity.birth;
+                    let peer_id = self.members[peer].identity.id;
                     if let Some(core) = &mut self.members[member].core {
-                        core.unlink(peer_id);
+                        core.peer_disconnected(peer_id);
                     }
                 }
             }
@@ -291,7 +291,7 @@
                 let is_blocked =
                     |a, b| self.blocked_until.get(&(a, b)).is_some_and(|until| self.now < *until);
                 let (name, peer_name) = (&self.members[i].name, &self.members[j].name);
-                let may_call = (self.file.calls(name, peer_name), self.file.calls(peer_name, name));
+                let may_call = (self.file.dials(name, peer_name), self.file.dials(peer_name, name));
                 let can_connect =
                     self.is_running(i) && self.is_running(j) && !is_blocked(i, j) && !is_blocked(j, i);
                 if !can_connect
@@ -304,10 +304,11 @@
                 for (receiver, sender) in [(i, j), (j, i)] {
                     let (identity, mark) = {
                         let core = self.members[sender].core.as_ref().unwrap();
-                        (core.identity().clone(), core.mark())
+                        (core.identity().clone(), core.log_position())
                     };
                     let core = self.members[receiver].core.as_mut().unwrap();
-                    let result = core.link(identity.birth, &identity.name, identity.life, &mark);
+                    let result =
+                        core.peer_connected(identity.id, &identity.name, identity.start_count, &mark);
                     if result.is_err() && !self.config.loses_records {
                         // The member is told so, and restarts with a new identity.
                         accepted = false;
@@ -316,7 +317,7 @@
                         let birth = self.rng.u64(1..);
                         let member = &mut self.members[sender];
                         (member.disk, member.synced_records) = (Vec::new(), 0);
-                        member.identity = Identity { name: member.name.clone(), birth, life: 0 };
+                        member.identity = Identity { name: member.name.clone(), id: birth, start_count: 0 };
                         break;
                     }
                 }
@@ -324,8 +325,8 @@
                     self.connected.insert(pair(i, j), true);
                     // The called member learns of the connection from the first frame.
                     let (caller, called) = if may_call.0 { (i, j) } else { (j, i) };
-                    let id = self.members[called].identity.birth;
-                    self.members[caller].core.as_mut().unwrap().called(id);
+                    let id = self.members[called].identity.id;
+                    self.members[caller].core.as_mut().unwrap().peer_accepted(id);
                     self.process_output(caller);
                 }
             }
@@ -359,7 +360,8 @@
             6 => self.members[i].disk_full_until = now + 0.5 * self.rng.f64(),
             7 => {
                 // Pauses the leader in particular.
-                if let Some(i) = (0..count).find(|i| self.members[*i].core.as_ref().is_some_and(Core::leads))
+                if let Some(i) =
+                    (0..count).find(|i| self.members[*i].core.as_ref().is_some_and(Core::is_leader))
                 {
                     self.members[i].paused_until = now + 0.1 + 3.0 * self.rng.f64();
                 }
@@ -403,7 +405,7 @@
             }
             let now = self.clock(to);
             if let Some(core) = &mut self.members[to].core {
-                core.hear(now, sent.from, sent.frame);
+                core.receive_frame(now, sent.from, sent.frame);
             }
             self.process_output(to);
         }
@@ -412,7 +414,7 @@
                 continue;
             }
             let now = self.clock(i);
-            if self.members[i].core.as_ref().is_some_and(|core| core.due() <= now) {
+            if self.members[i].core.as_ref().is_some_and(|core| core.next_tick_at() <= now) {
                 if let Some(core) = &mut self.members[i].core {
                     core.tick(now);
                 }
@@ -434,7 +436,7 @@
         for duty in [DutyId::LogMaintenance, DutyId::Trials(7)] {
             let held_epoch = |i: &usize| {
                 let core = self.members[*i].core.as_ref()?;
-                core.part().active_epoch(self.clock(*i), duty)
+                core.state_machine().active_epoch(self.clock(*i), duty)
             };
             let holders: Vec<_> =
                 (0..self.members.len()).filter_map(|i| held_epoch(&i).map(|epoch| (i, epoch))).collect();
@@ -485,13 +487,15 @@
     pub fn log_is_maintained(&self) -> bool {
         (0..self.members.len()).any(|i| {
             let core = self.members[i].core.as_ref();
-            core.is_some_and(|core| core.part().active_epoch(self.clock(i), DutyId::LogMaintenance).is_some())
+            core.is_some_and(|core| {
+                core.state_machine().active_epoch(self.clock(i), DutyId::LogMaintenance).is_some()
+            })
         })
     }
 
     /// Whether every member takes part in the consensus protocol.
     pub fn all_participate(&self) -> bool {
-        self.members.iter().all(|member| member.core.as_ref().is_some_and(Core::speaks))
+        self.members.iter().all(|member| member.core.as_ref().is_some_and(Core::is_participating))
     }
 
     /// Whether all members have joined and are close to the same log index.
@@ -500,7 +504,7 @@
         let max_applied = cores.iter().map(|core| core.applied()).max().unwrap_or(0);
         for core in &cores {
             let name = &core.identity().name;
-            if !core.members().0.contains_key(&core.identity().birth) {
+            if !core.members().0.contains_key(&core.identity().id) {
                 return Err(format!("{name} is not a member; {:?}", core.members()));
             }
             if core.applied() + 50 < max_applied {
@@ -516,12 +520,12 @@
     pub fn describe(&self) -> String {
         let mut text = String::new();
         for (i, member) in self.members.iter().enumerate() {
-            let id = member.identity.birth;
-            let (life, disk) = (member.identity.life, member.disk.len());
+            let id = member.identity.id;
+            let (life, disk) = (member.identity.start_count, member.disk.len());
             let _ = write!(text, "{} {id:016x} life {life} disk {disk} ", member.name);
             if let Some(core) = &member.core {
-                let (term, applied, speaks) = (core.term(), core.applied(), core.speaks());
-                let connected: Vec<_> = core.linked().values().collect();
+                let (term, applied, speaks) = (core.term(), core.applied(), core.is_participating());
+                let connected: Vec<_> = core.connected_members().values().collect();
                 let (members, leader) = (&core.members().0, core.leader().map(|id| format!("{id:016x}")));
                 let _ = write!(
                     text,
@@ -534,10 +538,10 @@
                 let _ = write!(
                     text,
                     "{members:?} mark {:?} leads {} {} log maintenance epoch {:?}",
-                    core.mark(),
-                    core.leads(),
-                    core.show(self.clock(i))["part"],
-                    core.part().active_epoch(self.clock(i), DutyId::LogMaintenance)
+                    core.log_position(),
+                    core.is_leader(),
+                    core.status(self.clock(i))["part"],
+                    core.state_machine().active_epoch(self.clock(i), DutyId::LogMaintenance)
                 );
             }
             text.push('\n');
