--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -71,13 +71,13 @@
 
 impl Settings {
     /// The settings from the operators' fleet file.
-    pub fn from_file(file: &FleetConfig) -> Settings {
+    pub fn from_file(config: &FleetConfig) -> Settings {
         Settings {
-            lease_term: file.term_s,
-            max_clock_error: file.clock_rate,
-            max_deferral: file.hold_most_s,
-            compaction_threshold: file.cut_after,
-            maintenance_interval: file.keeper_round_s,
+            lease_term: config.term_s,
+            max_clock_error: config.clock_rate,
+            max_deferral: config.hold_most_s,
+            compaction_threshold: config.cut_after,
+            maintenance_interval: config.keeper_round_s,
             rules: SafetyRules::default(),
         }
     }
@@ -115,7 +115,7 @@
 }
 
 impl Duties {
-    /// The duties of a member that has not been told its number yet. `first_renewal`: see [`LeaseTerm::new`].
+    /// The duties of a member that has not been given its ID yet. `first_renewal`: see [`LeaseTerm::new`].
     pub fn new(settings: Settings, first_renewal: u64) -> Duties {
         let Settings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
         Duties {
@@ -390,8 +390,8 @@
         self.lease_term.renewal_confirmed(now, renewal, required_index);
     }
 
-    fn leadership_changed(&mut self, now: Seconds, leading: bool) {
-        self.granter.set_leading(now, leading);
+    fn leadership_changed(&mut self, now: Seconds, is_leader: bool) {
+        self.granter.set_leading(now, is_leader);
     }
 
     fn request_received(&mut self, now: Seconds, from: MemberId) {
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -47,8 +47,8 @@
     }
 
     /// This member has become the leader or has stopped being it. `now` was read after the votes were cast.
-    pub fn set_leading(&mut self, now: Seconds, leading: bool) {
-        self.leading_since = leading.then_some(now);
+    pub fn set_leading(&mut self, now: Seconds, is_leader: bool) {
+        self.leading_since = is_leader.then_some(now);
         self.last_renewals.clear();
         self.excluded_until.clear();
         self.pending_grants.clear();
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -78,9 +78,9 @@
 /// (`led`), an election comes first.
 ///
 /// Assumes a majority, an election without split votes, and round trips that are short compared to a heartbeat.
-pub fn max_failover_time(file: &FleetConfig, led: bool) -> Seconds {
-    let election = if led { file.max_election_time() } else { 0.0 };
-    (file.guard_time() + election + 2.0 * file.heartbeat_interval()) / (1.0 - file.clock_rate)
+pub fn max_failover_time(config: &FleetConfig, led: bool) -> Seconds {
+    let election = if led { config.max_election_time() } else { 0.0 };
+    (config.guard_time() + election + 2.0 * config.heartbeat_interval()) / (1.0 - config.clock_rate)
 }
 
 #[cfg(test)]
@@ -90,8 +90,8 @@
     #[test]
     fn failover_time_includes_an_election_if_the_holder_led() {
         let text = "cluster = \"m\"\nterm_s = 1.0\nmember \"a\" {\n at = \"127.0.0.1:1\"\n voter = true\n}\n";
-        let file = FleetConfig::parse(text, "a").unwrap();
-        let (follower, led) = (max_failover_time(&file, false), max_failover_time(&file, true));
+        let config = FleetConfig::parse(text, "a").unwrap();
+        let (follower, led) = (max_failover_time(&config, false), max_failover_time(&config, true));
         // (1.02 / 0.98 + 0.1) / 0.98; with an election, one more term of twenty heartbeats.
         assert!(
             (follower - 1.1641).abs() < 0.001 && (led - follower - 1.0 / 0.98).abs() < 0.001,
--- a/crates/duty/tests/simulation/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -90,7 +90,7 @@
 /// A running simulation of one fleet.
 pub struct Simulation {
     config: SimulationConfig,
-    file: Arc<FleetConfig>,
+    fleet_config: Arc<FleetConfig>,
     rng: fastrand::Rng,
     now: Seconds,
     members: Vec<SimulatedMember>,
@@ -118,7 +118,7 @@
             let _ =
                 writeln!(text, "member \"m{i}\" {{\n at = \"127.0.0.1:{}\"\n voter = {voter}\n}}", 7000 + i);
         }
-        let file = Arc::new(FleetConfig::parse(&text, "m0").unwrap());
+        let fleet_config = Arc::new(FleetConfig::parse(&text, "m0").unwrap());
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut members = Vec::new();
         for i in 0..count {
@@ -142,7 +142,7 @@
         }
         let mut simulation = Simulation {
             config,
-            file,
+            fleet_config,
             rng,
             now: 0.0,
             members,
@@ -161,7 +161,7 @@
     }
 
     fn create_duties(&self, _: usize, first_renewal: u64) -> Duties {
-        let settings = Settings { rules: self.config.rules, ..Settings::from_file(&self.file) };
+        let settings = Settings { rules: self.config.rules, ..Settings::from_file(&self.fleet_config) };
         Duties::new(settings, first_renewal)
     }
 
@@ -173,9 +173,10 @@
         self.members[i].identity.start_count += 1;
         self.members[i].last_renewal += 1 << 20;
         let duties = self.create_duties(i, self.members[i].last_renewal);
-        let (now, seed, file) = (self.clock(i), self.rng.u64(..), self.file.clone());
+        let (now, seed, fleet_config) = (self.clock(i), self.rng.u64(..), self.fleet_config.clone());
         let member = &self.members[i];
-        let core = Core::new(file, member.identity.clone(), member.disk.clone(), duties, now, seed).unwrap();
+        let core =
+            Core::new(fleet_config, member.identity.clone(), member.disk.clone(), duties, now, seed).unwrap();
         self.members[i].core = Some(core);
         self.observations.push(Observation::Started { member: self.members[i].identity.id });
         // A restarted member doesn't remember that the destination is unavailable; it usually detects it again.
@@ -291,7 +292,8 @@
                 let is_blocked =
                     |a, b| self.blocked_until.get(&(a, b)).is_some_and(|until| self.now < *until);
                 let (name, peer_name) = (&self.members[i].name, &self.members[j].name);
-                let may_call = (self.file.dials(name, peer_name), self.file.dials(peer_name, name));
+                let may_call =
+                    (self.fleet_config.dials(name, peer_name), self.fleet_config.dials(peer_name, name));
                 let can_connect =
                     self.is_running(i) && self.is_running(j) && !is_blocked(i, j) && !is_blocked(j, i);
                 if !can_connect
@@ -302,22 +304,22 @@
                 }
                 let mut accepted = true;
                 for (receiver, sender) in [(i, j), (j, i)] {
-                    let (identity, mark) = {
+                    let (identity, log_position) = {
                         let core = self.members[sender].core.as_ref().unwrap();
                         (core.identity().clone(), core.log_position())
                     };
                     let core = self.members[receiver].core.as_mut().unwrap();
                     let result =
-                        core.peer_connected(identity.id, &identity.name, identity.start_count, &mark);
+                        core.peer_connected(identity.id, &identity.name, identity.start_count, &log_position);
                     if result.is_err() && !self.config.loses_records {
-                        // The member is told so, and restarts with a new identity.
+                        // The rejected member restarts with a new identity.
                         accepted = false;
                         self.rejected_stores += 1;
                         self.kill(sender, 0.2);
-                        let birth = self.rng.u64(1..);
+                        let id = self.rng.u64(1..);
                         let member = &mut self.members[sender];
                         (member.disk, member.synced_records) = (Vec::new(), 0);
-                        member.identity = Identity { name: member.name.clone(), id: birth, start_count: 0 };
+                        member.identity = Identity { name: member.name.clone(), id, start_count: 0 };
                         break;
                     }
                 }
@@ -521,15 +523,15 @@
         let mut text = String::new();
         for (i, member) in self.members.iter().enumerate() {
             let id = member.identity.id;
-            let (life, disk) = (member.identity.start_count, member.disk.len());
-            let _ = write!(text, "{} {id:016x} life {life} disk {disk} ", member.name);
+            let (start_count, disk) = (member.identity.start_count, member.disk.len());
+            let _ = write!(text, "{} {id:016x} starts {start_count} disk {disk} ", member.name);
             if let Some(core) = &member.core {
-                let (term, applied, speaks) = (core.term(), core.applied(), core.is_participating());
+                let (term, applied, participating) = (core.term(), core.applied(), core.is_participating());
                 let connected: Vec<_> = core.connected_members().values().collect();
                 let (members, leader) = (&core.members().0, core.leader().map(|id| format!("{id:016x}")));
                 let _ = write!(
                     text,
-                    "term {term} applied {applied} speaks {speaks} leader {leader:?} {connected:?} "
+                    "term {term} applied {applied} participating {participating} leader {leader:?} {connected:?} "
                 );
                 let members: Vec<_> = members
                     .iter()
@@ -537,7 +539,7 @@
                     .collect();
                 let _ = write!(
                     text,
-                    "{members:?} mark {:?} leads {} {} log maintenance epoch {:?}",
+                    "{members:?} log position {:?} leads {} {} log maintenance epoch {:?}",
                     core.log_position(),
                     core.is_leader(),
                     core.status(self.clock(i))["part"],
