--- a/crates/duty/src/discovery_polling.rs
+++ b/crates/duty/src/discovery_polling.rs
@@ -30,7 +30,9 @@
     own_seq: u64,
     /// A newer list that the holder announced, and when. An intact subscription delivers it without polling.
     announced: Option<(u64, Seconds)>,
+    /// The rate last reported to the dispatcher.
     rate: Option<PollingRate>,
+    /// A received list that has not been announced yet.
     unpublished: Option<u64>,
     poll_requested: bool,
 }
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -23,10 +23,13 @@
     rules: SafetyRules,
     /// Since when this member has been the leader; `None` if it is not.
     leading_since: Option<Seconds>,
+    /// When the last renewal request of each member arrived.
     last_renewals: BTreeMap<MemberId, Seconds>,
     /// Members that released a duty recently, and until when they are granted nothing.
     excluded_until: BTreeMap<MemberId, Seconds>,
+    /// When each member last lost duties because its lease term had expired.
     expirations: BTreeMap<MemberId, VecDeque<Seconds>>,
+    /// Proposed grants: the epoch on which each was decided, and when it was last proposed.
     pending_grants: BTreeMap<DutyId, (u64, Seconds)>,
 }
 
--- a/crates/duty/src/trials.rs
+++ b/crates/duty/src/trials.rs
@@ -60,9 +60,11 @@
 pub struct TrialCoordinator {
     max_deferral: Seconds,
     unavailable: BTreeMap<u32, UnavailableDestination>,
+    /// Updates to publish: destination, epoch, content.
     updates: Vec<(u32, u64, HolderUpdate)>,
     /// Changed requests that have not been proposed yet: destination, and whether the duty is needed.
     request_changes: Vec<(u32, bool)>,
+    /// Duties to release: destination, epoch.
     releases: Vec<(u32, u64)>,
 }
 
