--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,12 +1,11 @@
-//! The machine's clock that goes on while it sleeps.
+//! The machine's boot-time clock, which also counts while the machine sleeps.
 
 use crate::Seconds;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Seconds since the machine started, its sleep among them (`CLOCK_BOOTTIME`).
+/// Seconds since the machine booted, including the time it slept (`CLOCK_BOOTTIME`).
 ///
-/// With the feature `fast-clock`, which is for tests alone, a process that has `FAWNSPOKE_CLOCK_RATE` set has a clock of
-/// that rate.
+/// With the feature `fast-clock`, which is for tests only, the clock runs at the rate given by `FAWNSPOKE_CLOCK_RATE`.
 pub fn now() -> Seconds {
     let now = clock_gettime(ClockId::Boottime);
     let now = now.tv_sec as f64 + now.tv_nsec as f64 / 1e9;
@@ -15,17 +14,18 @@
     now
 }
 
-/// A time of [`now`] on the clock that all processes of this machine share: the same, but where a test has one run wrong.
+/// Converts a time of [`now`] to the clock that all processes on this machine share. The two differ only where a test
+/// runs this process's clock at another rate.
 pub fn to_machine_time(at: Seconds) -> Seconds {
     #[cfg(feature = "fast-clock")]
     let at = at / rate();
     at
 }
 
-/// The rate that the tests' variable asks for.
+/// The clock rate that the test's environment variable asks for.
 #[cfg(feature = "fast-clock")]
 fn rate() -> f64 {
     static RATE: std::sync::OnceLock<f64> = std::sync::OnceLock::new();
-    let set = || std::env::var("FAWNSPOKE_CLOCK_RATE").ok().and_then(|rate| rate.parse().ok());
-    *RATE.get_or_init(|| set().unwrap_or(1.0))
+    let from_environment = || std::env::var("FAWNSPOKE_CLOCK_RATE").ok().and_then(|rate| rate.parse().ok());
+    *RATE.get_or_init(|| from_environment().unwrap_or(1.0))
 }
--- a/crates/cluster/src/connections.rs
+++ b/crates/cluster/src/connections.rs
@@ -1,9 +1,9 @@
-//! The connections between members: TCP, one a pair, a length before each packet. A peer that is slow, silent or sends
-//! what nobody can read costs its own link and nothing else.
+//! TCP connections between members: one per pair, with length-prefixed packets. A peer that is slow, silent or sends
+//! invalid packets loses its own connection and affects nothing else.
 
 use crate::MemberId;
 use crate::config::FleetConfig;
-use crate::wire::{Frame, HELLO_TIME, Hello, PACKET_MOST};
+use crate::wire::{Frame, HELLO_TIMEOUT_SECONDS, Hello, MAX_PACKET_BYTES};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::{Cell, RefCell};
@@ -19,297 +19,316 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Packets in a link's queue; a frame more is dropped, as one that was lost.
-const QUEUE: usize = 256;
-/// A packet is written by then, or the link ends.
-const WRITE_TIME: Duration = Duration::from_secs(5);
-/// A connection comes up by then.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// Before a member is called again.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// After a refusal.
-const REFUSED: Duration = Duration::from_secs(1);
-/// Connections that have not said hello yet.
-const STRANGERS_MOST: usize = 32;
-/// Nothing for so many terms, and the link is dead.
-const SILENT_TERMS: f64 = 4.0;
+/// Capacity of a connection's send queue in packets. Frames over it are dropped; Raft tolerates the loss.
+const SEND_QUEUE_PACKETS: usize = 256;
+/// A connection is closed if writing a packet takes longer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The shortest and the longest delay before a member is called again.
+const RECONNECT_DELAY: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
+/// Delay before the next call after a rejection.
+const REJECTED_DELAY: Duration = Duration::from_secs(1);
+/// Maximum number of accepted connections that have not completed their hello.
+const MAX_PENDING_HELLOS: usize = 32;
+/// A connection on which nothing arrives for this many lease terms is closed.
+const READ_TIMEOUT_TERMS: f64 = 4.0;
 
-/// What the thread hears of links.
+/// What connections report to the member's thread.
 pub enum Event {
-    /// The other side's hello has come: whether to speak with it goes back, as a hello of the own or a refusal in one.
+    /// The other side's hello has arrived. The reply says whether it is accepted.
     Hello {
-        /// What it says.
+        /// The other side's hello.
         hello: Box<Hello>,
-        /// This side called, so its hello has gone already and was accepted by the other.
-        called: bool,
-        /// The own answer; the frames that go out, once it is accepted.
-        answer: oneshot::Sender<(Hello, bool)>,
-        /// The link, for sending.
-        link: Connection,
+        /// Whether this side opened the connection; its own hello has been sent and accepted then.
+        outgoing: bool,
+        /// Receives this member's hello, with the reason if it rejects the other side, and whether it accepts it.
+        reply: oneshot::Sender<(Hello, bool)>,
+        /// The connection, for sending.
+        connection: Connection,
     },
-    /// A frame.
+    /// A frame has arrived.
     Frame {
-        /// From whom.
+        /// The sender.
         from: MemberId,
-        /// The link's number.
-        link: u64,
-        /// What it says.
+        /// The number of the connection.
+        connection: u64,
+        /// The frame.
         frame: Frame,
-        /// Its part of what may wait to be heard.
-        _unheard: OwnedSemaphorePermit,
+        /// The frame's share of the receive buffer, returned once it is handled.
+        _receive_permit: OwnedSemaphorePermit,
     },
-    /// A link has ended.
-    Ended(MemberId, u64),
-    /// The other side does not speak with this one.
-    Refused {
-        /// Its name.
+    /// The connection of this number with this member has closed.
+    Closed(MemberId, u64),
+    /// The other side rejected this member.
+    Rejected {
+        /// The other side's name.
         name: String,
-        /// The own birth that is not spoken with; this member may have another by now.
-        refused: MemberId,
-        /// Why.
+        /// The own id that was rejected; this member may have a new one by now.
+        rejected_id: MemberId,
+        /// The other side's hello, with the reason.
         hello: Box<Hello>,
     },
 }
 
-/// A packet that waits to be sent. However its link ends, what it took of the room is free again.
-struct Queued {
+/// A packet in a send queue. Dropping it, also when its connection closes, returns its bytes to the shared send budget.
+struct QueuedPacket {
     packet: Vec<u8>,
-    room: Rc<Cell<usize>>,
+    send_budget: Rc<Cell<usize>>,
 }
 
-impl Queued {
-    /// Takes its part of the room of all queues, where there is as much.
-    fn new(packet: Vec<u8>, room: &Rc<Cell<usize>>) -> Option<Queued> {
-        room.set(room.get().checked_sub(packet.len())?);
-        Some(Queued { packet, room: room.clone() })
+impl QueuedPacket {
+    /// Takes the packet's bytes from the send budget; nothing if it is exhausted.
+    fn new(packet: Vec<u8>, send_budget: &Rc<Cell<usize>>) -> Option<QueuedPacket> {
+        send_budget.set(send_budget.get().checked_sub(packet.len())?);
+        Some(QueuedPacket { packet, send_budget: send_budget.clone() })
     }
 }
 
-impl Drop for Queued {
+impl Drop for QueuedPacket {
     fn drop(&mut self) {
-        self.room.set(self.room.get() + self.packet.len());
+        self.send_budget.set(self.send_budget.get() + self.packet.len());
     }
 }
 
-/// A link, for sending.
+/// The sending side of a connection.
 #[derive(Clone)]
 pub struct Connection {
-    /// Counts the links of this process.
+    /// Unique among the connections of this process.
     pub number: u64,
-    queue: Sender<Queued>,
-    /// Bytes that all queues together may take yet.
-    room: Rc<Cell<usize>>,
+    queue: Sender<QueuedPacket>,
+    /// Bytes that all send queues together may still take.
+    send_budget: Rc<Cell<usize>>,
     abort: Rc<RefCell<Option<AbortHandle>>>,
 }
 
 impl Connection {
-    /// Sends a frame, unless the queue is full: then it is lost.
+    /// Queues a packet. Returns `false` if it is too long or the queue is full; the packet is dropped then.
     pub fn send(&self, packet: Vec<u8>) -> bool {
-        let fits = packet.len() <= PACKET_MOST;
-        let queued = Some(packet).filter(|_| fits).and_then(|packet| Queued::new(packet, &self.room));
+        let fits = packet.len() <= MAX_PACKET_BYTES;
+        let queued =
+            Some(packet).filter(|_| fits).and_then(|packet| QueuedPacket::new(packet, &self.send_budget));
         queued.is_some_and(|queued| self.queue.try_send(queued).is_ok())
     }
 
-    /// Ends it.
-    pub fn end(&self) {
+    /// Closes the connection.
+    pub fn close(&self) {
         if let Some(task) = self.abort.borrow_mut().take() {
             task.abort();
         }
     }
 }
 
-/// What all links share.
+/// The state shared by all connections of a member.
 #[derive(Clone)]
 pub struct Connections {
-    file: Rc<FleetConfig>,
+    config: Rc<FleetConfig>,
     name: Rc<str>,
     events: UnboundedSender<Event>,
     count: Rc<Cell<u64>>,
-    strangers: Rc<Cell<usize>>,
-    /// Bytes that all queues together may take yet.
-    room: Rc<Cell<usize>>,
-    /// Bytes that were read and that the thread has not heard yet, as permits.
-    unheard: Arc<Semaphore>,
-    /// The hello of now, but for whom it is.
+    pending_hellos: Rc<Cell<usize>>,
+    /// Bytes that all send queues together may still take.
+    send_budget: Rc<Cell<usize>>,
+    /// Bytes that may still be received before the thread handles earlier frames, as permits.
+    receive_budget: Arc<Semaphore>,
+    /// This member's current hello, without a receiver.
     hello: Rc<RefCell<Option<Hello>>>,
 }
 
-fn codec(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
-    // Small frames that others wait for.
+fn frame_packets(stream: TcpStream) -> Framed<TcpStream, LengthDelimitedCodec> {
+    // Frames are small, and the other side waits for them.
     let _ = stream.set_nodelay(true);
-    LengthDelimitedCodec::builder().max_frame_length(PACKET_MOST).new_framed(stream)
+    LengthDelimitedCodec::builder().max_frame_length(MAX_PACKET_BYTES).new_framed(stream)
 }
 
 impl Connections {
-    /// None yet.
-    pub fn new(file: Rc<FleetConfig>, name: &str, events: UnboundedSender<Event>) -> Connections {
-        let most = (file.memory_mb * 1e6 / 2.0) as usize;
+    /// Creates the state; nothing is listened on or connected to yet.
+    pub fn new(config: Rc<FleetConfig>, name: &str, events: UnboundedSender<Event>) -> Connections {
+        let max_bytes = (config.memory_mb * 1e6 / 2.0) as usize;
         Connections {
-            file,
+            config,
             name: name.into(),
             events,
             count: Rc::default(),
-            strangers: Rc::default(),
-            room: Rc::new(Cell::new(most)),
-            unheard: Arc::new(Semaphore::new(most.min(Semaphore::MAX_PERMITS))),
+            pending_hellos: Rc::default(),
+            send_budget: Rc::new(Cell::new(max_bytes)),
+            receive_budget: Arc::new(Semaphore::new(max_bytes.min(Semaphore::MAX_PERMITS))),
             hello: Rc::default(),
         }
     }
 
-    /// Listens, and calls whom this member has to call, for as long as the thread runs. `hello` is asked for anew at each
-    /// call.
+    /// Listens for the members that call this one, and keeps calling those that this one has to call, for as long as
+    /// the thread runs. Returns the address that it listens on, if any member calls this one.
     ///
     /// # Errors
-    /// Where the address can't be listened at.
+    /// If it can't listen on its address.
     pub async fn open(&self) -> io::Result<Option<SocketAddr>> {
-        let mut at = None;
-        let listens = self.file.member.keys().any(|other| self.file.dials(other, &self.name));
-        if let Some(me) = self.file.member.get(&*self.name).filter(|_| listens) {
-            let listener = TcpListener::bind(me.listen.unwrap_or(me.at)).await?;
-            at = Some(listener.local_addr()?);
+        let mut address = None;
+        let listens = self.config.member.keys().any(|other| self.config.dials(other, &self.name));
+        if let Some(own) = self.config.member.get(&*self.name).filter(|_| listens) {
+            let listener = TcpListener::bind(own.listen.unwrap_or(own.at)).await?;
+            address = Some(listener.local_addr()?);
             spawn_local(self.clone().accept(listener));
         }
-        for (name, peer) in self.file.member.iter().filter(|(name, _)| self.file.dials(&self.name, name)) {
-            spawn_local(self.clone().call(name.clone(), peer.at));
+        for (name, peer) in self.config.member.iter().filter(|(name, _)| self.config.dials(&self.name, name))
+        {
+            spawn_local(self.clone().keep_calling(name.clone(), peer.at));
         }
-        Ok(at)
+        Ok(address)
     }
 
-    /// What this member says of itself from now on; nobody is called before the first.
-    pub fn present(&self, hello: Hello) {
+    /// Sets the hello for the next calls. No member is called before the first.
+    pub fn set_hello(&self, hello: Hello) {
         self.hello.replace(Some(hello));
     }
 
-    fn link(&self) -> (Connection, Receiver<Queued>) {
-        let (queue, frames) = channel(QUEUE);
+    fn new_connection(&self) -> (Connection, Receiver<QueuedPacket>) {
+        let (queue, packets) = channel(SEND_QUEUE_PACKETS);
         self.count.set(self.count.get() + 1);
-        let (number, room) = (self.count.get(), self.room.clone());
-        (Connection { number, queue, room, abort: Rc::default() }, frames)
+        let (number, send_budget) = (self.count.get(), self.send_budget.clone());
+        (Connection { number, queue, send_budget, abort: Rc::default() }, packets)
     }
 
     async fn accept(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(AGAIN.0).await;
+                sleep(RECONNECT_DELAY.0).await;
                 continue;
             };
-            if self.strangers.get() >= STRANGERS_MOST {
+            if self.pending_hellos.get() >= MAX_PENDING_HELLOS {
                 continue;
             }
-            self.strangers.set(self.strangers.get() + 1);
-            let links = self.clone();
-            let (link, frames) = self.link();
-            let abort = link.abort.clone();
+            self.pending_hellos.set(self.pending_hellos.get() + 1);
+            let connections = self.clone();
+            let (connection, packets) = self.new_connection();
+            let abort = connection.abort.clone();
             let task = spawn_local(async move {
-                let mut wire = codec(stream);
-                let patience = Duration::from_secs_f64(HELLO_TIME);
-                let greeted = timeout(patience, links.greeted(&mut wire, link.clone())).await.ok().flatten();
-                links.strangers.set(links.strangers.get() - 1);
-                if let Some((id, own)) = greeted {
-                    links.run(id, own, wire, &link, frames).await;
+                let mut framed = frame_packets(stream);
+                let hello_timeout = Duration::from_secs_f64(HELLO_TIMEOUT_SECONDS);
+                let accepted =
+                    timeout(hello_timeout, connections.answer_hello(&mut framed, connection.clone()))
+                        .await
+                        .ok()
+                        .flatten();
+                connections.pending_hellos.set(connections.pending_hellos.get() - 1);
+                if let Some((id, own_id)) = accepted {
+                    connections.exchange_frames(id, own_id, framed, &connection, packets).await;
                 }
             });
             abort.replace(Some(task.abort_handle()));
         }
     }
 
-    /// Waits for a caller's hello and answers it: its birth, and the own one that it was told.
-    async fn greeted(
-        &self, wire: &mut Framed<TcpStream, LengthDelimitedCodec>, link: Connection,
+    /// Waits for a caller's hello and replies to it. Returns the caller's id and the own id in the reply, if the caller
+    /// is accepted.
+    async fn answer_hello(
+        &self, framed: &mut Framed<TcpStream, LengthDelimitedCodec>, connection: Connection,
     ) -> Option<(MemberId, MemberId)> {
-        let packet = wire.next().await?.ok()?;
+        let packet = framed.next().await?.ok()?;
         let hello: Hello = fawnspoke_frames::read_hello(&packet).ok()?;
         let id = hello.id;
-        let (answer, answered) = oneshot::channel();
+        let (reply, received_reply) = oneshot::channel();
         let hello = Box::new(hello);
-        self.events.send(Event::Hello { hello, called: false, answer, link }).ok()?;
-        let (own, accepted) = answered.await.ok()?;
-        wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await.ok()?;
-        accepted.then_some((id, own.id))
+        self.events.send(Event::Hello { hello, outgoing: false, reply, connection }).ok()?;
+        let (own_hello, accepted) = received_reply.await.ok()?;
+        framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await.ok()?;
+        accepted.then_some((id, own_hello.id))
     }
 
-    /// Calls one member over and over.
-    async fn call(self, name: String, at: SocketAddr) {
-        let mut pause = AGAIN.0;
+    /// Calls one member again and again, with a delay that grows while it can't be reached.
+    async fn keep_calling(self, name: String, address: SocketAddr) {
+        let mut delay = RECONNECT_DELAY.0;
         loop {
-            let (link, frames) = self.link();
-            let (links, other) = (self.clone(), name.clone());
-            let abort = link.abort.clone();
-            let task = spawn_local(async move { links.once(&other, at, link, frames).await });
+            let (connection, packets) = self.new_connection();
+            let (connections, target) = (self.clone(), name.clone());
+            let abort = connection.abort.clone();
+            let task =
+                spawn_local(
+                    async move { connections.call_once(&target, address, connection, packets).await },
+                );
             abort.replace(Some(task.abort_handle()));
             match task.await {
-                Ok(Some(true)) => pause = AGAIN.0,
-                Ok(Some(false)) => pause = REFUSED,
-                _ => pause = (pause * 2).min(AGAIN.1),
+                Ok(Some(true)) => delay = RECONNECT_DELAY.0,
+                Ok(Some(false)) => delay = REJECTED_DELAY,
+                _ => delay = (delay * 2).min(RECONNECT_DELAY.1),
             }
-            sleep(pause).await;
+            sleep(delay).await;
         }
     }
 
-    /// One connection to its end: whether the other side spoke; nothing where it never came up.
-    async fn once(
-        &self, name: &str, at: SocketAddr, link: Connection, frames: Receiver<Queued>,
+    /// Runs one outgoing connection until it closes. Returns whether both sides accepted each other, or nothing if they
+    /// did not exchange hellos.
+    async fn call_once(
+        &self, name: &str, address: SocketAddr, connection: Connection, packets: Receiver<QueuedPacket>,
     ) -> Option<bool> {
-        let hello = Hello { to: name.into(), ..self.hello.borrow().clone()? };
-        let patience = Duration::from_secs_f64(HELLO_TIME);
-        let stream = timeout(CONNECT_TIME, TcpStream::connect(at)).await.ok()?.ok()?;
-        let mut wire = codec(stream);
-        let said = async {
-            wire.send(Bytes::from(fawnspoke_frames::hello_packet(&hello).ok()?)).await.ok()?;
-            let packet = wire.next().await?.ok()?;
+        let own_hello = Hello { to: name.into(), ..self.hello.borrow().clone()? };
+        let hello_timeout = Duration::from_secs_f64(HELLO_TIMEOUT_SECONDS);
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
+        let mut framed = frame_packets(stream);
+        let exchange_hellos = async {
+            framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await.ok()?;
+            let packet = framed.next().await?.ok()?;
             fawnspoke_frames::read_hello::<Hello>(&packet).ok()
         };
-        let theirs = Box::new(timeout(patience, said).await.ok().flatten()?);
-        if theirs.rejection.is_some() {
-            let _ = self.events.send(Event::Refused { name: name.into(), refused: hello.id, hello: theirs });
+        let peer_hello = Box::new(timeout(hello_timeout, exchange_hellos).await.ok().flatten()?);
+        if peer_hello.rejection.is_some() {
+            let _ = self.events.send(Event::Rejected {
+                name: name.into(),
+                rejected_id: own_hello.id,
+                hello: peer_hello,
+            });
             return Some(false);
         }
-        let id = theirs.id;
-        let (answer, answered) = oneshot::channel();
-        self.events.send(Event::Hello { hello: theirs, called: true, answer, link: link.clone() }).ok()?;
-        let (own, accepted) = answered.await.ok()?;
+        let id = peer_hello.id;
+        let (reply, received_reply) = oneshot::channel();
+        self.events
+            .send(Event::Hello { hello: peer_hello, outgoing: true, reply, connection: connection.clone() })
+            .ok()?;
+        let (own_hello, accepted) = received_reply.await.ok()?;
         if !accepted {
-            // The one that was called learns why.
-            let _ = wire.send(Bytes::from(fawnspoke_frames::hello_packet(&own).ok()?)).await;
+            // Tells the other side why.
+            let _ = framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await;
             return Some(false);
         }
-        self.run(id, own.id, wire, &link, frames).await;
+        self.exchange_frames(id, own_hello.id, framed, &connection, packets).await;
         Some(true)
     }
 
-    /// Carries frames both ways until one side ends.
-    async fn run(
-        &self, id: MemberId, own: MemberId, wire: Framed<TcpStream, LengthDelimitedCodec>, link: &Connection,
-        mut frames: Receiver<Queued>,
+    /// Sends and receives frames until either side closes the connection.
+    async fn exchange_frames(
+        &self, id: MemberId, own_id: MemberId, framed: Framed<TcpStream, LengthDelimitedCodec>,
+        connection: &Connection, mut packets: Receiver<QueuedPacket>,
     ) {
-        let _ended = Ended { links: self.clone(), id, number: link.number };
-        let (mut sink, mut source) = wire.split::<Bytes>();
-        let silent = Duration::from_secs_f64(SILENT_TERMS * self.file.term_s);
+        let _guard = ClosedGuard { connections: self.clone(), id, number: connection.number };
+        let (mut sink, mut source) = framed.split::<Bytes>();
+        let read_timeout = Duration::from_secs_f64(READ_TIMEOUT_TERMS * self.config.term_s);
         let write = async {
-            // What waits when the link ends is lost with it.
-            while let Some(queued) = frames.recv().await {
+            // Packets that are still queued when the connection closes are lost.
+            while let Some(queued) = packets.recv().await {
                 let packet = Bytes::copy_from_slice(&queued.packet);
-                if !matches!(timeout(WRITE_TIME, sink.send(packet)).await, Ok(Ok(()))) {
+                if !matches!(timeout(WRITE_TIMEOUT, sink.send(packet)).await, Ok(Ok(()))) {
                     break;
                 }
             }
         };
         let read = async {
-            while let Ok(Some(Ok(packet))) = timeout(silent, source.next()).await {
+            while let Ok(Some(Ok(packet))) = timeout(read_timeout, source.next()).await {
                 let Ok(frame) = fawnspoke_frames::read::<Frame>(&packet) else {
-                    // What can't be read ends its link, and so does a caller's refusal.
+                    // An invalid frame closes the connection, and so does a hello by which the caller rejects this
+                    // side.
                     if let Ok(hello) = fawnspoke_frames::read_hello::<Hello>(&packet)
                         && hello.rejection.is_some()
                     {
                         let (name, hello) = (hello.name.clone(), Box::new(hello));
-                        let _ = self.events.send(Event::Refused { name, refused: own, hello });
+                        let _ = self.events.send(Event::Rejected { name, rejected_id: own_id, hello });
                     }
                     break;
                 };
-                // A peer that says more than is heard waits, and its socket with it.
+                // Backpressure: reading pauses while the thread has too many bytes of frames to handle.
                 let bytes = packet.len().max(1) as u32;
-                let Ok(unheard) = self.unheard.clone().acquire_many_owned(bytes).await else { break };
-                let frame = Event::Frame { from: id, link: link.number, frame, _unheard: unheard };
+                let Ok(permit) = self.receive_budget.clone().acquire_many_owned(bytes).await else { break };
+                let frame =
+                    Event::Frame { from: id, connection: connection.number, frame, _receive_permit: permit };
                 if self.events.send(frame).is_err() {
                     break;
                 }
@@ -319,16 +338,16 @@
     }
 }
 
-/// Tells that a link has ended, however it did.
-struct Ended {
-    links: Connections,
+/// Reports the end of a connection when dropped, also if its task is aborted.
+struct ClosedGuard {
+    connections: Connections,
     id: MemberId,
     number: u64,
 }
 
-impl Drop for Ended {
+impl Drop for ClosedGuard {
     fn drop(&mut self) {
-        let _ = self.links.events.send(Event::Ended(self.id, self.number));
+        let _ = self.connections.events.send(Event::Closed(self.id, self.number));
     }
 }
 
@@ -337,26 +356,30 @@
     use super::*;
 
     #[test]
-    fn what_a_link_took_of_the_room_is_free_once_it_has_ended() {
-        let room = Rc::new(Cell::new(1000));
-        let link = |room: &Rc<Cell<usize>>| {
-            let (queue, frames) = channel(QUEUE);
-            (Connection { number: 1, queue, room: room.clone(), abort: Rc::default() }, frames)
+    fn a_closed_connection_returns_its_bytes_to_the_send_budget() {
+        let send_budget = Rc::new(Cell::new(1000));
+        let new_connection = |send_budget: &Rc<Cell<usize>>| {
+            let (queue, packets) = channel(SEND_QUEUE_PACKETS);
+            (Connection { number: 1, queue, send_budget: send_budget.clone(), abort: Rc::default() }, packets)
         };
         for _ in 0..10 {
-            let (link, frames) = link(&room);
-            assert!(link.send(vec![0; 400]) && link.send(vec![0; 400]) && !link.send(vec![0; 400]));
-            assert_eq!(room.get(), 200);
-            // The link ends with both in its queue.
-            drop(frames);
-            drop(link);
-            assert_eq!(room.get(), 1000);
+            let (connection, packets) = new_connection(&send_budget);
+            assert!(
+                connection.send(vec![0; 400])
+                    && connection.send(vec![0; 400])
+                    && !connection.send(vec![0; 400])
+            );
+            assert_eq!(send_budget.get(), 200);
+            // The connection closes with both packets queued.
+            drop(packets);
+            drop(connection);
+            assert_eq!(send_budget.get(), 1000);
         }
-        let (link, mut frames) = link(&room);
+        let (connection, mut packets) = new_connection(&send_budget);
         for _ in 0..100 {
-            assert!(link.send(vec![0; 900]));
-            assert_eq!(frames.try_recv().map(|queued| queued.packet.len()).ok(), Some(900));
+            assert!(connection.send(vec![0; 900]));
+            assert_eq!(packets.try_recv().map(|queued| queued.packet.len()).ok(), Some(900));
         }
-        assert!(!link.send(vec![0; PACKET_MOST + 1]));
+        assert!(!connection.send(vec![0; MAX_PACKET_BYTES + 1]));
     }
 }
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,13 +1,15 @@
-//! A member without sockets, files and clocks. Times, frames and the dispatcher's facts go in; records to be synced,
-//! frames and news come out. The caller's order is: [`Core::take_records`], sync what it gives, [`Core::records_persisted`], send
-//! [`Core::take_frames`].
+//! One member of the fleet without I/O. Times, frames and the dispatcher's reports go in; records to persist, frames to
+//! send and updates for the dispatcher come out.
+//!
+//! The caller has to keep this order: [`Core::take_records`], persist them, [`Core::records_persisted`], send
+//! [`Core::take_frames`]. A frame that is sent before the records are synced could acknowledge what a crash then loses.
 
-use crate::config::{ELECTION_BEATS, FleetConfig, MAX_MEMBERS};
+use crate::config::{ELECTION_TICKS, FleetConfig, MAX_MEMBERS};
 use crate::identity::{Identity, LogPosition};
 use crate::leadership_confirmation::Confirmations;
-use crate::members::{Change, Known, Members, caught_up};
-use crate::memory_log::{ENTRY, MemoryLog};
-use crate::raft_types::{Conf, ENTRIES_MOST, Entry, HardState, Message, Snapshot};
+use crate::members::{Change, ChangeContext, Members, caught_up};
+use crate::memory_log::{ENTRY_OVERHEAD_BYTES, MemoryLog};
+use crate::raft_types::{ConfState, Entry, HardState, MAX_ENTRIES_PER_MESSAGE, Message, Snapshot};
 use crate::record_checks::RecordChecks;
 use crate::state_machine::{MemberView, StateMachine};
 use crate::store::Record;
@@ -19,398 +21,419 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// After a stall no more beats than this are made up for.
-const BEATS_MOST: u32 = 2;
-/// Bytes of entries in one message.
-const MESSAGE_BYTES: u64 = 64 << 10;
-/// Messages of entries on their way to one member.
-const INFLIGHT: usize = 32;
-/// Bytes of entries that are proposed and not agreed; more are turned away.
-const UNAGREED_BYTES: u64 = 1 << 20;
-/// Whether a snapshot has come is asked so many beats after it was sent.
-const SNAPSHOT_BEATS: u32 = ELECTION_BEATS as u32;
-/// Whoever asked to join and was not heard for so many beats asks no more.
-const ASKING_BEATS: f64 = 20.0;
-/// Bytes of a proposal.
-const PROPOSAL_MOST: usize = 16 << 10;
-
-/// Why a member can't begin.
+/// Maximum number of ticks that are made up for after the thread was stalled.
+const MAX_CATCH_UP_TICKS: u32 = 2;
+/// Maximum size of the entries in one message.
+const MAX_MESSAGE_BYTES: u64 = 64 << 10;
+/// Maximum number of append messages in flight to one member.
+const MAX_INFLIGHT_MESSAGES: usize = 32;
+/// Maximum size of the proposed entries that are not committed; further proposals are rejected.
+const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
+/// Number of ticks after which a sent snapshot is taken for delivered, so that the library probes whether it was.
+const SNAPSHOT_TICKS: u32 = ELECTION_TICKS as u32;
+/// A join request expires unless it is repeated within this many heartbeat intervals.
+const JOIN_REQUEST_HEARTBEATS: f64 = 20.0;
+/// Maximum size of a proposal.
+const MAX_PROPOSAL_BYTES: usize = 16 << 10;
+
+/// Why a member can't start or go on.
 #[derive(Debug, thiserror::Error)]
 pub enum CoreError {
-    /// The library refuses what is on record.
-    #[error("the agreed log: {0}")]
+    /// The Raft library rejects the persisted state.
+    #[error("the replicated log: {0}")]
     Library(#[from] raft::Error),
-    /// The state in the snapshot can't be read.
-    #[error("the snapshot can't be read; another program's?")]
+    /// A snapshot can't be decoded.
+    #[error("the snapshot can't be decoded; it may come from another program")]
     Snapshot,
 }
 
-/// The state in a snapshot.
+/// The content of a snapshot.
 #[derive(Serialize, Deserialize)]
-struct Image {
+struct SnapshotData {
     members: Members,
-    part: Vec<u8>,
+    state_machine: Vec<u8>,
 }
 
-/// A member.
-pub struct Core<P: StateMachine> {
-    file: Arc<FleetConfig>,
+/// A member of the fleet.
+pub struct Core<S: StateMachine> {
+    config: Arc<FleetConfig>,
     identity: Identity,
-    raw: RawNode<MemoryLog>,
-    part: P,
+    raft_node: RawNode<MemoryLog>,
+    state_machine: S,
     members: Members,
-    beat_at: Seconds,
+    next_tick_at: Seconds,
     rng: fastrand::Rng,
-    /// Being synced.
-    pending: Option<Ready>,
+    /// The library's output whose records are being persisted.
+    pending_ready: Option<Ready>,
     frames: Vec<(MemberId, Frame)>,
-    news: Vec<P::Update>,
-    cut: bool,
-    leads: bool,
-    /// The term of that leadership.
-    led: u64,
-    /// Beats to the next election, and the term for which they were drawn.
-    drawn: Option<(u64, usize)>,
+    updates: Vec<S::Update>,
+    compaction_due: bool,
+    is_leader: bool,
+    /// The term in which `is_leader` was determined.
+    leadership_term: u64,
+    /// The election timeout in ticks, and the term for which it was drawn.
+    election_timeout: Option<(u64, usize)>,
     applied: u64,
-    /// As a leader: who wants to join, and since when it has not said so.
-    asking: BTreeMap<MemberId, (String, Seconds)>,
+    /// As a leader: the names of those that request to join, and when they last did.
+    join_requests: BTreeMap<MemberId, (String, Seconds)>,
     confirmations: Confirmations,
-    looks: RecordChecks,
-    /// Members with a link: their names.
-    linked: BTreeMap<MemberId, String>,
-    /// Snapshots on their way, and the beats until a probe finds out whether they have come.
-    snapshots: BTreeMap<MemberId, u32>,
+    record_checks: RecordChecks,
+    /// The names of the members with a connection.
+    connected: BTreeMap<MemberId, String>,
+    /// Receivers of snapshots, with the number of ticks until delivery is assumed.
+    snapshots_in_flight: BTreeMap<MemberId, u32>,
 }
 
-/// The first record of a fleet, with one voter.
-pub fn bootstrap_records(identity: &Identity, part: &impl StateMachine) -> Result<Vec<Record>, CoreError> {
+/// The first records of a new fleet whose only voter is this member.
+pub fn bootstrap_records(
+    identity: &Identity, state_machine: &impl StateMachine,
+) -> Result<Vec<Record>, CoreError> {
     let mut members = Members::default();
     members.apply(&Change::Join { id: identity.id, name: identity.name.clone() });
     members.apply(&Change::Promote(identity.id));
-    let data = image(&members, part)?;
-    let conf = Conf { voters: vec![identity.id], learners: Vec::new() };
-    let hard = HardState { term: 1, vote: 0, commit: 1 };
-    Ok(vec![Record::Snapshot(Snapshot { index: 1, term: 1, conf, data }), Record::HardState(hard)])
+    let data = snapshot_data(&members, state_machine)?;
+    let conf_state = ConfState { voters: vec![identity.id], learners: Vec::new() };
+    let hard_state = HardState { term: 1, vote: 0, commit: 1 };
+    Ok(vec![
+        Record::Snapshot(Snapshot { index: 1, term: 1, conf_state, data }),
+        Record::HardState(hard_state),
+    ])
 }
 
-fn image(members: &Members, part: &impl StateMachine) -> Result<Vec<u8>, CoreError> {
-    let image = Image { members: members.clone(), part: part.snapshot() };
-    postcard::to_stdvec(&image).map_err(|_| CoreError::Snapshot)
+fn snapshot_data(members: &Members, state_machine: &impl StateMachine) -> Result<Vec<u8>, CoreError> {
+    let data = SnapshotData { members: members.clone(), state_machine: state_machine.snapshot() };
+    postcard::to_stdvec(&data).map_err(|_| CoreError::Snapshot)
 }
 
-fn in_the_librarys_form(change: &Change) -> ConfChange {
+fn to_lib_change(change: &Change) -> ConfChange {
     let (kind, id) = match change {
         Change::Join { id, .. } => (ConfChangeType::AddLearnerNode, *id),
         Change::Promote(id) => (ConfChangeType::AddNode, *id),
         Change::Remove(id) => (ConfChangeType::RemoveNode, *id),
     };
-    let mut form = ConfChange { node_id: id, ..ConfChange::default() };
-    form.set_change_type(kind);
-    form
+    let mut lib_change = ConfChange { node_id: id, ..ConfChange::default() };
+    lib_change.set_change_type(kind);
+    lib_change
 }
 
-impl<P: StateMachine> Core<P> {
-    /// A member with what is on record. Equal seeds and inputs give equal outputs.
+impl<S: StateMachine> Core<S> {
+    /// Starts a member from its persisted records. The same seed and inputs always give the same outputs.
     ///
     /// # Errors
-    /// Where the record can't be used.
+    /// If the records can't be used.
     pub fn new(
-        file: Arc<FleetConfig>, identity: Identity, records: Vec<Record>, part: P, now: Seconds, seed: u64,
-    ) -> Result<Core<P>, CoreError> {
-        let memory = MemoryLog::of(records);
-        let applied = memory.snapshot.index;
-        let image = memory.snapshot.data.clone();
-        let config = Config {
+        config: Arc<FleetConfig>, identity: Identity, records: Vec<Record>, state_machine: S, now: Seconds,
+        seed: u64,
+    ) -> Result<Core<S>, CoreError> {
+        let log = MemoryLog::from_records(records);
+        let applied = log.snapshot.index;
+        let data = log.snapshot.data.clone();
+        let raft_config = Config {
             id: identity.id,
-            election_tick: ELECTION_BEATS,
+            election_tick: ELECTION_TICKS,
             heartbeat_tick: 1,
             applied,
-            max_size_per_msg: MESSAGE_BYTES,
-            max_inflight_msgs: INFLIGHT,
+            max_size_per_msg: MAX_MESSAGE_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: UNAGREED_BYTES,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let mut core = Core {
-            raw: RawNode::new(&config, memory, &logger)?,
-            file,
+            raft_node: RawNode::new(&raft_config, log, &logger)?,
+            config,
             identity,
-            part,
+            state_machine,
             members: Members::default(),
-            beat_at: now,
+            next_tick_at: now,
             rng: fastrand::Rng::with_seed(seed),
-            pending: None,
+            pending_ready: None,
             frames: Vec::new(),
-            news: Vec::new(),
-            cut: false,
-            leads: false,
-            led: 0,
-            drawn: None,
+            updates: Vec::new(),
+            compaction_due: false,
+            is_leader: false,
+            leadership_term: 0,
+            election_timeout: None,
             applied,
-            asking: BTreeMap::new(),
+            join_requests: BTreeMap::new(),
             confirmations: Confirmations::default(),
-            looks: RecordChecks::default(),
-            linked: BTreeMap::new(),
-            snapshots: BTreeMap::new(),
+            record_checks: RecordChecks::default(),
+            connected: BTreeMap::new(),
+            snapshots_in_flight: BTreeMap::new(),
         };
-        core.part.set_member_id(core.identity.id);
+        core.state_machine.set_member_id(core.identity.id);
         if applied > 0 {
-            core.restore(now, &image)?;
+            core.restore(now, &data)?;
         }
-        core.draw();
+        core.set_election_timeout();
         Ok(core)
     }
 
-    /// Who this is.
+    /// This member's identity.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// How far its record goes.
+    /// How far this member's persisted state reaches.
     pub fn log_position(&self) -> LogPosition {
-        let memory = self.raw.store();
-        LogPosition { term: memory.hard.term, voted: memory.hard.vote != 0, last: memory.last() }
+        let log = self.raft_node.store();
+        LogPosition {
+            term: log.hard_state.term,
+            voted: log.hard_state.vote != 0,
+            last_index: log.last_entry_index(),
+        }
     }
 
-    /// The members, as agreed.
+    /// The members, as committed.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// What stands on the log.
-    pub fn state_machine(&self) -> &P {
-        &self.part
+    /// The replicated state machine.
+    pub fn state_machine(&self) -> &S {
+        &self.state_machine
     }
 
-    /// Whether this member leads, as far as it knows.
+    /// Whether this member is the leader, as far as it knows.
     pub fn is_leader(&self) -> bool {
-        self.leads
+        self.is_leader
     }
 
-    /// The leader, as far as it knows.
+    /// The leader, as far as this member knows.
     pub fn leader(&self) -> Option<MemberId> {
-        Some(self.raw.raft.leader_id).filter(|id| *id != 0)
+        Some(self.raft_node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// All up to this place is applied.
+    /// The index up to which the log is applied.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The library's term.
+    /// The current Raft term.
     pub fn term(&self) -> u64 {
-        self.raw.raft.term
+        self.raft_node.raft.term
     }
 
     /// When [`Core::tick`] is due next.
     pub fn next_tick_at(&self) -> Seconds {
-        self.beat_at
+        self.next_tick_at
     }
 
-    /// Whether it takes part in the library's protocol yet.
+    /// Whether this member takes part in Raft: see [`RecordChecks`].
     pub fn is_participating(&self) -> bool {
-        self.looks.spoke()
+        self.record_checks.is_participating()
     }
 
-    /// A link has come up. The other side's record is judged by what it has acknowledged here. Another birth of its name that
-    /// has a link gives that up: a name has one link.
+    /// A connection to a member has opened. Its hello is checked against what it has acknowledged to this member.
+    /// Returns another incarnation of the same name whose connection is to be closed: a name has only one connection.
     ///
     /// # Errors
-    /// Where it is an older copy.
+    /// If the member's state directory is an older copy.
     pub fn peer_connected(
-        &mut self, id: MemberId, name: &str, life: u64, mark: &LogPosition,
+        &mut self, id: MemberId, name: &str, start_count: u64, position: &LogPosition,
     ) -> Result<Option<MemberId>, Rejection> {
-        self.looks.judge(id, life, mark, &self.members)?;
-        let other =
-            self.linked.iter().find(|(other, of)| **other != id && *of == name).map(|(other, _)| *other);
-        self.linked.insert(id, name.to_string());
-        Ok(other)
-    }
-
-    /// This side called, and the other speaks with it: it has looked. It learns the same of this one, or it might wait for
-    /// ever for somebody to say something.
+        self.record_checks.verify_hello(id, start_count, position, &self.members)?;
+        let previous = self
+            .connected
+            .iter()
+            .find(|(other, other_name)| **other != id && *other_name == name)
+            .map(|(other, _)| *other);
+        self.connected.insert(id, name.to_string());
+        Ok(previous)
+    }
+
+    /// The other side has accepted a connection that this member opened, so it has verified this member's hello. It is
+    /// told that this member has verified its hello too; else both could wait forever for the first frame.
     pub fn peer_accepted(&mut self, id: MemberId) {
-        self.looks.looked_by(id);
+        self.record_checks.record_verified_by(id);
         self.frames.push((id, Frame::HelloVerified));
     }
 
-    /// A link has ended.
+    /// The connection to a member has closed.
     pub fn peer_disconnected(&mut self, id: MemberId) {
-        self.linked.remove(&id);
-        self.raw.report_unreachable(id);
+        self.connected.remove(&id);
+        self.raft_node.report_unreachable(id);
     }
 
-    /// Members that are linked.
+    /// The names of the members with a connection.
     pub fn connected_members(&self) -> &BTreeMap<MemberId, String> {
-        &self.linked
+        &self.connected
     }
 
-    /// Time has passed.
+    /// Advances the clock to `now`.
     pub fn tick(&mut self, now: Seconds) {
-        let speaks = self.looks.speaks(self.identity.id, &self.members);
-        let beat = self.file.heartbeat_interval();
-        let mut beats = 0;
-        while now >= self.beat_at {
-            self.beat_at += beat;
-            beats += 1;
-            if beats <= BEATS_MOST && speaks {
-                self.raw.tick();
+        let is_participating = self.record_checks.update_participation(self.identity.id, &self.members);
+        let interval = self.config.heartbeat_interval();
+        let mut ticks = 0;
+        while now >= self.next_tick_at {
+            self.next_tick_at += interval;
+            ticks += 1;
+            if ticks <= MAX_CATCH_UP_TICKS && is_participating {
+                self.raft_node.tick();
             }
-            if beats > BEATS_MOST {
-                self.beat_at = self.beat_at.max(now);
+            if ticks > MAX_CATCH_UP_TICKS {
+                self.next_tick_at = self.next_tick_at.max(now);
             }
         }
-        self.ask_for_snapshots(beats);
-        self.draw();
-        let member = self.members.0.contains_key(&self.identity.id);
-        if beats > 0 && !member {
-            let linked: Vec<MemberId> = self.linked.keys().copied().collect();
-            self.frames.extend(linked.into_iter().map(|id| (id, Frame::Join)));
+        self.report_delivered_snapshots(ticks);
+        self.set_election_timeout();
+        let is_member = self.members.0.contains_key(&self.identity.id);
+        if ticks > 0 && !is_member {
+            let connected: Vec<MemberId> = self.connected.keys().copied().collect();
+            self.frames.extend(connected.into_iter().map(|id| (id, Frame::Join)));
         }
-        // Whoever does not know yet that it is a member has nothing to hold.
-        if member && let Some(question) = self.part.confirmation_request(now) {
+        // A process that is not a member, as far as it knows, holds nothing and needs no confirmation.
+        if is_member && let Some(request) = self.state_machine.confirmation_request(now) {
             match self.leader() {
-                Some(id) if id == self.identity.id => self.ask(now, id, question),
-                Some(id) => self.frames.push((id, Frame::ConfirmLeadership(question))),
+                Some(id) if id == self.identity.id => self.request_confirmation(now, id, request),
+                Some(id) => self.frames.push((id, Frame::ConfirmLeadership(request))),
                 None => {}
             }
         }
-        if self.leads {
+        if self.is_leader {
             self.change_members(now);
         }
         self.decide(now);
     }
 
-    /// Has the library probe whether snapshots have come that were sent a while ago; what was lost goes again.
-    fn ask_for_snapshots(&mut self, beats: u32) {
-        self.snapshots.values_mut().for_each(|left| *left = left.saturating_sub(beats));
-        let due: Vec<MemberId> =
-            self.snapshots.iter().filter(|(_, left)| **left == 0).map(|(id, _)| *id).collect();
+    /// Reports snapshots as delivered some ticks after they were sent. The library then probes the receiver, and sends
+    /// a lost snapshot again.
+    fn report_delivered_snapshots(&mut self, ticks: u32) {
+        self.snapshots_in_flight
+            .values_mut()
+            .for_each(|remaining| *remaining = remaining.saturating_sub(ticks));
+        let due: Vec<MemberId> = self
+            .snapshots_in_flight
+            .iter()
+            .filter(|(_, remaining)| **remaining == 0)
+            .map(|(id, _)| *id)
+            .collect();
         for to in due {
-            self.snapshots.remove(&to);
-            self.raw.report_snapshot(to, SnapshotStatus::Finish);
+            self.snapshots_in_flight.remove(&to);
+            self.raft_node.report_snapshot(to, SnapshotStatus::Finish);
         }
     }
 
-    /// The time to the next election, by this member's own chance, one for each term: the library draws anew whenever it
-    /// counts anew, by a chance that is no seed's.
-    fn draw(&mut self) {
-        let term = self.raw.raft.term;
-        if self.drawn.is_none_or(|(of, _)| of != term) {
-            self.drawn = Some((term, ELECTION_BEATS + self.rng.usize(0..ELECTION_BEATS)));
+    /// Sets the election timeout to one drawn from this member's own seed, once for each term. The library draws a new
+    /// one whenever it resets its timer, from a random generator that can't be seeded.
+    fn set_election_timeout(&mut self) {
+        let term = self.raft_node.raft.term;
+        if self.election_timeout.is_none_or(|(drawn_for, _)| drawn_for != term) {
+            self.election_timeout = Some((term, ELECTION_TICKS + self.rng.usize(0..ELECTION_TICKS)));
         }
-        if let Some((_, beats)) = self.drawn {
-            self.raw.raft.set_randomized_election_timeout(beats);
+        if let Some((_, ticks)) = self.election_timeout {
+            self.raft_node.raft.set_randomized_election_timeout(ticks);
         }
     }
 
-    /// A frame has come from a member with a link.
+    /// Handles a frame from a connected member.
     pub fn receive_frame(&mut self, now: Seconds, from: MemberId, frame: Frame) {
-        // Whoever sends anything has looked.
-        self.looks.looked_by(from);
+        // A member sends frames only after it has verified this member's hello.
+        self.record_checks.record_verified_by(from);
         match frame {
             Frame::Raft(message) => {
-                if message.from != from || message.to != self.identity.id || !self.looks.spoke() {
+                if message.from != from
+                    || message.to != self.identity.id
+                    || !self.record_checks.is_participating()
+                {
                     return;
                 }
                 if let Some(acknowledged) = message.acknowledges() {
-                    self.looks.acknowledged(from, acknowledged);
+                    self.record_checks.record_acknowledgement(from, acknowledged);
                 }
-                if let Ok(message) = message.lib() {
-                    // What the library finds out of place is as good as lost.
-                    let _ = self.raw.step(message);
+                if let Ok(message) = message.to_lib() {
+                    // A message that the library rejects is treated as lost.
+                    let _ = self.raft_node.step(message);
                 }
-                self.draw();
+                self.set_election_timeout();
             }
             Frame::HelloVerified => {}
             Frame::Join => {
-                if let Some(name) = self.linked.get(&from).filter(|_| self.leads) {
-                    self.asking.insert(from, (name.clone(), now));
+                if let Some(name) = self.connected.get(&from).filter(|_| self.is_leader) {
+                    self.join_requests.insert(from, (name.clone(), now));
                 }
             }
-            Frame::ConfirmLeadership(question) => self.ask(now, from, question),
-            Frame::LeadershipConfirmed { request: question, required_index: after }
-                if self.leader() == Some(from) =>
-            {
-                self.part.leadership_confirmed(now, question, after);
+            Frame::ConfirmLeadership(request) => self.request_confirmation(now, from, request),
+            Frame::LeadershipConfirmed { request, required_index } if self.leader() == Some(from) => {
+                self.state_machine.leadership_confirmed(now, request, required_index);
             }
             Frame::LeadershipConfirmed { .. } => {}
-            Frame::Propose(entry) if self.part.accepts_proposal(&entry) => self.propose(entry),
+            Frame::Propose(entry) if self.state_machine.accepts_proposal(&entry) => self.propose(entry),
             Frame::Propose(_) => {}
         }
         self.decide(now);
     }
 
-    /// The dispatcher tells something.
-    pub fn handle_input(&mut self, now: Seconds, fact: P::Input) {
-        self.part.handle_input(now, fact);
+    /// Passes a report of the dispatcher to the state machine.
+    pub fn handle_input(&mut self, now: Seconds, input: S::Input) {
+        self.state_machine.handle_input(now, input);
         self.decide(now);
     }
 
-    /// A question has come to this member, or is its own.
-    fn ask(&mut self, now: Seconds, from: MemberId, question: u64) {
-        if !self.leads || !self.members.0.contains_key(&from) {
+    /// Queues a confirmation request, of another member or of this one.
+    fn request_confirmation(&mut self, now: Seconds, from: MemberId, request: u64) {
+        if !self.is_leader || !self.members.0.contains_key(&from) {
             return;
         }
-        self.part.request_received(now, from);
-        self.confirmations.ask(from, question);
-        self.ask_majority(now);
+        self.state_machine.request_received(now, from);
+        self.confirmations.request(from, request);
+        self.start_confirmation_round(now);
     }
 
-    /// Asks a majority whether this member still leads, for all questions that wait.
-    fn ask_majority(&mut self, now: Seconds) {
-        if self.raw.raft.commit_to_current_term()
-            && let Some(context) = self.confirmations.next(now, self.file.heartbeat_interval())
+    /// Asks a majority whether this member still leads, on behalf of all waiting requests.
+    fn start_confirmation_round(&mut self, now: Seconds) {
+        if self.raft_node.raft.commit_to_current_term()
+            && let Some(context) = self.confirmations.next_round(now, self.config.heartbeat_interval())
         {
-            self.raw.read_index(context);
+            self.raft_node.read_index(context);
         }
     }
 
-    fn answer(&mut self, now: Seconds, context: &[u8]) {
-        // What this leader has given away so far has its place at or before its log's end.
-        let after = self.raw.raft.raft_log.last_index();
-        for (to, question) in self.confirmations.answered(context) {
+    fn answer_confirmations(&mut self, now: Seconds, context: &[u8]) {
+        // Everything that this leader has granted so far is in its log at or before the last index.
+        let required_index = self.raft_node.raft.raft_log.last_index();
+        for (to, request) in self.confirmations.complete_round(context) {
             if to == self.identity.id {
-                self.part.leadership_confirmed(now, question, after);
+                self.state_machine.leadership_confirmed(now, request, required_index);
             } else {
-                self.frames
-                    .push((to, Frame::LeadershipConfirmed { request: question, required_index: after }));
+                self.frames.push((to, Frame::LeadershipConfirmed { request, required_index }));
             }
         }
-        self.ask_majority(now);
+        self.start_confirmation_round(now);
     }
 
     fn propose(&mut self, entry: Vec<u8>) {
-        if self.leads && entry.len() <= PROPOSAL_MOST {
-            // Turned away is as good as lost: whoever wants it says so again.
-            let _ = self.raw.propose(Vec::new(), entry);
+        if self.is_leader && entry.len() <= MAX_PROPOSAL_BYTES {
+            // A rejected proposal is treated as lost: whoever made it repeats it.
+            let _ = self.raft_node.propose(Vec::new(), entry);
         }
     }
 
     fn change_members(&mut self, now: Seconds) {
-        let patience = ASKING_BEATS * self.file.heartbeat_interval();
-        self.asking.retain(|id, (_, at)| now - *at < patience && !self.members.0.contains_key(id));
-        if self.raw.raft.has_pending_conf() {
+        let request_timeout = JOIN_REQUEST_HEARTBEATS * self.config.heartbeat_interval();
+        self.join_requests
+            .retain(|id, (_, at)| now - *at < request_timeout && !self.members.0.contains_key(id));
+        if self.raft_node.raft.has_pending_conf() {
             return;
         }
-        let asking = self.asking.iter().map(|(id, (name, _))| (*id, name.clone())).collect();
-        let (last, me) = (self.raw.raft.raft_log.committed, self.identity.id);
-        let progress = self.raw.raft.prs();
+        let join_requests = self.join_requests.iter().map(|(id, (name, _))| (*id, name.clone())).collect();
+        let (committed, own_id) = (self.raft_node.raft.raft_log.committed, self.identity.id);
+        let progress = self.raft_node.raft.prs();
         let caught_up = |id: MemberId| {
-            id != me && progress.get(id).is_some_and(|p| caught_up(p.recent_active, p.matched, last))
+            id != own_id && progress.get(id).is_some_and(|p| caught_up(p.recent_active, p.matched, committed))
         };
-        let change = self.members.next(&Known {
-            asking: &asking,
-            named: &|name| self.file.member.get(name).map(|peer| peer.voter),
-            lapsed: &|id| self.part.lease_expired(now, id),
+        let change = self.members.next_change(&ChangeContext {
+            join_requests: &join_requests,
+            configured_voter: &|name| self.config.member.get(name).map(|peer| peer.voter),
+            lease_expired: &|id| self.state_machine.lease_expired(now, id),
             caught_up: &caught_up,
-            most: MAX_MEMBERS,
+            max_members: MAX_MEMBERS,
         });
         let Some(change) = change else { return };
         if let Ok(context) = postcard::to_stdvec(&change) {
-            let _ = self.raw.propose_conf_change(context, in_the_librarys_form(&change));
+            let _ = self.raft_node.propose_conf_change(context, to_lib_change(&change));
         }
     }
 
@@ -418,19 +441,21 @@
         let view = MemberView {
             id: self.identity.id,
             name: &self.identity.name,
-            leader: Some(self.raw.raft.leader_id).filter(|id| *id != 0),
+            leader: Some(self.raft_node.raft.leader_id).filter(|id| *id != 0),
             members: &self.members,
-            log_length: self.raw.store().length(),
+            log_length: self.raft_node.store().entry_count(),
         };
-        let wants = self.part.decide(now, &view);
-        self.cut |= wants.compact;
-        self.news.extend(wants.updates);
-        // The library may have lost the leadership, or lost and won it again, and the part not heard of it yet.
-        let leads = self.leads && self.raw.raft.state == StateRole::Leader && self.raw.raft.term == self.led;
-        for entry in wants.leader_proposals.into_iter().filter(|_| leads) {
+        let decisions = self.state_machine.decide(now, &view);
+        self.compaction_due |= decisions.compact;
+        self.updates.extend(decisions.updates);
+        // The library may have lost the leadership, or lost and regained it, before the state machine was informed.
+        let still_leads = self.is_leader
+            && self.raft_node.raft.state == StateRole::Leader
+            && self.raft_node.raft.term == self.leadership_term;
+        for entry in decisions.leader_proposals.into_iter().filter(|_| still_leads) {
             self.propose(entry);
         }
-        for entry in wants.proposals {
+        for entry in decisions.proposals {
             match self.leader() {
                 Some(id) if id == self.identity.id => self.propose(entry),
                 Some(id) => self.frames.push((id, Frame::Propose(entry))),
@@ -439,73 +464,76 @@
         }
     }
 
-    /// What has to be synced next, and whether it has to; nothing while something is, or where nothing is to be done.
+    /// The records to persist next, and whether they must be synced. Returns nothing while earlier records are being
+    /// persisted, or if there is nothing to do.
     pub fn take_records(&mut self) -> Option<(Vec<Record>, bool)> {
-        if self.pending.is_some() || !self.raw.has_ready() {
+        if self.pending_ready.is_some() || !self.raft_node.has_ready() {
             return None;
         }
-        let ready = self.raw.ready();
+        let ready = self.raft_node.ready();
         let mut records = Vec::new();
         if !ready.snapshot().is_empty() {
-            records.push(Record::Snapshot(Snapshot::of(ready.snapshot())));
+            records.push(Record::Snapshot(Snapshot::from_lib(ready.snapshot())));
         }
-        records.extend(ready.entries().iter().map(|entry| Record::Entry(Entry::of(entry))));
-        records.extend(ready.hs().map(|hard| Record::HardState(HardState::of(hard))));
+        records.extend(ready.entries().iter().map(|entry| Record::Entry(Entry::from_lib(entry))));
+        records.extend(ready.hs().map(|state| Record::HardState(HardState::from_lib(state))));
         let sync = ready.must_sync();
-        self.pending = Some(ready);
+        self.pending_ready = Some(ready);
         Some((records, sync))
     }
 
-    /// What [`Core::take_records`] gave is synced: what was agreed is applied, and frames may go.
+    /// The records of [`Core::take_records`] are persisted: applies what is committed and releases frames for sending.
     ///
     /// # Errors
-    /// Where a leader's snapshot can't be read: the member can't go on.
+    /// If a leader's snapshot can't be decoded: the member can't go on.
     pub fn records_persisted(&mut self, now: Seconds) -> Result<(), CoreError> {
-        let Some(mut ready) = self.pending.take() else { return Ok(()) };
+        let Some(mut ready) = self.pending_ready.take() else { return Ok(()) };
         if !ready.snapshot().is_empty() {
-            let snapshot = Snapshot::of(ready.snapshot());
+            let snapshot = Snapshot::from_lib(ready.snapshot());
             let (index, data) = (snapshot.index, snapshot.data.clone());
-            self.raw.mut_store().replace(snapshot);
+            self.raft_node.mut_store().install_snapshot(snapshot);
             self.restore(now, &data)?;
             self.applied = index;
-            self.part.applied_up_to(index);
+            self.state_machine.applied_up_to(index);
         }
         for entry in ready.entries() {
-            self.raw.mut_store().take(Record::Entry(Entry::of(entry)));
-        }
-        if let Some(hard) = ready.hs() {
-            self.raw.mut_store().hard = HardState::of(hard);
-        }
-        if let Some(soft) = ready.ss() {
-            let leads = soft.raft_state == StateRole::Leader;
-            let led = std::mem::replace(&mut self.led, self.raw.raft.term);
-            if std::mem::replace(&mut self.leads, leads) != leads || led != self.led {
-                self.confirmations.forget();
-                self.asking.clear();
-                self.part.leadership_changed(now, leads);
+            self.raft_node.mut_store().apply(Record::Entry(Entry::from_lib(entry)));
+        }
+        if let Some(state) = ready.hs() {
+            self.raft_node.mut_store().hard_state = HardState::from_lib(state);
+        }
+        if let Some(soft_state) = ready.ss() {
+            let is_leader = soft_state.raft_state == StateRole::Leader;
+            let previous_term = std::mem::replace(&mut self.leadership_term, self.raft_node.raft.term);
+            if std::mem::replace(&mut self.is_leader, is_leader) != is_leader
+                || previous_term != self.leadership_term
+            {
+                self.confirmations.clear();
+                self.join_requests.clear();
+                self.state_machine.leadership_changed(now, is_leader);
             }
         }
         let reads = ready.take_read_states();
         let messages = ready.take_messages();
-        let after = ready.take_persisted_messages();
-        self.send(messages.iter().chain(&after));
+        let persisted_messages = ready.take_persisted_messages();
+        self.send(messages.iter().chain(&persisted_messages));
         self.apply(now, ready.take_committed_entries());
-        let mut light = self.raw.advance(ready);
-        if let Some(commit) = light.commit_index() {
-            self.raw.mut_store().hard.commit = commit;
+        let mut light_ready = self.raft_node.advance(ready);
+        if let Some(commit) = light_ready.commit_index() {
+            self.raft_node.mut_store().hard_state.commit = commit;
         }
-        let messages = light.take_messages();
+        let messages = light_ready.take_messages();
         self.send(messages.iter());
-        self.apply(now, light.take_committed_entries());
-        self.raw.advance_apply();
+        self.apply(now, light_ready.take_committed_entries());
+        self.raft_node.advance_apply();
         for read in reads {
-            self.answer(now, &read.request_ctx);
+            self.answer_confirmations(now, &read.request_ctx);
         }
-        if self.raw.store().wanted.take() {
-            let made = self.make_snapshot()?;
-            self.raw.mut_store().made = Some(made);
+        if self.raft_node.store().snapshot_requested.take() {
+            let snapshot = self.make_snapshot()?;
+            self.raft_node.mut_store().prepared_snapshot = Some(snapshot);
         }
-        self.draw();
+        self.set_election_timeout();
         self.decide(now);
         Ok(())
     }
@@ -513,10 +541,10 @@
     fn send<'a>(&mut self, messages: impl Iterator<Item = &'a raft::prelude::Message>) {
         let messages = messages.inspect(|message| {
             if message.get_msg_type() == MessageType::MsgSnapshot {
-                self.snapshots.entry(message.to).or_insert(SNAPSHOT_BEATS);
+                self.snapshots_in_flight.entry(message.to).or_insert(SNAPSHOT_TICKS);
             }
         });
-        let frames = messages.map(|message| (message.to, Frame::Raft(Box::new(Message::of(message)))));
+        let frames = messages.map(|message| (message.to, Frame::Raft(Box::new(Message::from_lib(message)))));
         self.frames.extend(frames);
     }
 
@@ -525,111 +553,115 @@
             self.applied = entry.index;
             if entry.get_entry_type() == EntryType::EntryNormal {
                 if !entry.data.is_empty() {
-                    self.part.apply_entry(now, entry.index, &entry.data);
+                    self.state_machine.apply_entry(now, entry.index, &entry.data);
                 }
             } else if let Ok(change) = postcard::from_bytes::<Change>(&entry.context) {
-                // The library refuses what would leave it without a voter; then nothing has changed.
-                if let Ok(conf) = self.raw.apply_conf_change(&in_the_librarys_form(&change)) {
-                    self.raw.mut_store().conf = Conf::of(&conf);
+                // The library rejects a change that would remove the last voter; the members stay unchanged then.
+                if let Ok(conf_state) = self.raft_node.apply_conf_change(&to_lib_change(&change)) {
+                    self.raft_node.mut_store().conf_state = ConfState::from_lib(&conf_state);
                     self.members.apply(&change);
                     if let Change::Remove(id) = change {
-                        self.part.member_removed(id);
+                        self.state_machine.member_removed(id);
                     }
                 }
             }
-            self.part.applied_up_to(self.applied);
+            self.state_machine.applied_up_to(self.applied);
         }
     }
 
     fn restore(&mut self, now: Seconds, data: &[u8]) -> Result<(), CoreError> {
-        let image: Image = postcard::from_bytes(data).map_err(|_| CoreError::Snapshot)?;
-        if !self.part.restore(now, &image.part) {
+        let data: SnapshotData = postcard::from_bytes(data).map_err(|_| CoreError::Snapshot)?;
+        if !self.state_machine.restore(now, &data.state_machine) {
             return Err(CoreError::Snapshot);
         }
-        self.members = image.members;
+        self.members = data.members;
         Ok(())
     }
 
     fn make_snapshot(&self) -> Result<Snapshot, CoreError> {
-        let memory = self.raw.store();
-        let term = memory.term_at(self.applied).unwrap_or(memory.snapshot.term);
-        let data = image(&self.members, &self.part)?;
-        Ok(Snapshot { index: self.applied, term, conf: memory.conf.clone(), data })
+        let log = self.raft_node.store();
+        let term = log.term_at(self.applied).unwrap_or(log.snapshot.term);
+        let data = snapshot_data(&self.members, &self.state_machine)?;
+        Ok(Snapshot { index: self.applied, term, conf_state: log.conf_state.clone(), data })
     }
 
-    /// Cuts the log where that is due, or where `forced`: the records that take the place of all that were written.
+    /// Compacts the log if that is due or `forced`. Returns the records that replace all earlier ones on disk.
     ///
     /// # Errors
-    /// Where the state can't be written as a snapshot.
+    /// If the snapshot can't be encoded.
     pub fn compact(&mut self, forced: bool) -> Result<Option<Vec<Record>>, CoreError> {
-        if self.pending.is_some() || !(std::mem::take(&mut self.cut) || forced) {
+        if self.pending_ready.is_some() || !(std::mem::take(&mut self.compaction_due) || forced) {
             return Ok(None);
         }
-        if self.applied <= self.raw.store().snapshot.index {
+        if self.applied <= self.raft_node.store().snapshot.index {
             return Ok(None);
         }
         let snapshot = self.make_snapshot()?;
-        let memory = self.raw.mut_store();
-        memory.made = Some(snapshot.clone());
-        memory.take(Record::Snapshot(snapshot));
-        Ok(Some(self.raw.store().records()))
+        let log = self.raft_node.mut_store();
+        log.prepared_snapshot = Some(snapshot.clone());
+        log.apply(Record::Snapshot(snapshot));
+        Ok(Some(self.raft_node.store().to_records()))
     }
 
-    /// What is to be sent, to whom. Only after what [`Core::take_records`] gave is synced.
+    /// The frames to send, with their receivers. They may be sent only after the records of [`Core::take_records`] are
+    /// persisted.
     pub fn take_frames(&mut self) -> Vec<(MemberId, Frame)> {
         std::mem::take(&mut self.frames)
     }
 
-    /// What the dispatcher is to hear.
-    pub fn take_updates(&mut self) -> Vec<P::Update> {
-        std::mem::take(&mut self.news)
+    /// The updates for the dispatcher.
+    pub fn take_updates(&mut self) -> Vec<S::Update> {
+        std::mem::take(&mut self.updates)
     }
 
-    /// The member stops: its part gives on what it holds.
+    /// The member is about to stop: its state machine releases everything that it holds.
     pub fn release_all(&mut self, now: Seconds) {
-        self.part.release_all(now);
+        self.state_machine.release_all(now);
         self.decide(now);
     }
 
-    /// Whether all that it held has been given on.
+    /// Whether everything that this member held is released.
     pub fn has_released_all(&self) -> bool {
-        self.part.has_released_all()
+        self.state_machine.has_released_all()
     }
 
-    /// Gives the leadership to another voter that has caught up, before this member stops.
+    /// Transfers the leadership to the connected voter whose log is most complete, before this member stops.
     pub fn transfer_leadership(&mut self) {
-        let me = self.identity.id;
-        let progress = self.raw.raft.prs();
-        let next = self.members.voters().filter(|id| *id != me && self.linked.contains_key(id));
-        let next = next.max_by_key(|id| progress.get(*id).map_or(0, |p| p.matched));
-        if let Some(next) = next.filter(|_| self.leads) {
-            self.raw.transfer_leader(next);
+        let own_id = self.identity.id;
+        let progress = self.raft_node.raft.prs();
+        let candidates = self.members.voters().filter(|id| *id != own_id && self.connected.contains_key(id));
+        let successor = candidates.max_by_key(|id| progress.get(*id).map_or(0, |p| p.matched));
+        if let Some(successor) = successor.filter(|_| self.is_leader) {
+            self.raft_node.transfer_leader(successor);
         }
     }
 
-    /// How things are, for operators, as JSON.
+    /// The member's state as JSON, for operators.
     pub fn status(&self, now: Seconds) -> serde_json::Value {
-        let me = self.identity.id;
+        let own_id = self.identity.id;
         let name = |id: MemberId| self.members.0.get(&id).map(|member| member.name.clone());
         let members = self.members.0.iter().map(|(id, member)| {
             serde_json::json!({
                 "name": member.name, "birth": format!("{id:016x}"), "voter": member.voter,
-                "leads": self.leader() == Some(*id), "self": *id == me,
-                "linked": *id == me || self.linked.contains_key(id),
+                "leads": self.leader() == Some(*id), "self": *id == own_id,
+                "linked": *id == own_id || self.connected.contains_key(id),
             })
         });
         serde_json::json!({
-            "cluster": self.file.cluster, "name": self.identity.name, "birth": format!("{me:016x}"),
-            "life": self.identity.start_count, "member": self.members.0.contains_key(&me), "speaks": self.looks.spoke(),
-            "leader": self.leader().and_then(name), "term": self.raw.raft.term, "applied": self.applied,
-            "log": self.raw.store().length(), "members": members.collect::<Vec<_>>(),
-            "part": self.part.status(now, &MemberView {
-                id: me, name: &self.identity.name, leader: self.leader(), members: &self.members,
-                log_length: self.raw.store().length(),
+            "cluster": self.config.cluster, "name": self.identity.name, "birth": format!("{own_id:016x}"),
+            "life": self.identity.start_count, "member": self.members.0.contains_key(&own_id),
+            "speaks": self.record_checks.is_participating(), "leader": self.leader().and_then(name),
+            "term": self.raft_node.raft.term, "applied": self.applied,
+            "log": self.raft_node.store().entry_count(), "members": members.collect::<Vec<_>>(),
+            "part": self.state_machine.status(now, &MemberView {
+                id: own_id, name: &self.identity.name, leader: self.leader(), members: &self.members,
+                log_length: self.raft_node.store().entry_count(),
             }),
         })
     }
 }
 
-const _: () =
-    assert!(MESSAGE_BYTES / ENTRY <= ENTRIES_MOST as u64, "a message has no more entries than is read");
+const _: () = assert!(
+    MAX_MESSAGE_BYTES / ENTRY_OVERHEAD_BYTES <= MAX_ENTRIES_PER_MESSAGE as u64,
+    "a message never has more entries than a receiver accepts"
+);
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,20 +1,20 @@
-//! Members of a fleet of dispatchers, and one agreed log among them.
+//! Fleet membership and one replicated log, on tikv's `raft` library.
 //!
-//! - [`config`]: the operators' file that turns it on;
-//! - [`identity`]: who a member is: name, birth and lives;
-//! - [`record_checks`]: who has looked at whose record;
-//! - [`leadership_confirmation`]: questions whether a leader leads;
-//! - [`memory_log`]: the log while it runs;
-//! - [`members`]: who is a member, and the one change that is due next;
-//! - [`raft_types`]: the agreement library's messages and records in a form of our own;
-//! - [`state_machine`]: what stands on the log, such as duties;
-//! - [`mod@core`]: a member without sockets, files and clocks: events in, records and frames out;
-//! - [`store`]: the record on disk, synced before anything is answered for;
-//! - [`wire`] and [`connections`]: what passes between members, and the connections over which it does;
-//! - [`logging`]: lines that others may cause;
-//! - [`runtime`]: the thread that feeds the core and carries out what it asks for.
+//! - [`config`]: the operators' file that makes a dispatcher a member of a fleet;
+//! - [`identity`]: a member's id and start count, and how far its persisted Raft state reaches;
+//! - [`record_checks`]: detects members whose state directory was restored from an older copy;
+//! - [`leadership_confirmation`]: batches requests to confirm that the leader still leads;
+//! - [`memory_log`]: the log storage that the Raft library reads;
+//! - [`members`]: the replicated member list and the next change to it;
+//! - [`raft_types`]: serializable forms of the Raft library's messages and records;
+//! - [`state_machine`]: the trait of what is replicated, such as duties;
+//! - [`mod@core`]: one member without I/O: events in, records and frames out;
+//! - [`store`]: the persistent log, synced before anything in it is acknowledged;
+//! - [`wire`] and [`connections`]: the protocol between members and the connections that carry it;
+//! - [`logging`]: rate-limited log lines;
+//! - [`runtime`]: the thread that drives the core and does its I/O.
 //!
-//! What decides knows nothing of sockets, files or clocks.
+//! The core makes every decision and does no I/O of its own: sockets, files and clocks belong to the runtime.
 
 pub mod clock;
 pub mod config;
@@ -32,8 +32,10 @@
 pub mod store;
 pub mod wire;
 
-/// A point on the machine's clock that goes on while it sleeps (`CLOCK_BOOTTIME`), or a span, in seconds.
+/// A time or a duration in seconds. Times are read from a clock that also counts while the machine sleeps
+/// (`CLOCK_BOOTTIME`).
 pub type Seconds = f64;
 
-/// A member's number: its birth, drawn when its folder was first used. Never 0.
+/// Identifies one incarnation of a member: drawn at random when its state directory is first used. Never 0, which the
+/// Raft library takes for "no member".
 pub type MemberId = u64;
--- a/crates/cluster/src/logging.rs
+++ b/crates/cluster/src/logging.rs
@@ -1,46 +1,46 @@
-//! What the member's thread says, a line each. Peers may cause as many as they like: no more than so many are written in a
-//! second, and those left out are counted.
+//! Log lines of the member's thread. Remote members can trigger many of them, so their rate is limited; lines that were
+//! dropped are counted.
 
 use crate::Seconds;
 use std::fmt::Display;
 use std::io::Write;
 
-/// Writes one line; a log that takes nothing costs its line and nothing else.
-pub fn say(text: impl Display) {
+/// Writes one line to standard output. A failed write loses the line and has no other effect.
+pub fn log_line(text: impl Display) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-const LINES_A_SECOND: u32 = 5;
+const MAX_LINES_PER_SECOND: u32 = 5;
 
-/// Lines that others may cause.
+/// Limits the rate of log lines that remote members can trigger.
 #[derive(Debug, Default)]
 pub struct RateLimitedLog {
-    since: Seconds,
-    lines: u32,
-    left_out: u32,
+    window_start: Seconds,
+    lines_in_window: u32,
+    dropped: u32,
 }
 
 impl RateLimitedLog {
-    /// Whether one more line is written at this time; with it, how many were left out before.
-    fn room(&mut self, now: Seconds) -> Option<u32> {
-        let mut left_out = 0;
-        if now - self.since >= 1.0 {
-            left_out = std::mem::take(&mut self.left_out);
-            (self.since, self.lines) = (now, 0);
+    /// Whether one more line may be written now; if so, the number of lines dropped before it.
+    fn admit(&mut self, now: Seconds) -> Option<u32> {
+        let mut dropped = 0;
+        if now - self.window_start >= 1.0 {
+            dropped = std::mem::take(&mut self.dropped);
+            (self.window_start, self.lines_in_window) = (now, 0);
         }
-        if self.lines >= LINES_A_SECOND {
-            self.left_out += 1;
+        if self.lines_in_window >= MAX_LINES_PER_SECOND {
+            self.dropped += 1;
             return None;
         }
-        self.lines += 1;
-        Some(left_out)
+        self.lines_in_window += 1;
+        Some(dropped)
     }
 
-    /// Writes a line, where there is room.
+    /// Writes a line unless the rate limit is reached.
     pub fn line(&mut self, now: Seconds, text: impl Display) {
-        match self.room(now) {
-            Some(0) => say(format_args!("fleet: {text}")),
-            Some(left_out) => say(format_args!("fleet: {left_out} lines left out\nfleet: {text}")),
+        match self.admit(now) {
+            Some(0) => log_line(format_args!("fleet: {text}")),
+            Some(dropped) => log_line(format_args!("fleet: {dropped} lines dropped\nfleet: {text}")),
             None => {}
         }
     }
@@ -51,9 +51,9 @@
     use super::*;
 
     #[test]
-    fn a_flood_is_a_few_lines_and_a_count() {
-        let mut said = RateLimitedLog::default();
-        let written = (0..100).filter(|_| said.room(5.0).is_some()).count();
-        assert_eq!((written, said.room(5.9), said.room(6.0), said.room(6.0)), (5, None, Some(96), Some(0)));
+    fn lines_over_the_limit_are_dropped_and_counted() {
+        let mut log = RateLimitedLog::default();
+        let written = (0..100).filter(|_| log.admit(5.0).is_some()).count();
+        assert_eq!((written, log.admit(5.9), log.admit(6.0), log.admit(6.0)), (5, None, Some(96), Some(0)));
     }
 }
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -1,59 +1,59 @@
-//! Who is a member, as agreed in the log, and the one change that is due next.
+//! The replicated member list, and the next membership change that a leader has to propose.
 
 use crate::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An observer that is so few entries behind has caught up.
-const CAUGHT_UP: u64 = 64;
+/// A learner that lags behind by at most this many entries has caught up.
+const MAX_CAUGHT_UP_LAG: u64 = 64;
 
-/// Whether an observer may vote: it is there, has the log, and is few entries behind what is agreed. One that has
-/// acknowledged nothing yet has nothing, however short the log is.
-pub fn caught_up(active: bool, acknowledged: u64, agreed: u64) -> bool {
-    active && acknowledged > 0 && acknowledged + CAUGHT_UP >= agreed
+/// Whether a learner may become a voter: it is active, has the log and lags only a few entries behind the commit index.
+/// A learner that has acknowledged nothing has no log yet, however short the log is.
+pub fn caught_up(active: bool, acknowledged: u64, committed: u64) -> bool {
+    active && acknowledged > 0 && acknowledged + MAX_CAUGHT_UP_LAG >= committed
 }
 
-/// A member as agreed.
+/// A committed member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Its name.
     pub name: String,
-    /// It votes; else it follows.
+    /// Whether it is a voter; otherwise it is a learner.
     pub voter: bool,
 }
 
-/// One change of members, as it stands in the log.
+/// One membership change, as stored in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Change {
-    /// It follows the log from now on.
+    /// The member becomes a learner.
     Join {
-        /// Its birth.
+        /// Its id.
         id: MemberId,
         /// Its name.
         name: String,
     },
-    /// It has caught up, and votes from now on.
+    /// The learner becomes a voter.
     Promote(MemberId),
-    /// It is no member any more.
+    /// The member leaves the fleet.
     Remove(MemberId),
 }
 
-/// All members.
+/// All members by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members(pub BTreeMap<MemberId, Member>);
 
-/// What a leader knows when it looks for the next change.
-pub struct Known<'a> {
-    /// Those that have asked to join, by birth: their names.
-    pub asking: &'a BTreeMap<MemberId, String>,
-    /// The fleet's file: whether a name is in it, and whether it is to vote.
-    pub named: &'a dyn Fn(&str) -> Option<bool>,
-    /// Whether all that a member was given has surely passed.
-    pub lapsed: &'a dyn Fn(MemberId) -> bool,
-    /// Whether a member has the log up to about its end, and is there.
+/// What a leader needs to know to choose the next membership change.
+pub struct ChangeContext<'a> {
+    /// The names of those that have requested to join, by id.
+    pub join_requests: &'a BTreeMap<MemberId, String>,
+    /// Looks up a name in the fleet's configuration: whether it is a voter, or nothing if it is unknown.
+    pub configured_voter: &'a dyn Fn(&str) -> Option<bool>,
+    /// Whether every lease that a member may have had has expired.
+    pub lease_expired: &'a dyn Fn(MemberId) -> bool,
+    /// Whether a member is active and close to the end of the log.
     pub caught_up: &'a dyn Fn(MemberId) -> bool,
-    /// Members at most.
-    pub most: usize,
+    /// Maximum number of members.
+    pub max_members: usize,
 }
 
 impl Members {
@@ -62,8 +62,8 @@
         self.0.iter().filter(|(_, member)| member.voter).map(|(id, _)| *id)
     }
 
-    /// The members that only follow.
-    pub fn observers(&self) -> impl Iterator<Item = MemberId> {
+    /// The members that do not vote.
+    pub fn learners(&self) -> impl Iterator<Item = MemberId> {
         self.0.iter().filter(|(_, member)| !member.voter).map(|(id, _)| *id)
     }
 
@@ -72,7 +72,7 @@
         self.0.iter().find(|(_, member)| member.name == name).map(|(id, _)| *id)
     }
 
-    /// Carries out an agreed change; one that makes no sense any more changes nothing.
+    /// Applies a committed change. A change that is obsolete has no effect.
     pub fn apply(&mut self, change: &Change) {
         match change {
             Change::Join { id, name } => {
@@ -83,26 +83,27 @@
         }
     }
 
-    /// The change that is due next: one at a time. A birth that follows an older one of its name waits until that one's
-    /// term has surely passed; it takes its place as an observer first.
-    pub fn next(&self, known: &Known) -> Option<Change> {
-        for (id, name) in known.asking.iter().filter(|(id, _)| !self.0.contains_key(id)) {
-            if (known.named)(name).is_none() {
+    /// The next change to propose; changes are made one at a time. A new incarnation of a name waits until the lease of
+    /// the previous one has expired; that one is removed, and the new one joins as a learner.
+    pub fn next_change(&self, context: &ChangeContext) -> Option<Change> {
+        for (id, name) in context.join_requests.iter().filter(|(id, _)| !self.0.contains_key(id)) {
+            if (context.configured_voter)(name).is_none() {
                 continue;
             }
             match self.by_name(name) {
-                // Two that live under one name are a fault of operators: the first one stays.
-                Some(old) if !(known.lapsed)(old) => {}
-                Some(old) => return Some(Change::Remove(old)),
-                None if self.0.len() < known.most => {
+                // Two processes that run under one name are an operator's mistake: the first one stays.
+                Some(previous) if !(context.lease_expired)(previous) => {}
+                Some(previous) => return Some(Change::Remove(previous)),
+                None if self.0.len() < context.max_members => {
                     return Some(Change::Join { id: *id, name: name.clone() });
                 }
                 None => {}
             }
         }
-        let ready =
-            |id: &MemberId| self.0.get(id).is_some_and(|member| (known.named)(&member.name) == Some(true));
-        self.observers().find(|id| ready(id) && (known.caught_up)(*id)).map(Change::Promote)
+        let may_vote = |id: &MemberId| {
+            self.0.get(id).is_some_and(|member| (context.configured_voter)(&member.name) == Some(true))
+        };
+        self.learners().find(|id| may_vote(id) && (context.caught_up)(*id)).map(Change::Promote)
     }
 }
 
@@ -110,49 +111,49 @@
 mod tests {
     use super::*;
 
-    fn next(
-        members: &Members, asking: &[(MemberId, &str)], lapsed: &[MemberId], caught_up: &[MemberId],
+    fn next_change(
+        members: &Members, join_requests: &[(MemberId, &str)], expired: &[MemberId], caught_up: &[MemberId],
     ) -> Option<Change> {
-        let asking = asking.iter().map(|(id, name)| (*id, name.to_string())).collect();
-        members.next(&Known {
-            asking: &asking,
-            named: &|name| ["a", "b", "c", "o"].contains(&name).then(|| name != "o"),
-            lapsed: &|id| lapsed.contains(&id),
+        let join_requests = join_requests.iter().map(|(id, name)| (*id, name.to_string())).collect();
+        members.next_change(&ChangeContext {
+            join_requests: &join_requests,
+            configured_voter: &|name| ["a", "b", "c", "o"].contains(&name).then(|| name != "o"),
+            lease_expired: &|id| expired.contains(&id),
             caught_up: &|id| caught_up.contains(&id),
-            most: 3,
+            max_members: 3,
         })
     }
 
     #[test]
-    fn one_that_has_nothing_has_not_caught_up() {
+    fn a_learner_without_a_log_has_not_caught_up() {
         assert!(caught_up(true, 1, 10) && caught_up(true, 936, 1000));
         assert!(!caught_up(true, 0, 10) && !caught_up(true, 935, 1000) && !caught_up(false, 1000, 1000));
     }
 
     #[test]
-    fn joining_following_voting_and_being_replaced() {
+    fn a_member_joins_is_promoted_and_is_replaced_by_a_new_incarnation() {
         let mut members = Members::default();
-        let mut step = |change: Change| {
+        let mut apply = |change: Change| {
             members.apply(&change);
             members.clone()
         };
-        let one = step(Change::Join { id: 1, name: "a".into() });
-        assert_eq!(next(&one, &[], &[], &[]), None);
-        assert_eq!(next(&one, &[], &[], &[1]), Some(Change::Promote(1)));
-        let one = step(Change::Promote(1));
-        assert_eq!(next(&one, &[(9, "stranger")], &[], &[]), None);
+        let one = apply(Change::Join { id: 1, name: "a".into() });
+        assert_eq!(next_change(&one, &[], &[], &[]), None);
+        assert_eq!(next_change(&one, &[], &[], &[1]), Some(Change::Promote(1)));
+        let one = apply(Change::Promote(1));
+        assert_eq!(next_change(&one, &[(9, "stranger")], &[], &[]), None);
         let join = Change::Join { id: 7, name: "o".into() };
-        assert_eq!(next(&one, &[(7, "o")], &[], &[]), Some(join.clone()));
-        // An observer is never promoted that the file does not name as a voter.
-        let two = step(join);
-        assert_eq!(next(&two, &[], &[], &[7]), None);
-        // The old birth goes once its term has passed, and only then the new one comes.
-        assert_eq!(next(&two, &[(8, "o")], &[], &[]), None);
-        assert_eq!(next(&two, &[(8, "o")], &[7], &[]), Some(Change::Remove(7)));
-        let one = step(Change::Remove(7));
-        assert_eq!(next(&one, &[(8, "o")], &[], &[]), Some(Change::Join { id: 8, name: "o".into() }));
-        step(Change::Join { id: 8, name: "o".into() });
-        let full = step(Change::Join { id: 2, name: "b".into() });
-        assert_eq!(next(&full, &[(3, "c")], &[], &[]), None);
+        assert_eq!(next_change(&one, &[(7, "o")], &[], &[]), Some(join.clone()));
+        // A learner that is not configured as a voter is never promoted.
+        let two = apply(join);
+        assert_eq!(next_change(&two, &[], &[], &[7]), None);
+        // The previous incarnation is removed once its lease has expired; only then does the new one join.
+        assert_eq!(next_change(&two, &[(8, "o")], &[], &[]), None);
+        assert_eq!(next_change(&two, &[(8, "o")], &[7], &[]), Some(Change::Remove(7)));
+        let one = apply(Change::Remove(7));
+        assert_eq!(next_change(&one, &[(8, "o")], &[], &[]), Some(Change::Join { id: 8, name: "o".into() }));
+        apply(Change::Join { id: 8, name: "o".into() });
+        let full = apply(Change::Join { id: 2, name: "b".into() });
+        assert_eq!(next_change(&full, &[(3, "c")], &[], &[]), None);
     }
 }
--- a/crates/cluster/src/raft_types.rs
+++ b/crates/cluster/src/raft_types.rs
@@ -1,21 +1,22 @@
-//! The agreement library's messages and records in a form of our own. What comes from a link or a file is decoded as
-//! these types and turned into the library's by hand; the library's own decoder sees nothing from outside.
+//! Serializable forms of the Raft library's messages and records. What arrives on a connection or is read from a file
+//! is decoded into these types, checked, and then converted to the library's types; the library's own decoder never
+//! sees untrusted bytes.
 
 use crate::MemberId;
 use raft::prelude::{
-    ConfState, Entry as LibEntry, EntryType, HardState as LibHardState, Message as LibMessage, MessageType,
-    Snapshot as LibSnapshot,
+    ConfState as LibConfState, Entry as LibEntry, EntryType, HardState as LibHardState,
+    Message as LibMessage, MessageType, Snapshot as LibSnapshot,
 };
 use serde::{Deserialize, Serialize};
 
-/// Entries in one message at most; the library is told to send fewer bytes than this many entries have.
-pub const ENTRIES_MOST: usize = 4096;
+/// Maximum number of entries in one message. The library's limit in bytes keeps what is sent below it.
+pub const MAX_ENTRIES_PER_MESSAGE: usize = 4096;
 
-/// No term or place is higher: a thousand a second reach it in ten thousand years.
-const COUNT_MOST: u64 = 1 << 48;
+/// Upper bound for terms and indexes: at a thousand a second it is reached in about ten thousand years.
+const MAX_TERM_OR_INDEX: u64 = 1 << 48;
 
-/// The kinds of message that a link may bring.
-const KINDS: [MessageType; 12] = [
+/// The message types that are accepted from another member.
+const ACCEPTED_TYPES: [MessageType; 12] = [
     MessageType::MsgAppend,
     MessageType::MsgAppendResponse,
     MessageType::MsgRequestVote,
@@ -30,19 +31,19 @@
     MessageType::MsgUnreachable,
 ];
 
-/// What can't be turned into the library's form.
+/// Why a message can't be converted to the library's form.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FormError {
-    /// A kind of message that no link brings.
-    #[error("a message of kind {0}, which no link brings")]
-    Kind(u8),
+pub enum ConversionError {
+    /// A message type that is not accepted from other members.
+    #[error("message type {0} is not accepted from a member")]
+    Type(u8),
     /// More entries than any member sends.
     #[error("{0} entries in a message")]
-    Entries(usize),
-    /// A term or a place that no fleet reaches: the library counts on from them.
-    #[error("a term or a place that no fleet reaches")]
+    TooManyEntries(usize),
+    /// A term or an index over the upper bound. The library does arithmetic on them, which could overflow.
+    #[error("a term or an index is out of range")]
     Range,
-    /// Places that do not follow each other.
+    /// Entries whose indexes are not consecutive.
     #[error("entries out of order")]
     Order,
 }
@@ -52,59 +53,59 @@
 pub struct Entry {
     /// The term in which it was proposed.
     pub term: u64,
-    /// Its place in the log.
+    /// Its index in the log.
     pub index: u64,
-    /// It changes the members: the library's own form of it, read by none but the one that made it.
+    /// For a membership change: the library's encoding of it, which only the library reads.
     pub change: Option<Vec<u8>>,
-    /// What it says.
+    /// Its content.
     pub data: Vec<u8>,
 }
 
-/// What a voter must not forget.
+/// The Raft state that a voter must not lose.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term.
     pub term: u64,
-    /// Whom it voted for in that term; 0 for nobody.
+    /// The candidate that it voted for in that term; 0 for none.
     pub vote: MemberId,
-    /// All up to this place is agreed.
+    /// The commit index.
     pub commit: u64,
 }
 
-/// Who votes and who follows, as the library counts.
+/// The voters and learners as the library knows them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Conf {
+pub struct ConfState {
     /// The voters.
     pub voters: Vec<MemberId>,
-    /// The observers.
+    /// The learners.
     pub learners: Vec<MemberId>,
 }
 
-/// The state at one place of the log.
+/// The state at one index of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The place.
+    /// The index.
     pub index: u64,
-    /// The term of the entry there.
+    /// The term of the entry at that index.
     pub term: u64,
-    /// The members, for the library.
-    pub conf: Conf,
-    /// The state.
+    /// The voters and learners.
+    pub conf_state: ConfState,
+    /// The serialized state.
     pub data: Vec<u8>,
 }
 
-/// A message of the library's protocol.
+/// A Raft message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
     kind: u8,
-    /// To whom.
+    /// The receiver.
     pub to: MemberId,
-    /// From whom.
+    /// The sender.
     pub from: MemberId,
     /// The sender's term.
     pub term: u64,
     log_term: u64,
-    /// The place that it is about.
+    /// The log index that it refers to.
     pub index: u64,
     entries: Vec<Entry>,
     commit: u64,
@@ -118,18 +119,18 @@
 }
 
 impl Entry {
-    /// From the library's form.
-    pub fn of(entry: &LibEntry) -> Entry {
-        let changes = entry.get_entry_type() != EntryType::EntryNormal;
-        let (data, change) = match changes {
+    /// Converts from the library's form.
+    pub fn from_lib(entry: &LibEntry) -> Entry {
+        let changes_members = entry.get_entry_type() != EntryType::EntryNormal;
+        let (data, change) = match changes_members {
             true => (entry.context.to_vec(), Some(entry.data.to_vec())),
             false => (entry.data.to_vec(), None),
         };
         Entry { term: entry.term, index: entry.index, change, data }
     }
 
-    /// In the library's form.
-    pub fn lib(&self) -> LibEntry {
+    /// Converts to the library's form.
+    pub fn to_lib(&self) -> LibEntry {
         let mut entry = LibEntry { term: self.term, index: self.index, ..LibEntry::default() };
         match &self.change {
             Some(change) => {
@@ -143,50 +144,54 @@
 }
 
 impl HardState {
-    /// From the library's form.
-    pub fn of(hard: &LibHardState) -> HardState {
-        HardState { term: hard.term, vote: hard.vote, commit: hard.commit }
+    /// Converts from the library's form.
+    pub fn from_lib(state: &LibHardState) -> HardState {
+        HardState { term: state.term, vote: state.vote, commit: state.commit }
     }
 
-    /// In the library's form.
-    pub fn lib(&self) -> LibHardState {
+    /// Converts to the library's form.
+    pub fn to_lib(&self) -> LibHardState {
         LibHardState { term: self.term, vote: self.vote, commit: self.commit, ..LibHardState::default() }
     }
 }
 
-impl Conf {
-    /// From the library's form.
-    pub fn of(conf: &ConfState) -> Conf {
-        Conf { voters: conf.voters.clone(), learners: conf.learners.clone() }
+impl ConfState {
+    /// Converts from the library's form.
+    pub fn from_lib(state: &LibConfState) -> ConfState {
+        ConfState { voters: state.voters.clone(), learners: state.learners.clone() }
     }
 
-    /// In the library's form.
-    pub fn lib(&self) -> ConfState {
-        ConfState { voters: self.voters.clone(), learners: self.learners.clone(), ..ConfState::default() }
+    /// Converts to the library's form.
+    pub fn to_lib(&self) -> LibConfState {
+        LibConfState {
+            voters: self.voters.clone(),
+            learners: self.learners.clone(),
+            ..LibConfState::default()
+        }
     }
 }
 
 impl Snapshot {
-    /// From the library's form.
-    pub fn of(snapshot: &LibSnapshot) -> Snapshot {
-        let about = snapshot.get_metadata();
-        let conf = Conf::of(about.get_conf_state());
-        Snapshot { index: about.index, term: about.term, conf, data: snapshot.data.to_vec() }
+    /// Converts from the library's form.
+    pub fn from_lib(snapshot: &LibSnapshot) -> Snapshot {
+        let metadata = snapshot.get_metadata();
+        let conf_state = ConfState::from_lib(metadata.get_conf_state());
+        Snapshot { index: metadata.index, term: metadata.term, conf_state, data: snapshot.data.to_vec() }
     }
 
-    /// In the library's form.
-    pub fn lib(&self) -> LibSnapshot {
+    /// Converts to the library's form.
+    pub fn to_lib(&self) -> LibSnapshot {
         let mut snapshot = LibSnapshot { data: self.data.clone().into(), ..LibSnapshot::default() };
-        let about = snapshot.mut_metadata();
-        (about.index, about.term) = (self.index, self.term);
-        about.set_conf_state(self.conf.lib());
+        let metadata = snapshot.mut_metadata();
+        (metadata.index, metadata.term) = (self.index, self.term);
+        metadata.set_conf_state(self.conf_state.to_lib());
         snapshot
     }
 }
 
 impl Message {
-    /// From the library's form.
-    pub fn of(message: &LibMessage) -> Message {
+    /// Converts from the library's form.
+    pub fn from_lib(message: &LibMessage) -> Message {
         Message {
             kind: message.get_msg_type() as u8,
             to: message.to,
@@ -194,10 +199,10 @@
             term: message.term,
             log_term: message.log_term,
             index: message.index,
-            entries: message.entries.iter().map(Entry::of).collect(),
+            entries: message.entries.iter().map(Entry::from_lib).collect(),
             commit: message.commit,
             commit_term: message.commit_term,
-            snapshot: message.snapshot.as_ref().map(Snapshot::of),
+            snapshot: message.snapshot.as_ref().map(Snapshot::from_lib),
             request_snapshot: message.request_snapshot,
             reject: message.reject,
             reject_hint: message.reject_hint,
@@ -206,35 +211,38 @@
         }
     }
 
-    /// In the library's form.
+    /// Converts to the library's form.
     ///
     /// # Errors
-    /// Where no member that follows the protocol sends such a message.
-    pub fn lib(&self) -> Result<LibMessage, FormError> {
-        let kind =
-            KINDS.into_iter().find(|kind| *kind as u8 == self.kind).ok_or(FormError::Kind(self.kind))?;
-        if self.entries.len() > ENTRIES_MOST {
-            return Err(FormError::Entries(self.entries.len()));
+    /// If no member that follows the protocol sends such a message.
+    pub fn to_lib(&self) -> Result<LibMessage, ConversionError> {
+        let message_type = ACCEPTED_TYPES
+            .into_iter()
+            .find(|accepted| *accepted as u8 == self.kind)
+            .ok_or(ConversionError::Type(self.kind))?;
+        if self.entries.len() > MAX_ENTRIES_PER_MESSAGE {
+            return Err(ConversionError::TooManyEntries(self.entries.len()));
         }
-        let places = self.entries.iter().flat_map(|entry| [entry.term, entry.index]);
+        let entries = self.entries.iter().flat_map(|entry| [entry.term, entry.index]);
         let snapshot = self.snapshot.iter().flat_map(|snapshot| [snapshot.term, snapshot.index]);
         let own = [self.term, self.log_term, self.index, self.commit, self.commit_term];
-        if own.into_iter().chain(places).chain(snapshot).any(|count| count > COUNT_MOST) {
-            return Err(FormError::Range);
+        if own.into_iter().chain(entries).chain(snapshot).any(|value| value > MAX_TERM_OR_INDEX) {
+            return Err(ConversionError::Range);
         }
-        let follows = |pair: &[Entry]| Some(pair[1].index) == pair[0].index.checked_add(1);
-        let after = self.entries.first().is_none_or(|first| Some(first.index) == self.index.checked_add(1));
-        if !after || !self.entries.windows(2).all(follows) {
-            return Err(FormError::Order);
+        let consecutive = |pair: &[Entry]| Some(pair[1].index) == pair[0].index.checked_add(1);
+        let starts_after_index =
+            self.entries.first().is_none_or(|first| Some(first.index) == self.index.checked_add(1));
+        if !starts_after_index || !self.entries.windows(2).all(consecutive) {
+            return Err(ConversionError::Order);
         }
         let mut message = LibMessage::default();
-        message.set_msg_type(kind);
+        message.set_msg_type(message_type);
         (message.to, message.from, message.term) = (self.to, self.from, self.term);
         (message.log_term, message.index) = (self.log_term, self.index);
-        message.entries = self.entries.iter().map(Entry::lib).collect::<Vec<_>>().into();
+        message.entries = self.entries.iter().map(Entry::to_lib).collect::<Vec<_>>().into();
         (message.commit, message.commit_term) = (self.commit, self.commit_term);
         if let Some(snapshot) = &self.snapshot {
-            message.set_snapshot(snapshot.lib());
+            message.set_snapshot(snapshot.to_lib());
         }
         message.request_snapshot = self.request_snapshot;
         (message.reject, message.reject_hint) = (self.reject, self.reject_hint);
@@ -242,8 +250,8 @@
         Ok(message)
     }
 
-    /// What the sender says to have on record for good, where it says so: term, whether it voted, a place up to which
-    /// its log is the leader's.
+    /// What the sender acknowledges to have persisted, if the message acknowledges anything: its term, whether it has
+    /// voted, and an index up to which its log matches the leader's.
     pub fn acknowledges(&self) -> Option<(u64, bool, u64)> {
         if self.reject {
             return None;
@@ -252,7 +260,7 @@
         match self.kind {
             _ if is(MessageType::MsgAppendResponse) => Some((self.term, false, self.index)),
             _ if is(MessageType::MsgRequestVoteResponse) => Some((self.term, true, 0)),
-            // Who asks for votes has voted for itself.
+            // A candidate has voted for itself.
             _ if is(MessageType::MsgRequestVote) => Some((self.term, true, 0)),
             _ => None,
         }
@@ -264,10 +272,10 @@
     use super::*;
 
     #[test]
-    fn forms_keep_all_that_the_library_says() {
+    fn conversions_are_lossless_and_invalid_messages_are_rejected() {
         let entry =
             |index, change: Option<Vec<u8>>| Entry { term: 3, index, change, data: vec![1, index as u8] };
-        let conf = Conf { voters: vec![1, 2], learners: vec![9] };
+        let conf_state = ConfState { voters: vec![1, 2], learners: vec![9] };
         let message = Message {
             kind: MessageType::MsgAppend as u8,
             to: 1,
@@ -278,27 +286,30 @@
             entries: vec![entry(7, None), entry(8, Some(vec![5]))],
             commit: 5,
             commit_term: 2,
-            snapshot: Some(Snapshot { index: 4, term: 1, conf, data: vec![0] }),
+            snapshot: Some(Snapshot { index: 4, term: 1, conf_state, data: vec![0] }),
             request_snapshot: 1,
             reject: true,
             reject_hint: 4,
             context: vec![7],
             priority: -1,
         };
-        assert_eq!(Message::of(&message.lib().unwrap()), message);
-        let hard = HardState { term: 1, vote: 2, commit: 3 };
-        assert_eq!(HardState::of(&hard.lib()), hard);
-        let bad = |change: &dyn Fn(&mut Message)| {
+        assert_eq!(Message::from_lib(&message.to_lib().unwrap()), message);
+        let hard_state = HardState { term: 1, vote: 2, commit: 3 };
+        assert_eq!(HardState::from_lib(&hard_state.to_lib()), hard_state);
+        let error_after = |change: &dyn Fn(&mut Message)| {
             let mut message = message.clone();
             change(&mut message);
-            message.lib().unwrap_err()
+            message.to_lib().unwrap_err()
         };
-        assert_eq!(bad(&|m| m.kind = MessageType::MsgPropose as u8), FormError::Kind(2));
-        assert_eq!(bad(&|m| m.kind = 200), FormError::Kind(200));
-        assert_eq!(bad(&|m| m.entries[1].index = 9), FormError::Order);
-        assert_eq!(bad(&|m| m.index = u64::MAX), FormError::Range);
-        assert_eq!(bad(&|m| m.term = 1 << 49), FormError::Range);
-        assert_eq!(bad(&|m| m.entries[0].term = 1 << 60), FormError::Range);
-        assert_eq!(bad(&|m| m.entries = vec![entry(1, None); 5000]), FormError::Entries(5000));
+        assert_eq!(error_after(&|m| m.kind = MessageType::MsgPropose as u8), ConversionError::Type(2));
+        assert_eq!(error_after(&|m| m.kind = 200), ConversionError::Type(200));
+        assert_eq!(error_after(&|m| m.entries[1].index = 9), ConversionError::Order);
+        assert_eq!(error_after(&|m| m.index = u64::MAX), ConversionError::Range);
+        assert_eq!(error_after(&|m| m.term = 1 << 49), ConversionError::Range);
+        assert_eq!(error_after(&|m| m.entries[0].term = 1 << 60), ConversionError::Range);
+        assert_eq!(
+            error_after(&|m| m.entries = vec![entry(1, None); 5000]),
+            ConversionError::TooManyEntries(5000)
+        );
     }
 }
--- a/crates/cluster/src/record_checks.rs
+++ b/crates/cluster/src/record_checks.rs
@@ -1,79 +1,86 @@
-//! Who has looked at whose record. A voter whose folder may be an older copy says nothing until a majority has.
+//! Detection of state directories that were restored from an older copy. Each member remembers what the others have
+//! acknowledged and compares it with their hellos. A voter takes no part in Raft until a majority has verified its own
+//! hello this way: with an older copy it might vote a second time in a term, or miss entries that it has acknowledged.
 
 use crate::MemberId;
 use crate::config::MAX_MEMBERS;
-use crate::identity::{LogPosition, Seen};
+use crate::identity::{AcknowledgedState, LogPosition};
 use crate::members::Members;
 use crate::wire::Rejection;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Births of which is remembered what they acknowledged.
-const SEEN_MOST: usize = 4 * MAX_MEMBERS;
+/// Maximum number of member ids whose acknowledgements are remembered.
+const MAX_REMEMBERED: usize = 4 * MAX_MEMBERS;
 
-/// What this member knows of others' records, and whether enough know of its own.
+/// What others have acknowledged to this member, and which of them have verified this member's own state.
 #[derive(Debug, Default)]
 pub struct RecordChecks {
     /// What others have acknowledged.
-    seen: BTreeMap<MemberId, Seen>,
-    /// Members that have looked at this one's hello and found nothing missing, until enough have.
-    looked: BTreeSet<MemberId>,
-    speaks: bool,
+    acknowledged: BTreeMap<MemberId, AcknowledgedState>,
+    /// Members that have verified this member's hello. Empty once a majority has.
+    verified_by: BTreeSet<MemberId>,
+    is_participating: bool,
 }
 
 impl RecordChecks {
-    /// Judges the record behind a hello by what its owner has acknowledged here.
+    /// Compares the position in a member's hello with what that member has acknowledged here.
     ///
     /// # Errors
-    /// Where it is an older copy.
-    pub fn judge(
-        &mut self, id: MemberId, life: u64, mark: &LogPosition, members: &Members,
+    /// [`Rejection::OlderCopy`] if its state directory is an older copy.
+    pub fn verify_hello(
+        &mut self, id: MemberId, start_count: u64, position: &LogPosition, members: &Members,
     ) -> Result<(), Rejection> {
-        let seen = self.seen.entry(id).or_default();
-        if seen.is_ahead_of(life, mark) {
+        let state = self.acknowledged.entry(id).or_default();
+        if state.is_ahead_of(start_count, position) {
             return Err(Rejection::OlderCopy);
         }
-        seen.life = life;
-        // Its last places may be a former leader's, and go; what it acknowledges in a term stays.
-        seen.mark.note(mark.term, mark.voted, 0);
-        while self.seen.len() > SEEN_MOST {
-            let stranger =
-                self.seen.keys().find(|other| **other != id && !members.0.contains_key(other)).copied();
-            let Some(stranger) = stranger else { break };
-            self.seen.remove(&stranger);
+        state.start_count = start_count;
+        // The last entries may come from a former leader and be overwritten, so the hello's last index is not recorded.
+        // What the member acknowledges in a term is kept.
+        state.position.advance(position.term, position.voted, 0);
+        while self.acknowledged.len() > MAX_REMEMBERED {
+            let non_member = self
+                .acknowledged
+                .keys()
+                .find(|other| **other != id && !members.0.contains_key(other))
+                .copied();
+            let Some(non_member) = non_member else { break };
+            self.acknowledged.remove(&non_member);
         }
         Ok(())
     }
 
-    /// A member has said that this is on its record for good.
-    pub fn acknowledged(&mut self, id: MemberId, (term, voted, last): (u64, bool, u64)) {
-        if let Some(seen) = self.seen.get_mut(&id) {
-            seen.mark.note(term, voted, last);
+    /// Records that a member has acknowledged to have persisted this term, vote and index.
+    pub fn record_acknowledgement(&mut self, id: MemberId, (term, voted, last): (u64, bool, u64)) {
+        if let Some(state) = self.acknowledged.get_mut(&id) {
+            state.position.advance(term, voted, last);
         }
     }
 
-    /// Another member speaks with this one: it has looked.
-    pub fn looked_by(&mut self, id: MemberId) {
-        if !self.speaks {
-            self.looked.insert(id);
+    /// Another member communicates with this one, so it has verified this member's hello.
+    pub fn record_verified_by(&mut self, id: MemberId) {
+        if !self.is_participating {
+            self.verified_by.insert(id);
         }
     }
 
-    /// Whether this member takes part in the library's protocol: it is no voter, or a majority has looked, itself among it.
-    pub fn speaks(&mut self, me: MemberId, members: &Members) -> bool {
-        if !self.speaks {
+    /// Updates and returns whether this member takes part in Raft: it is not a voter, or a majority of the voters,
+    /// itself included, has verified its hello. Once reached, the state stays.
+    pub fn update_participation(&mut self, own_id: MemberId, members: &Members) -> bool {
+        if !self.is_participating {
             let voters: BTreeSet<MemberId> = members.voters().collect();
-            let looked = voters.iter().filter(|id| **id == me || self.looked.contains(id)).count();
-            self.speaks = !voters.contains(&me) || 2 * looked > voters.len();
+            let verified = voters.iter().filter(|id| **id == own_id || self.verified_by.contains(id)).count();
+            self.is_participating = !voters.contains(&own_id) || 2 * verified > voters.len();
         }
-        if self.speaks {
-            self.looked.clear();
+        if self.is_participating {
+            self.verified_by.clear();
         }
-        self.speaks
+        self.is_participating
     }
 
-    /// The same, as it was found last.
-    pub fn spoke(&self) -> bool {
-        self.speaks
+    /// The result of the last [`RecordChecks::update_participation`].
+    pub fn is_participating(&self) -> bool {
+        self.is_participating
     }
 }
 
@@ -83,39 +90,42 @@
     use crate::members::Change;
 
     #[test]
-    fn a_voter_speaks_once_a_majority_has_looked() {
+    fn a_voter_participates_once_a_majority_has_verified_its_hello() {
         let mut members = Members::default();
         for id in 1..=5 {
             members.apply(&Change::Join { id, name: format!("n{id}") });
             members.apply(&Change::Promote(id));
         }
         members.apply(&Change::Join { id: 9, name: "o".into() });
-        let mut looks = RecordChecks::default();
-        assert!(RecordChecks::default().speaks(9, &members) && RecordChecks::default().speaks(77, &members));
-        looks.looked_by(9);
-        looks.looked_by(2);
-        looks.looked_by(2);
-        assert!(!looks.speaks(1, &members));
-        looks.looked_by(3);
-        assert!(looks.speaks(1, &members) && looks.spoke());
-        // Half is no majority.
+        let mut checks = RecordChecks::default();
+        assert!(
+            RecordChecks::default().update_participation(9, &members)
+                && RecordChecks::default().update_participation(77, &members)
+        );
+        checks.record_verified_by(9);
+        checks.record_verified_by(2);
+        checks.record_verified_by(2);
+        assert!(!checks.update_participation(1, &members));
+        checks.record_verified_by(3);
+        assert!(checks.update_participation(1, &members) && checks.is_participating());
+        // Half is not a majority.
         members.apply(&Change::Remove(5));
         let mut half = RecordChecks::default();
-        half.looked_by(2);
-        assert!(!half.speaks(1, &members));
+        half.record_verified_by(2);
+        assert!(!half.update_participation(1, &members));
     }
 
     #[test]
-    fn what_was_acknowledged_is_remembered_of_so_many() {
-        let (mut looks, members) = (RecordChecks::default(), Members::default());
-        let mark = LogPosition { term: 3, voted: false, last: 5 };
-        assert_eq!(looks.judge(1, 1, &mark, &members), Ok(()));
-        looks.acknowledged(1, (3, true, 7));
-        assert_eq!(looks.judge(1, 2, &mark, &members), Err(Rejection::OlderCopy));
+    fn acknowledgements_are_remembered_up_to_the_limit() {
+        let (mut checks, members) = (RecordChecks::default(), Members::default());
+        let position = LogPosition { term: 3, voted: false, last_index: 5 };
+        assert_eq!(checks.verify_hello(1, 1, &position, &members), Ok(()));
+        checks.record_acknowledgement(1, (3, true, 7));
+        assert_eq!(checks.verify_hello(1, 2, &position, &members), Err(Rejection::OlderCopy));
         for id in 2..5000 {
-            assert_eq!(looks.judge(id, 1, &mark, &members), Ok(()));
-            looks.acknowledged(id + 10_000, (1, true, 1));
+            assert_eq!(checks.verify_hello(id, 1, &position, &members), Ok(()));
+            checks.record_acknowledgement(id + 10_000, (1, true, 1));
         }
-        assert!(looks.seen.len() <= SEEN_MOST);
+        assert!(checks.acknowledged.len() <= MAX_REMEMBERED);
     }
 }
--- a/crates/cluster/src/runtime.rs
+++ b/crates/cluster/src/runtime.rs
@@ -1,5 +1,5 @@
-//! The member's thread: feeds the core, syncs what it gives before anything is sent, keeps the links. Nothing is decided
-//! here, and nothing in the dispatcher waits for this thread.
+//! The member's thread. It drives the core: persists records before it sends frames, keeps the connections and reads
+//! the clock. It takes no decisions of its own, and the dispatcher never blocks on it.
 
 use crate::clock::now;
 use crate::config::FleetConfig;
@@ -9,7 +9,7 @@
 use crate::logging::{self, RateLimitedLog};
 use crate::state_machine::StateMachine;
 use crate::store::{self, OpenedStore, Store, StoreError};
-use crate::wire::{Hello, Me, Rejection, VERSION};
+use crate::wire::{Hello, LocalMember, Rejection, VERSION};
 use crate::{MemberId, Seconds};
 use futures_util::FutureExt;
 use std::collections::BTreeMap;
@@ -23,100 +23,103 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout, timeout_at};
 
-/// The thread's stack, in bytes.
-const STACK: usize = 512 << 10;
-/// Before a record that can't be written or is held by another process is opened again.
-const AGAIN: Duration = Duration::from_millis(20);
-const AGAIN_FAILED: Duration = Duration::from_secs(1);
-/// A member that stops gives its duties and leadership on within this time.
-const GOODBYE: Duration = Duration::from_millis(300);
-/// Descriptors of the thread: its listener, its record, its runtime, and links that come and go.
+/// Size of the thread's stack.
+const STACK_BYTES: usize = 512 << 10;
+/// Delay before another attempt to open a store that another process has open, or to listen on the address.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Delay before a store is opened again after an error.
+const ERROR_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// How long a stopping member may take to hand over its duties and the leadership.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+/// File descriptors of the thread besides its long-lived connections: listener, log, runtime, and connections that are
+/// just opening or closing.
 pub const DESCRIPTORS: usize = 16;
 
 /// How a member is run.
 pub struct Settings {
-    /// The operators' file.
+    /// The fleet's configuration.
     pub config: FleetConfig,
     /// The dispatcher's name.
     pub name: String,
-    /// Its folder that lasts.
+    /// The dispatcher's state directory.
     pub state_dir: PathBuf,
 }
 
-/// What the thread is told.
-enum Told<F> {
-    Input(F),
-    Show(oneshot::Sender<String>),
-    /// Give on what is held and end.
+/// A command to the member's thread.
+enum Command<I> {
+    Input(I),
+    Status(oneshot::Sender<String>),
+    /// Hand over duties and leadership, then stop.
     Leave(oneshot::Sender<()>),
-    /// End at once: another process of this member goes on.
+    /// Stop at once: another process of this member takes over.
     Stop,
 }
 
-/// The thread, from outside. It ends with this.
-pub struct MemberHandle<F> {
-    told: UnboundedSender<Told<F>>,
+/// A handle to the member's thread. The thread stops once all handles are dropped.
+pub struct MemberHandle<I> {
+    commands: UnboundedSender<Command<I>>,
 }
 
-impl<F> Clone for MemberHandle<F> {
-    fn clone(&self) -> MemberHandle<F> {
-        MemberHandle { told: self.told.clone() }
+impl<I> Clone for MemberHandle<I> {
+    fn clone(&self) -> MemberHandle<I> {
+        MemberHandle { commands: self.commands.clone() }
     }
 }
 
-impl<F> MemberHandle<F> {
-    /// Tells the part something. Never waits; after the thread's end it is lost.
-    pub fn send(&self, fact: F) {
-        let _ = self.told.send(Told::Input(fact));
+impl<I> MemberHandle<I> {
+    /// Sends an input to the state machine without waiting. It is lost if the thread has stopped.
+    pub fn send(&self, input: I) {
+        let _ = self.commands.send(Command::Input(input));
     }
 
-    /// How things are, as JSON; nothing where the thread does not answer in time.
-    pub async fn status(&self, patience: Duration) -> Option<String> {
-        let (answer, answered) = oneshot::channel();
-        self.told.send(Told::Show(answer)).ok()?;
-        timeout(patience, answered).await.ok()?.ok()
+    /// The member's state as JSON; nothing if the thread does not answer within the timeout.
+    pub async fn status(&self, answer_timeout: Duration) -> Option<String> {
+        let (reply, received_reply) = oneshot::channel();
+        self.commands.send(Command::Status(reply)).ok()?;
+        timeout(answer_timeout, received_reply).await.ok()?.ok()
     }
 
-    /// Gives on what this member holds, and ends it; comes back once that is done, or after 0.3 s.
+    /// Hands over the member's duties and leadership and stops it. Returns once that is done, or after 0.3 s.
     pub async fn leave(&self) {
-        let (answer, answered) = oneshot::channel();
-        if self.told.send(Told::Leave(answer)).is_ok() {
-            let _ = timeout(GOODBYE, answered).await;
+        let (reply, received_reply) = oneshot::channel();
+        if self.commands.send(Command::Leave(reply)).is_ok() {
+            let _ = timeout(LEAVE_TIMEOUT, received_reply).await;
         }
     }
 
-    /// Lets the record go, for another process of this member. Doesn't wait: that one takes it when it is free.
+    /// Closes the store for another process of this member. Does not wait: that process retries until it is closed.
     pub fn stop(&self) {
-        let _ = self.told.send(Told::Stop);
+        let _ = self.commands.send(Command::Stop);
     }
 }
 
-/// Begins a member on a thread of its own. `part`: what stands on the log, made anew each time that the record is opened.
+/// Starts a member on a thread of its own. `create_state_machine` is called each time that the store is opened.
 ///
 /// # Errors
-/// Where no thread can be started.
-pub fn spawn<P, M>(
-    settings: Settings, part: M, news: UnboundedSender<P::Update>,
-) -> std::io::Result<MemberHandle<P::Input>>
+/// If the thread can't be started.
+pub fn spawn<S, F>(
+    settings: Settings, create_state_machine: F, updates: UnboundedSender<S::Update>,
+) -> std::io::Result<MemberHandle<S::Input>>
 where
-    P: StateMachine + 'static,
-    P::Input: Send + Clone + 'static,
-    P::Update: Send + 'static,
-    M: Fn() -> P + Send + 'static,
+    S: StateMachine + 'static,
+    S::Input: Send + Clone + 'static,
+    S::Update: Send + 'static,
+    F: Fn() -> S + Send + 'static,
 {
-    let (told, hears) = unbounded_channel();
+    let (commands, command_receiver) = unbounded_channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    std::thread::Builder::new().name("fleet".into()).stack_size(STACK).spawn(move || {
-        LocalSet::new().block_on(&runtime, run(settings, part, news, hears));
+    std::thread::Builder::new().name("fleet".into()).stack_size(STACK_BYTES).spawn(move || {
+        LocalSet::new().block_on(&runtime, run(settings, create_state_machine, updates, command_receiver));
     })?;
-    Ok(MemberHandle { told })
+    Ok(MemberHandle { commands })
 }
 
-/// Founds a fleet: this member is its first voter. A folder that has been a member is left as it is.
+/// Bootstraps a fleet with this member as its first voter.
 ///
 /// # Errors
-/// Where it has been one, or can't be written.
-pub fn bootstrap(settings: &Settings, part: &impl StateMachine) -> Result<Identity, String> {
+/// If the state directory can't be written, or was a member's before. That member is left unchanged but for its start
+/// count.
+pub fn bootstrap(settings: &Settings, state_machine: &impl StateMachine) -> Result<Identity, String> {
     let OpenedStore { mut store, identity, records, .. } =
         Store::open(&settings.state_dir, &settings.name, max_disk_bytes(&settings.config))
             .map_err(|error| error.to_string())?;
@@ -126,183 +129,195 @@
             settings.state_dir.join(store::DIRECTORY).display()
         ));
     }
-    let records = bootstrap_records(&identity, part).map_err(|error| error.to_string())?;
+    let records = bootstrap_records(&identity, state_machine).map_err(|error| error.to_string())?;
     store.append(&records, true).map_err(|error| error.to_string())?;
     Ok(identity)
 }
 
-/// Descriptors that the member of this name takes.
-pub fn max_descriptors(file: &FleetConfig, name: &str) -> usize {
-    let linked = file.member.keys().filter(|other| file.dials(name, other) || file.dials(other, name));
-    DESCRIPTORS + linked.count()
+/// Maximum number of file descriptors that the member of this name uses.
+pub fn max_descriptors(config: &FleetConfig, name: &str) -> usize {
+    let peers = config.member.keys().filter(|other| config.dials(name, other) || config.dials(other, name));
+    DESCRIPTORS + peers.count()
 }
 
-/// Bytes that the record may take.
-pub fn max_disk_bytes(file: &FleetConfig) -> u64 {
-    (file.disk_mb * 1e6) as u64
+/// Maximum size of the member's log on disk.
+pub fn max_disk_bytes(config: &FleetConfig) -> u64 {
+    (config.disk_mb * 1e6) as u64
 }
 
-/// Why one life of the core ended.
-enum End {
-    /// The member is to end.
+/// Why a session ended.
+enum SessionEnd {
+    /// The member is to stop.
     Stop,
-    /// The record is to be opened anew.
-    Again(String),
-    /// Others know more of it than it does: it is to be born anew.
-    Older,
+    /// An error: the store is to be opened again.
+    Reopen(String),
+    /// The state directory is an older copy: the member is to come back with a new id.
+    OlderCopy,
 }
 
-async fn run<P, M>(
-    settings: Settings, part: M, news: UnboundedSender<P::Update>,
-    mut hears: UnboundedReceiver<Told<P::Input>>,
+async fn run<S, F>(
+    settings: Settings, create_state_machine: F, updates: UnboundedSender<S::Update>,
+    mut commands: UnboundedReceiver<Command<S::Input>>,
 ) where
-    P: StateMachine,
-    P::Input: Clone,
-    M: Fn() -> P,
+    S: StateMachine,
+    S::Input: Clone,
+    F: Fn() -> S,
 {
-    let (events, mut links_say) = unbounded_channel();
-    let links = Connections::new(Rc::new(settings.config.clone()), &settings.name, events);
-    let (mut listening, mut said, mut last) = (false, RateLimitedLog::default(), String::new());
-    let mut pause = Duration::ZERO;
+    let (event_sender, mut events) = unbounded_channel();
+    let connections = Connections::new(Rc::new(settings.config.clone()), &settings.name, event_sender);
+    let (mut listening, mut limited_log, mut last_error) = (false, RateLimitedLog::default(), String::new());
+    let mut delay = Duration::ZERO;
     loop {
-        if !deaf(&mut hears, std::mem::take(&mut pause)).await {
+        if !discard_commands(&mut commands, std::mem::take(&mut delay)).await {
             return;
         }
         let opened = match Store::open(&settings.state_dir, &settings.name, max_disk_bytes(&settings.config))
         {
             Ok(opened) => opened,
             Err(error) => {
-                let held = matches!(error, StoreError::Locked(_));
+                let locked = matches!(error, StoreError::Locked(_));
                 let text = error.to_string();
-                if text != last {
-                    let meanwhile =
-                        if held { "waiting for it" } else { "this dispatcher is no member meanwhile" };
-                    logging::say(format_args!("fleet: {text}; {meanwhile}"));
+                if text != last_error {
+                    let consequence =
+                        if locked { "waiting for it" } else { "this dispatcher is no member meanwhile" };
+                    logging::log_line(format_args!("fleet: {text}; {consequence}"));
                 }
-                last = text;
-                pause = if held { AGAIN } else { AGAIN_FAILED };
+                last_error = text;
+                delay = if locked { RETRY_DELAY } else { ERROR_RETRY_DELAY };
                 continue;
             }
         };
-        last.clear();
+        last_error.clear();
         if !listening {
-            match links.open().await {
-                Ok(at) => {
+            match connections.open().await {
+                Ok(address) => {
                     listening = true;
-                    at.inspect(|at| logging::say(format_args!("fleet: members are heard at {at}")));
+                    address.inspect(|address| {
+                        logging::log_line(format_args!("fleet: members are heard at {address}"))
+                    });
                 }
-                // The process before may have it for a moment yet.
+                // The previous process may still listen on it for a moment.
                 Err(error) => {
-                    said.line(now(), format_args!("its address: {error}"));
-                    pause = AGAIN;
+                    limited_log.line(now(), format_args!("can't listen for members: {error}"));
+                    delay = RETRY_DELAY;
                     continue;
                 }
             }
         }
-        let OpenedStore { store, identity, records, torn_bytes: torn } = opened;
-        if torn > 0 {
-            logging::say(format_args!("fleet: {torn} bytes of a torn record left out"));
+        let OpenedStore { store, identity, records, torn_bytes } = opened;
+        if torn_bytes > 0 {
+            logging::log_line(format_args!("fleet: {torn_bytes} bytes of a torn record dropped"));
         }
-        logging::say(format_args!(
+        logging::log_line(format_args!(
             "fleet: {} of {}, birth {:016x}, life {}",
             settings.name, settings.config.cluster, identity.id, identity.start_count
         ));
-        let core =
-            Core::new(Arc::new(settings.config.clone()), identity, records, part(), now(), fastrand::u64(..));
+        let core = Core::new(
+            Arc::new(settings.config.clone()),
+            identity,
+            records,
+            create_state_machine(),
+            now(),
+            fastrand::u64(..),
+        );
         let end = match core {
             Ok(core) => {
-                let mut life = Life {
+                let mut session = Session {
                     settings: &settings,
                     core,
                     store,
-                    links: &links,
-                    up: BTreeMap::new(),
-                    news: &news,
-                    led: None,
-                    said: RateLimitedLog::default(),
+                    connections: &connections,
+                    open_connections: BTreeMap::new(),
+                    updates: &updates,
+                    logged_leader: None,
+                    limited_log: RateLimitedLog::default(),
                 };
-                // The library asserts what its peers have to keep to; one that does not is no reason to end for good.
-                let lived = AssertUnwindSafe(life.live(&mut hears, &mut links_say)).catch_unwind().await;
-                lived.unwrap_or_else(|_| End::Again("the agreed log is not as its rules have it".into()))
+                // The Raft library panics where a peer violates the protocol. That must not stop this member for good.
+                let result = AssertUnwindSafe(session.run(&mut commands, &mut events)).catch_unwind().await;
+                result.unwrap_or_else(|_| {
+                    SessionEnd::Reopen("the replicated log is not as its rules have it".into())
+                })
             }
-            Err(error) => End::Again(error.to_string()),
+            Err(error) => SessionEnd::Reopen(error.to_string()),
         };
         match end {
-            End::Stop => return,
-            End::Again(error) => {
-                logging::say(format_args!("fleet: {error}; the record is opened anew"));
-                pause = AGAIN_FAILED;
+            SessionEnd::Stop => return,
+            SessionEnd::Reopen(error) => {
+                logging::log_line(format_args!("fleet: {error}; the log is opened again"));
+                delay = ERROR_RETRY_DELAY;
             }
-            End::Older => {
-                logging::say(format_args!(
-                    "fleet: the folder is an older copy of what this member was; it comes back as a new one"
+            SessionEnd::OlderCopy => {
+                logging::log_line(format_args!(
+                    "fleet: the state directory is an older copy of this member's; it rejoins with a new id"
                 ));
                 if let Err(error) = store::discard_identity(&settings.state_dir) {
-                    logging::say(format_args!("fleet: {error}"));
-                    pause = AGAIN_FAILED;
+                    logging::log_line(format_args!("fleet: {error}"));
+                    delay = ERROR_RETRY_DELAY;
                 }
             }
         }
     }
 }
 
-/// Waits while this process is no member: facts are told anew once it is, questions get no answer. False where it is to
-/// end: another process of this member goes on, or the dispatcher stops.
-async fn deaf<F>(hears: &mut UnboundedReceiver<Told<F>>, pause: Duration) -> bool {
-    let until = tokio::time::Instant::now() + pause;
+/// Discards commands for the length of the delay, while this process has no open store: inputs are sent again after the
+/// next start, and status requests time out. Returns `false` if the member is to stop.
+async fn discard_commands<I>(commands: &mut UnboundedReceiver<Command<I>>, delay: Duration) -> bool {
+    let until = tokio::time::Instant::now() + delay;
     loop {
-        // What waits is heard before the record is tried for, however short the pause.
-        match timeout_at(until, hears.recv()).await {
-            Ok(Some(Told::Input(_) | Told::Show(_))) => {}
-            Ok(Some(Told::Leave(_) | Told::Stop) | None) => return false,
+        // Queued commands come first, however short the delay, so that a stop precedes the next attempt to open the
+        // store.
+        match timeout_at(until, commands.recv()).await {
+            Ok(Some(Command::Input(_) | Command::Status(_))) => {}
+            Ok(Some(Command::Leave(_) | Command::Stop) | None) => return false,
             Err(_) => return true,
         }
     }
 }
 
-/// One life of the core: from the opening of the record to its end.
-struct Life<'a, P: StateMachine> {
+/// One run of the core, from opening the store to closing it.
+struct Session<'a, S: StateMachine> {
     settings: &'a Settings,
-    core: Core<P>,
+    core: Core<S>,
     store: Store,
-    links: &'a Connections,
-    up: BTreeMap<MemberId, Connection>,
-    news: &'a UnboundedSender<P::Update>,
-    led: Option<Option<MemberId>>,
-    said: RateLimitedLog,
+    connections: &'a Connections,
+    open_connections: BTreeMap<MemberId, Connection>,
+    updates: &'a UnboundedSender<S::Update>,
+    /// The leader that was logged last.
+    logged_leader: Option<Option<MemberId>>,
+    limited_log: RateLimitedLog,
 }
 
-impl<P: StateMachine> Drop for Life<'_, P> {
+impl<S: StateMachine> Drop for Session<'_, S> {
     fn drop(&mut self) {
-        self.up.values().for_each(Connection::end);
+        self.open_connections.values().for_each(Connection::close);
     }
 }
 
-impl<P: StateMachine> Life<'_, P> {
-    async fn live(
-        &mut self, hears: &mut UnboundedReceiver<Told<P::Input>>, links_say: &mut UnboundedReceiver<Event>,
-    ) -> End {
+impl<S: StateMachine> Session<'_, S> {
+    async fn run(
+        &mut self, commands: &mut UnboundedReceiver<Command<S::Input>>, events: &mut UnboundedReceiver<Event>,
+    ) -> SessionEnd {
         loop {
-            if let Err(error) = self.work() {
-                return End::Again(error);
+            if let Err(error) = self.process_output() {
+                return SessionEnd::Reopen(error);
             }
-            self.present();
+            self.update_hello();
             let wait = Duration::from_secs_f64((self.core.next_tick_at() - now()).clamp(0.0, 1.0));
-            // The time is read after what has come has come: what it says was said before.
+            // The clock is read after a command or an event has arrived, so it is never earlier than what that reports.
             tokio::select! {
                 biased;
-                told = hears.recv() => match told {
-                    Some(Told::Input(fact)) => self.core.handle_input(now(), fact),
-                    Some(Told::Show(answer)) => drop(answer.send(self.core.status(now()).to_string())),
-                    Some(Told::Leave(answer)) => {
-                        self.leave(links_say).await;
-                        let _ = answer.send(());
-                        return End::Stop;
+                command = commands.recv() => match command {
+                    Some(Command::Input(input)) => self.core.handle_input(now(), input),
+                    Some(Command::Status(reply)) => drop(reply.send(self.core.status(now()).to_string())),
+                    Some(Command::Leave(reply)) => {
+                        self.leave(events).await;
+                        let _ = reply.send(());
+                        return SessionEnd::Stop;
                     }
-                    Some(Told::Stop) | None => return End::Stop,
+                    Some(Command::Stop) | None => return SessionEnd::Stop,
                 },
-                Some(event) = links_say.recv() => {
-                    if let Some(end) = self.hear(event) {
+                Some(event) = events.recv() => {
+                    if let Some(end) = self.handle_event(event) {
                         return end;
                     }
                 }
@@ -311,8 +326,8 @@
         }
     }
 
-    /// Syncs, applies and sends until nothing is left to do.
-    fn work(&mut self) -> Result<(), String> {
+    /// Persists records, applies entries and sends frames until the core has no more output.
+    fn process_output(&mut self) -> Result<(), String> {
         while let Some((records, sync)) = self.core.take_records() {
             if !records.is_empty() {
                 self.store.append(&records, sync).map_err(|error| format!("the record: {error}"))?;
@@ -325,18 +340,20 @@
             self.store.replace(&records).map_err(|error| format!("the record: {error}"))?;
         }
         for (to, frame) in self.core.take_frames() {
-            if let (Some(link), Ok(packet)) = (self.up.get(&to), fawnspoke_frames::packet(&frame)) {
-                link.send(packet);
+            if let (Some(connection), Ok(packet)) =
+                (self.open_connections.get(&to), fawnspoke_frames::packet(&frame))
+            {
+                connection.send(packet);
             }
         }
-        for news in self.core.take_updates() {
-            // The dispatcher that hears it may have ended.
-            let _ = self.news.send(news);
+        for update in self.core.take_updates() {
+            // Fails only if the dispatcher no longer receives updates.
+            let _ = self.updates.send(update);
         }
         let leader = self.core.leader();
-        if self.led.replace(leader) != Some(leader) {
+        if self.logged_leader.replace(leader) != Some(leader) {
             let name = leader.and_then(|id| self.core.members().0.get(&id)).map(|member| &*member.name);
-            logging::say(format_args!(
+            logging::log_line(format_args!(
                 "fleet: {:.6} term {}: {} leads",
                 now(),
                 self.core.term(),
@@ -346,103 +363,97 @@
         Ok(())
     }
 
-    /// What this member says of itself at the next call.
-    fn present(&self) {
-        self.links.present(self.hello(None));
+    /// Sets the hello for the next calls to this member's current state.
+    fn update_hello(&self) {
+        self.connections.set_hello(self.hello(None));
     }
 
-    fn hello(&self, refused: Option<Rejection>) -> Hello {
-        let Identity { name, id: birth, start_count: life } = self.core.identity().clone();
+    fn hello(&self, rejection: Option<Rejection>) -> Hello {
+        let Identity { name, id, start_count } = self.core.identity().clone();
         let cluster = self.settings.config.cluster.clone();
-        let (versions, mark) = ((VERSION, VERSION), self.core.log_position());
-        Hello {
-            versions,
-            cluster,
-            name,
-            to: String::new(),
-            id: birth,
-            start_count: life,
-            position: mark,
-            rejection: refused,
-        }
+        let (versions, position) = ((VERSION, VERSION), self.core.log_position());
+        Hello { versions, cluster, name, to: String::new(), id, start_count, position, rejection }
     }
 
-    fn hear(&mut self, event: Event) -> Option<End> {
+    fn handle_event(&mut self, event: Event) -> Option<SessionEnd> {
         match event {
-            Event::Hello { hello, called, answer, link } => {
+            Event::Hello { hello, outgoing, reply, connection } => {
                 let own = self.core.identity();
-                let me = Me { cluster: &self.settings.config.cluster, name: &own.name, id: own.id };
-                // Whoever answers a call says its own name, not whom it wants.
+                let local =
+                    LocalMember { cluster: &self.settings.config.cluster, name: &own.name, id: own.id };
+                // The reply to a call names no receiver.
                 let hello =
-                    Box::new(Hello { to: if called { own.name.clone() } else { hello.to }, ..*hello });
-                let judged = hello.judge(&me, |name| self.settings.config.member.contains_key(name));
-                let judged = judged.and_then(|()| {
+                    Box::new(Hello { to: if outgoing { own.name.clone() } else { hello.to }, ..*hello });
+                let checked = hello.check(&local, |name| self.settings.config.member.contains_key(name));
+                let checked = checked.and_then(|()| {
                     self.core.peer_connected(hello.id, &hello.name, hello.start_count, &hello.position)
                 });
-                if let Err(refusal) = judged {
-                    let (name, birth) = (&hello.name, hello.id);
-                    self.said
-                        .line(now(), format_args!("{name} ({birth:016x}) is not spoken with: {refusal}"));
-                    let _ = answer.send((self.hello(Some(refusal)), false));
+                if let Err(rejection) = checked {
+                    let (name, id) = (&hello.name, hello.id);
+                    self.limited_log.line(
+                        now(),
+                        format_args!("rejected a connection with {name} ({id:016x}): {rejection}"),
+                    );
+                    let _ = reply.send((self.hello(Some(rejection)), false));
                     return None;
                 }
-                if answer.send((self.hello(None), true)).is_err() {
-                    if !self.up.contains_key(&hello.id) {
+                if reply.send((self.hello(None), true)).is_err() {
+                    if !self.open_connections.contains_key(&hello.id) {
                         self.core.peer_disconnected(hello.id);
                     }
                     return None;
                 }
-                if let Ok(Some(other)) = judged {
-                    self.up.remove(&other).inspect(Connection::end);
-                    self.core.peer_disconnected(other);
+                if let Ok(Some(previous)) = checked {
+                    self.open_connections.remove(&previous).inspect(Connection::close);
+                    self.core.peer_disconnected(previous);
                 }
-                self.up.insert(hello.id, link).inspect(Connection::end);
-                if called {
+                self.open_connections.insert(hello.id, connection).inspect(Connection::close);
+                if outgoing {
                     self.core.peer_accepted(hello.id);
                 }
             }
-            Event::Frame { from, link, frame, _unheard } => {
-                if self.up.get(&from).is_some_and(|up| up.number == link) {
+            Event::Frame { from, connection, frame, _receive_permit } => {
+                if self.open_connections.get(&from).is_some_and(|current| current.number == connection) {
                     self.core.receive_frame(now(), from, frame);
                 }
             }
-            Event::Ended(id, number) => {
-                if self.up.get(&id).is_some_and(|link| link.number == number) {
-                    self.up.remove(&id);
+            Event::Closed(id, number) => {
+                if self.open_connections.get(&id).is_some_and(|current| current.number == number) {
+                    self.open_connections.remove(&id);
                     self.core.peer_disconnected(id);
                 }
             }
-            Event::Refused { name, refused, hello } => {
-                let refusal = hello.rejection?;
-                self.said.line(now(), format_args!("{name} does not speak with this member: {refusal}"));
-                // Several say so of one birth; it is given up once.
-                if refusal == Rejection::OlderCopy && refused == self.core.identity().id {
-                    return Some(End::Older);
+            Event::Rejected { name, rejected_id, hello } => {
+                let rejection = hello.rejection?;
+                self.limited_log.line(now(), format_args!("{name} rejected a connection: {rejection}"));
+                // Several members may reject the same id; it is discarded only once.
+                if rejection == Rejection::OlderCopy && rejected_id == self.core.identity().id {
+                    return Some(SessionEnd::OlderCopy);
                 }
             }
         }
         None
     }
 
-    /// Gives on duties and leadership, while there is time.
-    async fn leave(&mut self, links_say: &mut UnboundedReceiver<Event>) {
-        let until: Seconds = now() + GOODBYE.as_secs_f64();
+    /// Hands over duties, then the leadership, until [`LEAVE_TIMEOUT`].
+    async fn leave(&mut self, events: &mut UnboundedReceiver<Event>) {
+        let until: Seconds = now() + LEAVE_TIMEOUT.as_secs_f64();
         self.core.release_all(now());
-        let _ = self.work();
+        let _ = self.process_output();
         while (self.core.is_leader() || !self.core.has_released_all()) && now() < until {
             if self.core.has_released_all() {
                 self.core.transfer_leadership();
             }
             let wait = Duration::from_secs_f64((self.core.next_tick_at() - now()).clamp(0.0, 0.02));
             tokio::select! {
-                Some(event) = links_say.recv() => drop(self.hear(event)),
+                Some(event) = events.recv() => drop(self.handle_event(event)),
                 () = sleep(wait) => self.core.tick(now()),
             }
-            if self.work().is_err() {
+            if self.process_output().is_err() {
                 return;
             }
         }
-        // What was written to links goes out.
+        // Gives the connections time to write what was queued.
         sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -1,33 +1,33 @@
-//! What stands on the agreed log. The core hands a part what was agreed, confirmations and a leader's news; the part says
-//! what it wants to have agreed and what the dispatcher is to hear.
+//! The trait of the state machine that is replicated over the log. The core passes it committed entries, confirmations
+//! of the leadership and changes of leader; it returns what to propose and what to report to the dispatcher.
 
 use crate::members::Members;
 use crate::{MemberId, Seconds};
 
-/// How the member stands when a part decides.
+/// The member's situation at the time of a decision.
 pub struct MemberView<'a> {
-    /// The member itself.
+    /// The member's own id.
     pub id: MemberId,
     /// Its name.
     pub name: &'a str,
-    /// The leader, where one is known.
+    /// The leader, if one is known.
     pub leader: Option<MemberId>,
-    /// All members, as agreed.
+    /// All members, as committed.
     pub members: &'a Members,
-    /// Entries of the log since it was last cut.
+    /// Number of log entries since the last compaction.
     pub log_length: u64,
 }
 
-/// What a part wants.
+/// What a state machine wants done.
 #[derive(Debug)]
 pub struct Decisions<U> {
-    /// To be agreed; a member that does not lead sends it to the leader, and it may be lost.
+    /// Entries to propose. A member that does not lead forwards them to the leader; they may be lost.
     pub proposals: Vec<Vec<u8>>,
-    /// What a leader has decided on what it knows as one: proposed under that leadership or never.
+    /// Entries that rest on what this member knows as the leader. They are proposed under that leadership or dropped.
     pub leader_proposals: Vec<Vec<u8>>,
-    /// For the dispatcher.
+    /// Reports to the dispatcher.
     pub updates: Vec<U>,
-    /// The log is to be cut here: all up to what is applied now goes into a snapshot.
+    /// Whether to compact the log: everything applied so far goes into a snapshot.
     pub compact: bool,
 }
 
@@ -37,49 +37,51 @@
     }
 }
 
-/// A state machine over the agreed log, free of I/O. All times are of the member's own clock.
+/// A state machine replicated over the log, free of I/O. All times are read from the member's own clock.
 pub trait StateMachine {
-    /// What the dispatcher tells.
+    /// What the dispatcher reports to it.
     type Input;
-    /// What the dispatcher hears.
+    /// What it reports to the dispatcher.
     type Update;
 
-    /// The member's number; before all else.
-    fn set_member_id(&mut self, me: MemberId);
-    /// Whether another member may have this proposed: nothing that only a leader decides.
+    /// Sets the member's own id. Called once, before everything else.
+    fn set_member_id(&mut self, id: MemberId);
+    /// Whether another member may have this entry proposed here. Entries that only a leader may decide on are not
+    /// accepted.
     fn accepts_proposal(&self, entry: &[u8]) -> bool;
-    /// An entry was agreed, at this place.
+    /// Applies a committed entry.
     fn apply_entry(&mut self, now: Seconds, index: u64, entry: &[u8]);
-    /// A member was removed, as agreed, at the place that is applied next.
+    /// Applies the committed removal of a member. The index follows in the next call of `applied_up_to`.
     fn member_removed(&mut self, member: MemberId);
-    /// All up to this place is applied.
+    /// The log is applied up to and including this index.
     fn applied_up_to(&mut self, index: u64);
-    /// The agreed state, for a snapshot.
+    /// Serializes the replicated state.
     fn snapshot(&self) -> Vec<u8>;
-    /// Takes the place of all that was agreed before; a snapshot that can't be read is refused with `false`.
+    /// Replaces the replicated state by a snapshot. Returns `false` if the snapshot can't be decoded.
     fn restore(&mut self, now: Seconds, snapshot: &[u8]) -> bool;
 
-    /// The number of a question to the leader, where one is due: `now` was read before anything is sent.
+    /// The number of the next request to confirm the leadership, if one is due. `now` was read before anything is sent.
     fn confirmation_request(&mut self, now: Seconds) -> Option<u64>;
-    /// The leader led after that question was asked; what it gave away by then lies in the log up to `after`.
+    /// The leader was still the leader after this request was made. Everything that it had granted by then is in the
+    /// log up to `required_index`.
     fn leadership_confirmed(&mut self, now: Seconds, request: u64, required_index: u64);
 
-    /// This member leads from now on, or no more.
+    /// This member became the leader, ceased to be it, or leads in a new term.
     fn leadership_changed(&mut self, now: Seconds, is_leader: bool);
-    /// A member's question has come to this leader. `now` was read after it came.
+    /// A member's confirmation request reached this leader. `now` was read after it arrived.
     fn request_received(&mut self, now: Seconds, from: MemberId);
-    /// Whether all that a member was given has surely passed, as this leader knows.
+    /// Whether, as far as this leader knows, any lease that the member may have had has expired.
     fn lease_expired(&self, now: Seconds, member: MemberId) -> bool;
 
-    /// The member stops: what it holds is to be given on by its word.
+    /// The member is about to stop: releases everything that it holds.
     fn release_all(&mut self, now: Seconds);
-    /// Nothing is held any more, as the log says.
+    /// Whether the log shows that this member holds nothing any more.
     fn has_released_all(&self) -> bool;
 
-    /// The dispatcher tells something.
+    /// Handles a report of the dispatcher.
     fn handle_input(&mut self, now: Seconds, input: Self::Input);
-    /// What is to be done now.
+    /// Decides what is to be done now.
     fn decide(&mut self, now: Seconds, view: &MemberView) -> Decisions<Self::Update>;
-    /// How things are, for operators, as JSON.
+    /// The current state as JSON, for operators.
     fn status(&self, now: Seconds, view: &MemberView) -> serde_json::Value;
 }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -1,4 +1,4 @@
-//! What passes between members: a hello of each side, then frames.
+//! The protocol between members: each side sends a hello in JSON, then frames encoded with postcard.
 
 use crate::identity::LogPosition;
 use crate::raft_types::Message;
@@ -7,111 +7,111 @@
 
 /// The version of the frames.
 pub const VERSION: u32 = 1;
-/// The longest packet, in bytes: a snapshot fits.
-pub const PACKET_MOST: usize = 1 << 20;
-/// A hello is there by then, or the link ends, in seconds.
-pub const HELLO_TIME: Seconds = 2.0;
+/// Maximum length of a packet; the largest snapshot fits.
+pub const MAX_PACKET_BYTES: usize = 1 << 20;
+/// A connection is closed unless the hello arrives within this time.
+pub const HELLO_TIMEOUT_SECONDS: Seconds = 2.0;
 
-/// The first word of each side. Later versions may say more.
+/// The first packet of each side. Later versions may add fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The versions of frames that it knows, from and to.
+    /// The lowest and the highest version of frames that the sender supports.
     pub versions: (u32, u32),
-    /// Its fleet.
+    /// The sender's fleet.
     pub cluster: String,
-    /// Its name.
+    /// The sender's name.
     pub name: String,
-    /// Whom it wants to speak with.
+    /// The name of the member that it wants to connect to.
     pub to: String,
-    /// Its birth.
+    /// The sender's id.
     #[serde(rename = "birth")]
     pub id: MemberId,
-    /// Its life.
+    /// The sender's start count.
     #[serde(rename = "life")]
     pub start_count: u64,
-    /// How far its record goes.
+    /// How far the sender's persisted state reaches.
     #[serde(rename = "mark")]
     pub position: LogPosition,
-    /// Why it does not speak with the other side; nothing follows then.
+    /// Why the sender rejects the connection; no frames follow then.
     #[serde(rename = "refused")]
     pub rejection: Option<Rejection>,
 }
 
-/// Why a member is not spoken with.
+/// Why a member rejects a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rejection {
-    /// Another fleet's.
-    #[error("a member of another fleet")]
+    /// The other side belongs to another fleet.
+    #[error("it is a member of another fleet")]
     OtherFleet,
-    /// It wants somebody else.
-    #[error("whom it calls is not here")]
+    /// The other side wants another member.
+    #[error("the member that it calls is not at this address")]
     #[serde(rename = "not_me")]
     WrongMember,
-    /// The file does not name it.
-    #[error("a stranger: the file does not name it")]
+    /// The fleet's configuration does not name the other side.
+    #[error("unknown member: the fleet's file does not name it")]
     #[serde(rename = "stranger")]
     UnknownMember,
-    /// No version of frames in common.
+    /// The two sides have no version of the frames in common.
     #[error("no version of the frames in common")]
     Version,
-    /// Its folder is an older copy.
-    #[error("its folder is an older copy of what it was")]
+    /// The other side's state directory is an older copy.
+    #[error("its state directory is an older copy of what it was")]
     OlderCopy,
-    /// Its birth is here.
-    #[error("its birth is this member's own: two processes of one folder")]
+    /// The other side has this member's own id.
+    #[error("its id is this member's own: two processes use copies of one state directory")]
     #[serde(rename = "my_birth")]
     OwnId,
 }
 
-/// A frame between two members that have said hello.
+/// A frame between two members that have exchanged hellos.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
-    /// Of the library's protocol.
+    /// A Raft message.
     Raft(Box<Message>),
-    /// The caller has looked at the hello of the called one, and speaks with it.
+    /// The sender opened the connection, and has verified and accepted the receiver's hello.
     HelloVerified,
-    /// The sender is to be a member.
+    /// The sender requests to become a member.
     Join,
-    /// A member's question whether this one leads.
+    /// A request to confirm that the receiver still leads, with the sender's number for it.
     ConfirmLeadership(u64),
-    /// The answer: it led after the question had come.
+    /// The reply: the sender was still the leader after the request arrived.
     LeadershipConfirmed {
-        /// The question.
+        /// The number of the request.
         request: u64,
-        /// What it gave away by then lies in the log up to here.
+        /// Everything that the leader had granted by then is in the log up to this index.
         required_index: u64,
     },
-    /// To be agreed, if the receiver leads.
+    /// An entry to propose, if the receiver leads.
     Propose(Vec<u8>),
 }
 
-/// Who a member is when it judges a hello.
-pub struct Me<'a> {
+/// The member that checks a hello.
+pub struct LocalMember<'a> {
     /// Its fleet.
     pub cluster: &'a str,
     /// Its name.
     pub name: &'a str,
-    /// Its birth.
+    /// Its id.
     pub id: MemberId,
 }
 
 impl Hello {
-    /// Whether the sender is one to speak with. `named`: whether the file has a name.
+    /// Whether the receiver accepts the sender. `is_configured`: whether the fleet's configuration has a name.
     ///
     /// # Errors
-    /// Why not.
-    pub fn judge(&self, me: &Me, named: impl Fn(&str) -> bool) -> Result<(), Rejection> {
-        let (from, to) = self.versions;
-        if !(from..=to).contains(&VERSION) {
+    /// The reason for the rejection.
+    pub fn check(&self, local: &LocalMember, is_configured: impl Fn(&str) -> bool) -> Result<(), Rejection> {
+        let (min_version, max_version) = self.versions;
+        if !(min_version..=max_version).contains(&VERSION) {
             Err(Rejection::Version)
-        } else if self.cluster != me.cluster {
+        } else if self.cluster != local.cluster {
             Err(Rejection::OtherFleet)
-        } else if self.to != me.name {
+        } else if self.to != local.name {
             Err(Rejection::WrongMember)
-        } else if !named(&self.name) || self.name == me.name || self.id == 0 {
+        } else if !is_configured(&self.name) || self.name == local.name || self.id == 0 {
             Err(Rejection::UnknownMember)
-        } else if self.id == me.id {
+        } else if self.id == local.id {
             Err(Rejection::OwnId)
         } else {
             Ok(())
@@ -125,7 +125,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn each_stranger_gets_one_reason() {
+    fn each_unacceptable_hello_is_rejected_with_its_reason() {
         let hello = Hello {
             versions: (1, 3),
             cluster: "m".into(),
@@ -136,19 +136,20 @@
             position: LogPosition::default(),
             rejection: None,
         };
-        let judged = |hello: &Hello| hello.judge(&Me { cluster: "m", name: "b", id: 6 }, |name| name < "c");
-        assert_eq!(judged(&hello), Ok(()));
-        let with = |change: &dyn Fn(&mut Hello)| {
+        let check =
+            |hello: &Hello| hello.check(&LocalMember { cluster: "m", name: "b", id: 6 }, |name| name < "c");
+        assert_eq!(check(&hello), Ok(()));
+        let rejection_after = |change: &dyn Fn(&mut Hello)| {
             let mut other = hello.clone();
             change(&mut other);
-            judged(&other).unwrap_err()
+            check(&other).unwrap_err()
         };
-        assert_eq!(with(&|h| h.versions = (2, 3)), Rejection::Version);
-        assert_eq!(with(&|h| h.cluster = "n".into()), Rejection::OtherFleet);
-        assert_eq!(with(&|h| h.to = "c".into()), Rejection::WrongMember);
-        assert_eq!(with(&|h| h.name = "z".into()), Rejection::UnknownMember);
-        assert_eq!(with(&|h| h.name = "b".into()), Rejection::UnknownMember);
-        assert_eq!(with(&|h| h.id = 6), Rejection::OwnId);
+        assert_eq!(rejection_after(&|h| h.versions = (2, 3)), Rejection::Version);
+        assert_eq!(rejection_after(&|h| h.cluster = "n".into()), Rejection::OtherFleet);
+        assert_eq!(rejection_after(&|h| h.to = "c".into()), Rejection::WrongMember);
+        assert_eq!(rejection_after(&|h| h.name = "z".into()), Rejection::UnknownMember);
+        assert_eq!(rejection_after(&|h| h.name = "b".into()), Rejection::UnknownMember);
+        assert_eq!(rejection_after(&|h| h.id = 6), Rejection::OwnId);
         let read = |text: &str| fawnspoke_frames::read_hello::<Hello>(text.as_bytes());
         let packet = fawnspoke_frames::hello_packet(&hello).unwrap();
         assert_eq!(fawnspoke_frames::read_hello::<Hello>(&packet).unwrap(), hello);
@@ -157,9 +158,9 @@
 
     proptest! {
         #[test]
-        fn bytes_that_are_no_frame_are_an_error_and_no_more(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        fn arbitrary_bytes_are_at_most_a_decoding_error(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             if let Ok(Frame::Raft(message)) = fawnspoke_frames::read::<Frame>(&bytes) {
-                let _ = message.lib();
+                let _ = message.to_lib();
             }
             let _ = fawnspoke_frames::read_hello::<Hello>(&bytes);
         }
--- a/crates/cluster/tests/votes.rs
+++ b/crates/cluster/tests/votes.rs
@@ -1,173 +1,181 @@
-//! Every order of events of one voter whose process is changed: an upgrade, kills, candidates that ask for its vote, a
-//! record that is written and then synced. It may vote for one candidate in a term, whichever process speaks. Checked state
-//! by state; the rules are written down anew, and each is taken out to see that it is needed.
+//! A voter must vote for at most one candidate in a term, also while its process is replaced by an upgrade or killed.
+//! The model explores every order of starts, kills, vote requests and syncs of two processes that share one store. Its
+//! rules are stated here independently of the implementation; leaving out any of them must lead to a double vote.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
-const TERMS: u8 = 3;
+const MAX_TERM: u8 = 3;
 const CANDIDATES: u8 = 2;
-const KILLS: u8 = 2;
+const MAX_KILLS: u8 = 2;
 
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// A vote is synced before it is answered for.
-    synced_first: bool,
-    /// The record is read by none but the one that has its lock.
-    locked_first: bool,
-    /// A process that lets the record go answers no more.
-    silent_after: bool,
+    /// A vote is synced before it is sent.
+    sync_before_reply: bool,
+    /// A process reads the store only while it holds the lock.
+    lock_before_read: bool,
+    /// A process that has released the store sends no more votes.
+    silent_after_release: bool,
 }
 
-const ALL: Rules = Rules { synced_first: true, locked_first: true, silent_after: true };
+const ALL_RULES: Rules =
+    Rules { sync_before_reply: true, lock_before_read: true, silent_after_release: true };
 
-/// The latest term, and the vote in it.
+/// The latest term, and the candidate voted for in it.
 type Vote = (u8, Option<u8>);
 
 #[derive(Clone, Copy, Debug, Default, Hash, PartialEq, Eq)]
 struct Process {
     alive: bool,
-    /// What it has in mind, once it has read the record.
-    mind: Option<Vote>,
-    /// It has what it has in mind on record.
+    /// The vote in memory, once the process has read the store.
+    in_memory: Option<Vote>,
+    /// Whether the vote in memory is synced.
     synced: bool,
-    /// A vote that it has not answered for yet.
-    answer: Option<(u8, u8)>,
-    /// It was told to let the record go.
-    left: bool,
+    /// A vote, as term and candidate, that is not sent yet.
+    pending_reply: Option<(u8, u8)>,
+    /// Whether the process has released the store.
+    released: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
-struct World {
+struct State {
     processes: [Process; 2],
-    lock: Option<usize>,
-    record: Vote,
-    /// What was answered: term and candidate.
-    votes: BTreeSet<(u8, u8)>,
+    lock_holder: Option<usize>,
+    stored: Vote,
+    /// The votes that were sent, as term and candidate.
+    sent_votes: BTreeSet<(u8, u8)>,
     kills: u8,
 }
 
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum Event {
-    Starts(usize),
-    Locks(usize),
-    Reads(usize),
-    Asked { process: usize, term: u8, candidate: u8 },
-    Syncs(usize),
-    Answers(usize),
-    Leaves(usize),
-    Killed(usize),
+    Start(usize),
+    Lock(usize),
+    Read(usize),
+    VoteRequest { process: usize, term: u8, candidate: u8 },
+    Sync(usize),
+    Reply(usize),
+    Release(usize),
+    Kill(usize),
 }
 
 struct Voter(Rules);
 
 impl Model for Voter {
-    type State = World;
+    type State = State;
     type Action = Event;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<State> {
         let processes = [Process { alive: true, ..Process::default() }, Process::default()];
-        vec![World { processes, lock: None, record: (0, None), votes: BTreeSet::new(), kills: 0 }]
+        vec![State { processes, lock_holder: None, stored: (0, None), sent_votes: BTreeSet::new(), kills: 0 }]
     }
 
-    fn actions(&self, world: &World, events: &mut Vec<Event>) {
-        for (i, process) in world.processes.iter().enumerate() {
+    fn actions(&self, state: &State, events: &mut Vec<Event>) {
+        for (i, process) in state.processes.iter().enumerate() {
             if !process.alive {
-                events.push(Event::Starts(i));
+                events.push(Event::Start(i));
                 continue;
             }
-            if world.lock.is_none() && !process.left {
-                events.push(Event::Locks(i));
+            if state.lock_holder.is_none() && !process.released {
+                events.push(Event::Lock(i));
             }
-            let may_read = world.lock == Some(i) || !self.0.locked_first;
-            if process.mind.is_none() && may_read && !process.left {
-                events.push(Event::Reads(i));
+            let may_read = state.lock_holder == Some(i) || !self.0.lock_before_read;
+            if process.in_memory.is_none() && may_read && !process.released {
+                events.push(Event::Read(i));
             }
-            if process.mind.is_some() && process.answer.is_none() && (!process.left || !self.0.silent_after) {
-                let asked =
-                    (1..=TERMS).flat_map(|term| (0..CANDIDATES).map(move |candidate| (term, candidate)));
-                events.extend(asked.map(|(term, candidate)| Event::Asked { process: i, term, candidate }));
+            if process.in_memory.is_some()
+                && process.pending_reply.is_none()
+                && (!process.released || !self.0.silent_after_release)
+            {
+                let requests =
+                    (1..=MAX_TERM).flat_map(|term| (0..CANDIDATES).map(move |candidate| (term, candidate)));
+                events.extend(requests.map(|(term, candidate)| Event::VoteRequest {
+                    process: i,
+                    term,
+                    candidate,
+                }));
             }
-            events.extend((process.mind.is_some() && !process.synced).then_some(Event::Syncs(i)));
-            events.extend(process.answer.map(|_| Event::Answers(i)));
-            events.extend((world.lock == Some(i)).then_some(Event::Leaves(i)));
-            events.extend((world.kills < KILLS).then_some(Event::Killed(i)));
+            events.extend((process.in_memory.is_some() && !process.synced).then_some(Event::Sync(i)));
+            events.extend(process.pending_reply.map(|_| Event::Reply(i)));
+            events.extend((state.lock_holder == Some(i)).then_some(Event::Release(i)));
+            events.extend((state.kills < MAX_KILLS).then_some(Event::Kill(i)));
         }
     }
 
-    fn next_state(&self, before: &World, event: Event) -> Option<World> {
-        let (rules, mut world) = (self.0, before.clone());
+    fn next_state(&self, previous: &State, event: Event) -> Option<State> {
+        let (rules, mut state) = (self.0, previous.clone());
         match event {
-            Event::Starts(i) => world.processes[i] = Process { alive: true, ..Process::default() },
-            Event::Locks(i) => world.lock = Some(i),
-            Event::Reads(i) => {
-                (world.processes[i].mind, world.processes[i].synced) = (Some(world.record), true);
+            Event::Start(i) => state.processes[i] = Process { alive: true, ..Process::default() },
+            Event::Lock(i) => state.lock_holder = Some(i),
+            Event::Read(i) => {
+                (state.processes[i].in_memory, state.processes[i].synced) = (Some(state.stored), true);
             }
-            Event::Asked { process, term, candidate } => {
-                let process = &mut world.processes[process];
-                let (latest, vote) = process.mind?;
-                if term < latest || (term == latest && vote.is_some_and(|vote| vote != candidate)) {
+            Event::VoteRequest { process, term, candidate } => {
+                let process = &mut state.processes[process];
+                let (latest_term, vote) = process.in_memory?;
+                if term < latest_term || (term == latest_term && vote.is_some_and(|vote| vote != candidate)) {
                     return None;
                 }
-                (process.mind, process.synced) = (Some((term, Some(candidate))), false);
-                process.answer = Some((term, candidate));
+                (process.in_memory, process.synced) = (Some((term, Some(candidate))), false);
+                process.pending_reply = Some((term, candidate));
             }
-            Event::Syncs(i) => {
-                world.record = world.processes[i].mind?;
-                world.processes[i].synced = true;
+            Event::Sync(i) => {
+                state.stored = state.processes[i].in_memory?;
+                state.processes[i].synced = true;
             }
-            Event::Answers(i) => {
-                let process = &mut world.processes[i];
-                if rules.synced_first && !process.synced {
+            Event::Reply(i) => {
+                let process = &mut state.processes[i];
+                if rules.sync_before_reply && !process.synced {
                     return None;
                 }
-                world.votes.insert(process.answer.take()?);
+                state.sent_votes.insert(process.pending_reply.take()?);
             }
-            Event::Leaves(i) => {
-                world.lock = None;
-                world.processes[i].left = true;
-                if rules.silent_after {
-                    (world.processes[i].mind, world.processes[i].answer) = (None, None);
+            Event::Release(i) => {
+                state.lock_holder = None;
+                state.processes[i].released = true;
+                if rules.silent_after_release {
+                    (state.processes[i].in_memory, state.processes[i].pending_reply) = (None, None);
                 }
             }
-            Event::Killed(i) => {
-                world.kills += 1;
-                world.processes[i] = Process::default();
-                world.lock = world.lock.filter(|holder| *holder != i);
+            Event::Kill(i) => {
+                state.kills += 1;
+                state.processes[i] = Process::default();
+                state.lock_holder = state.lock_holder.filter(|holder| *holder != i);
             }
         }
-        (world != *before).then_some(world)
+        (state != *previous).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one vote in a term", |_, world: &World| {
-                let terms: BTreeSet<u8> = world.votes.iter().map(|(term, _)| *term).collect();
-                terms.len() == world.votes.len()
+            Property::always("one vote in a term", |_, state: &State| {
+                let terms: BTreeSet<u8> = state.sent_votes.iter().map(|(term, _)| *term).collect();
+                terms.len() == state.sent_votes.len()
             }),
-            Property::sometimes("both processes vote", |_, world: &World| {
-                world.votes.len() > 1 && world.processes[0].left && world.lock == Some(1)
+            Property::sometimes("both processes vote", |_, state: &State| {
+                state.sent_votes.len() > 1 && state.processes[0].released && state.lock_holder == Some(1)
             }),
         ]
     }
 }
 
 #[test]
-fn a_voter_votes_once_in_a_term_whichever_process_speaks() {
-    let checker = Voter(ALL).checker().threads(2).spawn_bfs().join();
+fn a_voter_votes_once_in_a_term_across_process_changes() {
+    let checker = Voter(ALL_RULES).checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     println!("{} states", checker.unique_state_count());
     assert!(checker.unique_state_count() > 1000);
 }
 
 #[test]
-fn each_rule_is_needed() {
-    let without = [
-        Rules { synced_first: false, ..ALL },
-        Rules { locked_first: false, ..ALL },
-        Rules { silent_after: false, ..ALL },
+fn leaving_out_any_rule_leads_to_a_double_vote() {
+    let incomplete_rules = [
+        Rules { sync_before_reply: false, ..ALL_RULES },
+        Rules { lock_before_read: false, ..ALL_RULES },
+        Rules { silent_after_release: false, ..ALL_RULES },
     ];
-    for rules in without {
+    for rules in incomplete_rules {
         let checker =
             Voter(rules).checker().threads(2).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
         assert!(checker.discovery("one vote in a term").is_some(), "{rules:?}");
