--- a/crates/cluster/src/connections.rs
+++ b/crates/cluster/src/connections.rs
@@ -225,13 +225,13 @@
         &self, framed: &mut Framed<TcpStream, LengthDelimitedCodec>, connection: Connection,
     ) -> Option<(MemberId, MemberId)> {
         let packet = framed.next().await?.ok()?;
-        let hello: Hello = fawnspoke_frames::read_hello(&packet).ok()?;
+        let hello: Hello = fawnspoke_frames::decode_hello(&packet).ok()?;
         let id = hello.id;
         let (reply, received_reply) = oneshot::channel();
         let hello = Box::new(hello);
         self.events.send(Event::Hello { hello, outgoing: false, reply, connection }).ok()?;
         let (own_hello, accepted) = received_reply.await.ok()?;
-        framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await.ok()?;
+        framed.send(Bytes::from(fawnspoke_frames::encode_hello(&own_hello).ok()?)).await.ok()?;
         accepted.then_some((id, own_hello.id))
     }
 
@@ -266,9 +266,9 @@
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await.ok()?.ok()?;
         let mut framed = frame_packets(stream);
         let exchange_hellos = async {
-            framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await.ok()?;
+            framed.send(Bytes::from(fawnspoke_frames::encode_hello(&own_hello).ok()?)).await.ok()?;
             let packet = framed.next().await?.ok()?;
-            fawnspoke_frames::read_hello::<Hello>(&packet).ok()
+            fawnspoke_frames::decode_hello::<Hello>(&packet).ok()
         };
         let peer_hello = Box::new(timeout(hello_timeout, exchange_hellos).await.ok().flatten()?);
         if peer_hello.rejection.is_some() {
@@ -287,7 +287,7 @@
         let (own_hello, accepted) = received_reply.await.ok()?;
         if !accepted {
             // Tells the other side why.
-            let _ = framed.send(Bytes::from(fawnspoke_frames::hello_packet(&own_hello).ok()?)).await;
+            let _ = framed.send(Bytes::from(fawnspoke_frames::encode_hello(&own_hello).ok()?)).await;
             return Some(false);
         }
         self.exchange_frames(id, own_hello.id, framed, &connection, packets).await;
@@ -313,10 +313,10 @@
         };
         let read = async {
             while let Ok(Some(Ok(packet))) = timeout(read_timeout, source.next()).await {
-                let Ok(frame) = fawnspoke_frames::read::<Frame>(&packet) else {
+                let Ok(frame) = fawnspoke_frames::decode::<Frame>(&packet) else {
                     // An invalid frame closes the connection, and so does a hello by which the caller rejects this
                     // side.
-                    if let Ok(hello) = fawnspoke_frames::read_hello::<Hello>(&packet)
+                    if let Ok(hello) = fawnspoke_frames::decode_hello::<Hello>(&packet)
                         && hello.rejection.is_some()
                     {
                         let (name, hello) = (hello.name.clone(), Box::new(hello));
--- a/crates/cluster/src/runtime.rs
+++ b/crates/cluster/src/runtime.rs
@@ -341,7 +341,7 @@
         }
         for (to, frame) in self.core.take_frames() {
             if let (Some(connection), Ok(packet)) =
-                (self.open_connections.get(&to), fawnspoke_frames::packet(&frame))
+                (self.open_connections.get(&to), fawnspoke_frames::encode(&frame))
             {
                 connection.send(packet);
             }
--- a/crates/cluster/src/wire.rs
+++ b/crates/cluster/src/wire.rs
@@ -150,19 +150,19 @@
         assert_eq!(rejection_after(&|h| h.name = "z".into()), Rejection::UnknownMember);
         assert_eq!(rejection_after(&|h| h.name = "b".into()), Rejection::UnknownMember);
         assert_eq!(rejection_after(&|h| h.id = 6), Rejection::OwnId);
-        let read = |text: &str| fawnspoke_frames::read_hello::<Hello>(text.as_bytes());
-        let packet = fawnspoke_frames::hello_packet(&hello).unwrap();
-        assert_eq!(fawnspoke_frames::read_hello::<Hello>(&packet).unwrap(), hello);
+        let read = |text: &str| fawnspoke_frames::decode_hello::<Hello>(text.as_bytes());
+        let packet = fawnspoke_frames::encode_hello(&hello).unwrap();
+        assert_eq!(fawnspoke_frames::decode_hello::<Hello>(&packet).unwrap(), hello);
         assert!(read("{\"versions\":[1,1]}").is_err());
     }
 
     proptest! {
         #[test]
         fn arbitrary_bytes_are_at_most_a_decoding_error(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok(Frame::Raft(message)) = fawnspoke_frames::read::<Frame>(&bytes) {
+            if let Ok(Frame::Raft(message)) = fawnspoke_frames::decode::<Frame>(&bytes) {
                 let _ = message.to_lib();
             }
-            let _ = fawnspoke_frames::read_hello::<Hello>(&bytes);
+            let _ = fawnspoke_frames::decode_hello::<Hello>(&bytes);
         }
     }
 }
