--- a/crates/fawnspoke/tests/sockets/in_service.rs
+++ b/crates/fawnspoke/tests/sockets/in_service.rs
@@ -145,7 +145,7 @@
     stop(&mut old);
     eventually("the half request's call", || slow.ids() == ["out", "half"]);
     assert_eq!(slow.seen()[1].request.body, b"0123456789");
-    assert!(dispatcher.logged("with all that it knew"));
+    assert!(dispatcher.logged("with its in-memory state"));
     // The call that was out ended once, and its end is known: nothing is owed, nothing goes again.
     eventually("all ends but the ban's", || figures(&dispatcher)["app.open_requests"] == 1);
     assert!(platform.notices().is_empty());
@@ -186,7 +186,7 @@
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old = dispatcher.upgrade();
     eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
-    assert!(dispatcher.logged("with what is on record"));
+    assert!(dispatcher.logged("with the journal only"));
     // The old one broke its call off before anything was given: never two attempts at once.
     eventually("the old one's word", || dispatcher.logged("calls out"));
     assert!(dispatcher.logged("; 0 calls out"));
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: how many there are, how long each may take, and when one has to go.
+//! Client connections: accepts them, limits their number and the time a request may take, and
+//! closes them.
 
 use crate::event_loop::Input;
 use crate::requests;
@@ -27,26 +28,26 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, Sleep, sleep, timeout};
 
-/// From its connection or its first byte on, a request is there by then, head and body together, or never
-/// will be: its client waits 400 ms for the answer.
+/// A request, head and body, must have arrived this long after its connection was opened or its
+/// first byte came; later it is abandoned. Its client waits only 400 ms for the response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// After the last answer so much is still read, for so long: closed with bytes unread, a connection is reset
-/// and its client may never hear the answer.
+/// After the last response, input is still read for this long and up to this many bytes: closing a
+/// socket with unread bytes resets the connection, and the client might never see the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
 const MAX_LINGER_BYTES: usize = 1 << 20;
-/// What was found open so long ago is taken to be: a stall of this process that matters is longer.
+/// A connection found open this recently is assumed to be open still: any stall of this process
+/// that matters is longer.
 const OPEN_CHECK_VALIDITY: Duration = Duration::from_millis(5);
-/// The answer to a request of which the rest did not come in time, or whose client is gone for all that is known.
+/// The response to a request that did not arrive in time, or whose client appears to be gone.
 const ABANDONED_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// Before the next accept after one that failed for want of something.
+/// Delay before the next accept after one failed for lack of a resource.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// What is kept of a request that is not whole; a longer one is refused in the end.
+/// Bytes kept of a request that is not complete; a longer one is rejected in the end.
 const MAX_BUFFERED_REQUEST_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
-/// Header lines of a request.
 const MAX_REQUEST_HEADERS: usize = 64;
 
-/// The connections that are open.
+/// The open client connections.
 #[derive(Default)]
 pub struct ClientConnections {
     open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -61,12 +62,13 @@
         (number, client)
     }
 
-    /// How many there are.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Messages that are on record though their clients have not heard of it: those clients leave, and nothing is owed.
+    /// Closes the connections of clients whose message is journaled but not yet acknowledged, and
+    /// returns the numbers of these messages. The dispatcher has no obligation for them.
     pub fn close_unacknowledged(&self) -> Vec<u64> {
         let open = self.open.borrow();
         let unacknowledged = open.values().filter_map(|client| Some((client, client.unacknowledged.take()?)));
@@ -78,7 +80,7 @@
         abandoned.collect()
     }
 
-    /// Connections on which a request has begun that has no answer yet.
+    /// Number of connections on which a request has begun that has no response yet.
     pub fn awaiting_response(&self) -> usize {
         let is_awaiting = |client: &&Rc<ClientConnection>| {
             client.request_since.get().is_some() && !client.request_bytes.borrow().is_empty()
@@ -86,13 +88,13 @@
         self.open.borrow().values().filter(is_awaiting).count()
     }
 
-    /// Connections on which no request is owed.
+    /// Number of connections on which no request is expected or in progress.
     fn idle_count(&self) -> usize {
         self.open.borrow().values().filter(|client| client.is_idle()).count()
     }
 
-    /// Closes the connection that has been silent for the longest, of all or of the idle ones. One on which a request has
-    /// begun goes last.
+    /// Closes the connection that has been silent for the longest, among all or among the idle ones
+    /// only. A connection on which a request has begun is closed last.
     fn close_longest_silent(&self, idle_only: bool) {
         let open = self.open.borrow();
         for _ in 0..open.len() {
@@ -102,7 +104,7 @@
                 (client.has_unanswered_request(), client.last_active_at.get())
             };
             let Some(oldest) = candidates.min_by_key(priority) else { return };
-            // A request that nobody has read yet would be lost with it.
+            // Closing it would lose a request that nobody has read yet.
             if oldest.stream.unread() == Unread::Bytes {
                 oldest.last_active_at.set(Instant::now());
                 continue;
@@ -114,26 +116,28 @@
     }
 }
 
-/// One client's connection, as those see it who do not read it.
+/// The state of one client connection, for those that do not read from it.
 pub struct ClientConnection {
     pub stream: SharedStream,
-    /// When a byte came last, or an answer was ready.
+    /// When the last byte arrived, or the last response was ready.
     last_active_at: Cell<Instant>,
-    /// Since when a request is awaited or read. A new connection owes one, a kept one does not.
+    /// Since when a request is expected or being read. A new connection is expected to bring one, a
+    /// kept-alive connection is not.
     request_since: Cell<Option<Instant>>,
     head: RefCell<HeadScanner>,
-    /// What was read of the request that is awaited or read.
+    /// What was read of the request that is expected or in progress.
     request_bytes: RefCell<Vec<u8>>,
-    /// When its socket was last found open, if that was looked at.
+    /// When its socket was last found open, if it was checked.
     found_open_at: Cell<Option<Instant>>,
-    /// Bytes of an answer were written since the request began that was read last.
+    /// Whether bytes of a response were written since the latest request began.
     response_started: Cell<bool>,
-    /// An answer said that it is the last one.
+    /// Whether a response announced that it is the last one on this connection.
     last_response: Cell<bool>,
-    /// This side ends it between two requests.
+    /// Whether this side closes the connection between two requests.
     closed_between_requests: Cell<bool>,
-    /// The message whose 202 is to be written.
+    /// The message whose 202 response is yet to be written.
     pub unacknowledged: Cell<Option<u64>>,
+    /// Whether this side has decided to close it.
     closing: Cell<bool>,
     close_requested: Notify,
 }
@@ -157,9 +161,10 @@
         }
     }
 
-    /// What has come behind a request with a body of this length. Clients send one request at a time: one with more behind
-    /// it is not what its sender took it for, or hides another. An end may be that of the sending alone: whether its client
-    /// has left can't be told before it is written to.
+    /// What has arrived after a request with a body of this length. Clients send one request at a time:
+    /// if more follows, the request is not what its sender believes, or it hides another one. The end
+    /// of the input may be a half close: whether the client has gone shows only when the response is
+    /// written.
     pub fn trailing_input(&self, body_length: usize) -> Unread {
         let unread = self.stream.unread();
         if unread == Unread::Nothing {
@@ -171,7 +176,8 @@
         }
     }
 
-    /// Whether the client has closed; one that was there a moment ago is not asked for again.
+    /// Whether the client has closed. A connection that was found open a moment ago is not checked
+    /// again.
     fn has_closed(&self) -> bool {
         let known_open = self.found_open_at.get().is_some_and(|at| at.elapsed() <= OPEN_CHECK_VALIDITY);
         !known_open && self.stream.unread() == Unread::Closed
@@ -181,33 +187,33 @@
         !self.closing.get() && self.is_between_requests()
     }
 
-    /// Whether no request is owed or awaited on it.
+    /// Whether no request is expected or in progress on it.
     fn is_between_requests(&self) -> bool {
         self.request_since.get().is_none()
     }
 
-    /// The request has its answer: the next one may take its time to begin.
+    /// The request has its response: the next one may begin at any time.
     fn request_answered(&self) {
         self.last_active_at.set(Instant::now());
         self.request_since.set(None);
         self.head.take();
-        // An idle connection keeps no room for the longest request that it had.
+        // An idle connection does not keep the buffer of its longest request.
         self.request_bytes.take();
     }
 
-    /// Whether something was read of a request that has no answer yet.
+    /// Whether part of a request was read that has no response yet.
     fn has_unanswered_request(&self) -> bool {
         !self.request_bytes.borrow().is_empty() && !self.response_started.get() && !self.last_response.get()
     }
 
-    /// A request that was begun and is given up gets its answer: nothing was taken, and it may come again.
+    /// Answers a request that is abandoned: nothing was accepted, and it may be sent again.
     fn abandon_request(&self) {
         if self.has_unanswered_request() && self.stream.try_write(ABANDONED_RESPONSE).is_ok() {
             self.last_response.set(true);
         }
     }
 
-    /// Bytes of the request have come.
+    /// Records bytes of a request that have arrived.
     fn receive(&self, bytes: &[u8]) {
         let now = Instant::now();
         if self.request_bytes.borrow().is_empty() {
@@ -222,14 +228,15 @@
         }
     }
 
-    /// The body of the request, which is whole and of this length.
+    /// The body of the request, which has arrived completely and has this length.
     pub fn body(&self, length: usize) -> Option<Bytes> {
         let request_bytes = self.request_bytes.borrow();
         let head_length = request_bytes.len().checked_sub(self.head.borrow().bytes_after_head()?)?;
         request_bytes.get(head_length..head_length + length).map(Bytes::copy_from_slice)
     }
 
-    /// What another process needs to go on with it; none where a request is longer than any that is taken.
+    /// What another process needs to continue the connection; `None` if the request is longer than any
+    /// that is accepted.
     fn to_transfer(&self) -> Option<Transfer> {
         let read = self.request_bytes.take();
         let asked_ms = self.request_since.get().map(|at| at.elapsed().as_millis() as u32);
@@ -241,12 +248,14 @@
     }
 }
 
-/// Whether this process has no descriptor left. Another cause passes without a client's leaving.
+/// Whether this process has no file descriptor left. Other failures pass without closing a client's
+/// connection.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
 
-/// Whether an accept failed for the one connection that it was to bring (accept(2)), or was interrupted.
+/// Whether an accept failed only for the connection it was to return (accept(2)), or was
+/// interrupted.
 fn affects_one_connection(error: &io::Error) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionReset, Interrupted, InvalidInput};
     let connection_errors =
@@ -270,16 +279,16 @@
         let full = out_of_descriptors || node.clients.open.borrow().len() >= max_connections;
         if full || node.clients.idle_count() > max_idle {
             node.clients.close_longest_silent(!full);
-            // It is closed before the next one is accepted.
+            // The connection is closed before the next one is accepted.
             yield_now().await;
         }
         match accepted {
             Ok(stream) => {
-                // It counts from here on: more may be accepted before its task has run.
+                // It counts from here on: more connections may be accepted before its task has run.
                 let (number, client) = node.clients.add(stream);
                 spawn_local(serve_connection(node.clone(), number, client, Vec::new()));
             }
-            // It concerns one connection that is gone, or a call that was interrupted.
+            // Only one connection, which is gone, is affected, or the call was interrupted.
             Err(error) if affects_one_connection(&error) => {
                 log::info_limited(format_args!("accept: {error}"))
             }
@@ -291,7 +300,8 @@
     }
 }
 
-/// Takes a client's connection over: what was read of its request, and for how long that is awaited.
+/// Takes over a client's connection from the previous process: `read` has been read of its request,
+/// which has been awaited for `asked_ms`.
 pub fn adopt(node: &Rc<Node>, stream: TcpStream, read: Vec<u8>, asked_ms: Option<u32>) -> io::Result<()> {
     let (number, client) = node.clients.add(SharedStream::new(stream)?);
     let request_since = asked_ms.and_then(|ms| Instant::now().checked_sub(Duration::from_millis(ms.into())));
@@ -300,7 +310,7 @@
     Ok(())
 }
 
-/// Serves one connection. `before`: what was read of it by the process that had it.
+/// Serves one connection. `already_read`: what the previous process had read of it.
 async fn serve_connection(node: Rc<Node>, number: u64, client: Rc<ClientConnection>, already_read: Vec<u8>) {
     let request_timer = Box::pin(sleep(REQUEST_TIMEOUT));
     let stream = ClientStream { client: client.clone(), node: node.clone(), request_timer, already_read };
@@ -315,19 +325,21 @@
         }
     });
     let mut server = http1::Builder::new();
-    // Whoever ends its sending behind its request still hears the answer.
+    // A client that closes its sending side after the request still receives the response.
     server.half_close(true);
     server.max_buf_size(MAX_HEAD_BYTES).max_headers(MAX_REQUEST_HEADERS).header_read_timeout(None);
     let mut connection = pin!(server.serve_connection(TokioIo::new(stream), service));
     let mut stopping = node.close_clients.subscribe();
-    // What was there before this connection is heard of too. The sender lives as long as the node.
+    // This also completes if the shutdown began before the connection was accepted. The sender lives as
+    // long as the node.
     let stopping = async { drop(stopping.wait_for(|stopping| *stopping).await) };
     let served_to_end = async {
         tokio::select! {
             _ = connection.as_mut() => {}
             () = stopping => {
-                // An idle one ends at once. Where a request is owed or awaited, its answer says that it is the last:
-                // hyper would close a new connection on which nothing has come yet.
+                // An idle connection is closed at once. Where a request is expected or in progress, its
+                // response says that it is the last: hyper would close a new connection on which
+                // nothing has arrived yet.
                 if client.is_idle() && client.stream.unread() != Unread::Bytes {
                     client.closed_between_requests.set(true);
                     connection.as_mut().graceful_shutdown();
@@ -354,17 +366,18 @@
     }
 }
 
-/// Ends a connection that is not served any more. What comes behind its last answer is read, or a reset would take that
-/// answer with it; where none was written nothing more is read: its client knows by the reset that it may come again.
+/// Ends a connection that is no longer served. What arrives after its last response is read, since
+/// a reset would discard that response. If no response was written, nothing more is read: the reset
+/// tells the client that it may send the request again.
 async fn finish(client: &ClientConnection) {
     client.abandon_request();
     if client.last_response.get() || client.response_started.get() && !client.closed_between_requests.get() {
-        // A client that breaks off is its own affair.
+        // A client that breaks the connection affects only itself.
         let _ = timeout(LINGER_TIMEOUT, linger(client.stream.clone())).await;
     }
 }
 
-/// Ends the writing and reads on until the client has closed.
+/// Closes the sending side and reads until the client has closed.
 async fn linger(mut stream: SharedStream) -> io::Result<()> {
     stream.shutdown().await?;
     let (mut bytes, mut remaining) = ([0; 4096], MAX_LINGER_BYTES);
@@ -377,12 +390,13 @@
     }
 }
 
-/// What hyper reads and writes. A message counts as taken from the first byte of its 202 on.
+/// The stream that hyper reads and writes. A message counts as accepted from the first byte of its
+/// 202 response on.
 struct ClientStream {
     client: Rc<ClientConnection>,
     node: Rc<Node>,
     request_timer: Pin<Box<Sleep>>,
-    /// What another process has read of this connection.
+    /// What the previous process read of this connection.
     already_read: Vec<u8>,
 }
 
@@ -390,7 +404,8 @@
     fn poll_read(
         mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // While this process hands over, what comes stays with the socket: whoever owns reads it.
+        // During a handover, input stays in the socket: the process that owns the connection afterwards
+        // reads it.
         ready!(self.node.serving_state.poll_serving(cx));
         if !self.already_read.is_empty() {
             let read = self.already_read.len().min(buf.remaining());
@@ -422,9 +437,9 @@
 impl AsyncWrite for ClientStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let client = &self.client;
-        // A client that closed while this process was stalled has handed the message in elsewhere.
+        // A client that closed while this process was stalled has submitted the message elsewhere.
         if client.unacknowledged.get().is_some() && client.has_closed() {
-            // It may have ended its sending alone, and listen still.
+            // It may have closed only its sending side, and still be reading.
             let _ = client.stream.try_write(ABANDONED_RESPONSE);
             client.last_response.set(true);
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: one JSON file and a few variables, checked once at the start.
+//! The configuration: one JSON file and a few environment variables, checked once at startup.
 
 use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use fawnspoke_cluster::file::File;
@@ -10,47 +10,50 @@
 use std::path::{Path, PathBuf};
 use waydoor::{Class, DestinationKind, DiscoveryMode, Effect, Settings, SlowStart, Tenant, ValueDecay};
 
-/// All that this dispatcher is told.
+/// The configuration of this dispatcher.
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: String,
+    /// Where clients connect.
     pub listen_address: SocketAddr,
     pub discovery_address: SocketAddr,
-    /// Where operators call, where they do.
+    /// The address of the control port, if there is one.
     pub control_address: Option<SocketAddr>,
+    /// The directory for everything that outlives the process.
     pub state_dir: PathBuf,
-    /// The operators' file of the fleet, where this dispatcher is a member of one.
+    /// The fleet file, if this dispatcher is a member of a fleet.
     pub fleet: Option<File>,
     pub seed: u64,
     pub limits: Limits,
-    /// The file as it was read; its `known` is the list of endpoints, in discovery's form.
+    /// The file as it was read; its `known` is a list of endpoints in discovery's format.
     pub document: Value,
+    /// The settings of the decision core.
     pub settings: Settings,
     pub classes: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
-    /// Names of the customers.
     pub tenants: Vec<String>,
-    /// Events of so long are handled together.
+    /// Events within this interval are handled together.
     pub tick_seconds: f64,
     pub connect_timeout_seconds: f64,
     pub max_retry_after_seconds: f64,
-    /// The fields of a report that tell an endpoint's limit and what is left of it, where answers carry reports.
+    /// The fields of a load report that hold an endpoint's rate limit and what is left of it, if
+    /// answers carry reports.
     pub report_fields: Option<(&'static str, Option<&'static str>)>,
 }
 
-/// The limits of the process, and what follows from them for its parts.
+/// The resource limits of the process, and what follows from them for its modules.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Limits {
     pub memory_mb: f64,
     pub sockets: usize,
     pub disk_mb: f64,
-    /// Descriptors and bytes on disk that other parts of the process take.
+    /// Descriptors and disk space that other parts of the process use.
     #[serde(skip)]
     pub reserved: Reserved,
 }
 
-/// What the journal, clients and calls can't have.
+/// What is not available to the journal, clients and calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reserved {
     pub descriptors: usize,
@@ -58,31 +61,32 @@
 }
 
 impl Limits {
-    /// Descriptors of the process itself: standard streams, the runtime's, the listener, the journal's segment and
-    /// its successor, discovery's connections, and what is on its way to being closed.
+    /// Descriptors of the process itself: standard streams, the runtime's, the listener, the journal's
+    /// segment and its successor, connections to discovery, and those that are about to be closed.
     const OWN_DESCRIPTORS: usize = 20;
-    /// Share of the clients' connections that may stand idle.
+    /// Share of the client connections that may be idle.
     const IDLE_CLIENT_SHARE: f64 = 1.0 / 3.0;
-    /// Share of the disk that the record of a fleet may take.
+    /// Share of the disk space that the fleet's record may use.
     const FLEET_DISK_SHARE: f64 = 0.5;
-    /// Share of the memory that clients' requests may take while they are read.
+    /// Share of the memory that client requests may use while they are read.
     const READING_MEMORY_SHARE: f64 = 0.5;
 
-    /// Connections of clients: half of the descriptors, and no more than can be read at once.
+    /// Client connections: half of the descriptors, and no more than can be read at once.
     pub fn max_clients(&self) -> usize {
         let bytes_per_request = (MAX_HEAD_BYTES + MAX_BODY_BYTES) as f64;
         let read_at_once = (self.memory_mb * 1e6 * Limits::READING_MEMORY_SHARE / bytes_per_request) as usize;
         (self.sockets.saturating_sub(self.used_descriptors()) / 2).min(read_at_once).max(1)
     }
 
-    /// Connections of clients on which no request is owed. Guards against clients that ask once and keep their
-    /// connection: those who hand messages in have a bounded number, too, and new ones would wait for the old
-    /// ones to end. Harm: a client that comes back after a pause connects anew.
+    /// Client connections without a request. Without this limit, clients that send one request and keep
+    /// their connection could occupy all connections, whose number is bounded, and new clients would
+    /// have to wait for old connections to end. The cost is that a client that returns after a pause
+    /// must reconnect.
     pub fn max_idle_clients(&self) -> usize {
         ((self.max_clients() as f64 * Limits::IDLE_CLIENT_SHARE) as usize).max(1)
     }
 
-    /// Calls that may be out at once: clients leave room for so many connections.
+    /// Concurrent calls: the connections that clients leave free.
     fn max_calls(&self) -> usize {
         self.sockets.saturating_sub(self.used_descriptors() + self.max_clients()).max(1)
     }
@@ -91,17 +95,18 @@
         Limits::OWN_DESCRIPTORS + self.reserved.descriptors
     }
 
-    /// Bytes that the journal may take on disk.
+    /// Bytes that the journal may use on disk.
     pub fn journal_bytes(&self) -> u64 {
         ((self.disk_mb * 1e6) as u64).saturating_sub(self.reserved.disk)
     }
 
-    /// Idle connections to endpoints: what all calls leave.
+    /// Idle connections to endpoints: what this many calls leave free.
     pub fn max_idle_connections(&self, calls: usize) -> usize {
         self.max_calls().saturating_sub(calls).max(1)
     }
 }
 
+/// The file as it is written: the fields of this type and of those below are named like its keys.
 #[derive(Deserialize)]
 struct RawConfig {
     name: String,
@@ -211,11 +216,10 @@
     tip_multiple: f64,
 }
 
-/// Shortest tick, and shortest time for a connection, in seconds.
 const MIN_TICK_SECONDS: f64 = 1e-4;
 const MIN_CONNECT_TIMEOUT_SECONDS: f64 = 1e-3;
 
-/// The keys under which the file has what the module calls otherwise.
+/// Settings of the decision core whose keys in the file have another name.
 const SETTING_KEYS: [(&str, &str); 10] = [
     ("slots", "family_info.call_slots"),
     ("room", "limits.open_cap"),
@@ -230,7 +234,7 @@
 ];
 
 impl Config {
-    /// Reads the configuration that the environment names; the error names the key that is wrong.
+    /// Reads the configuration that the environment names; an error names the key that is wrong.
     pub fn from_environment() -> Result<Config, String> {
         let path = std::env::var("GW_CONFIG").map_err(|_| "GW_CONFIG: not set".to_string())?;
         let text = std::fs::read(&path).map_err(|error| format!("GW_CONFIG: {path}: {error}"))?;
@@ -243,13 +247,14 @@
         Config::read(&text, state_dir.into(), control_address, fleet.as_deref())
     }
 
-    /// Reads a configuration that is not to be run: it has no folder.
+    /// Reads a configuration that is only checked: it has no state directory.
     pub fn from_file(file: &Path) -> Result<Config, String> {
         let text = std::fs::read(file).map_err(|error| error.to_string())?;
         Config::read(&text, PathBuf::new(), None, None)
     }
 
-    /// `control`: the door's address by the environment, which is this process's own; the file may be another's too.
+    /// `control_address`: from the environment, which is this process's own; the file may be shared
+    /// with other dispatchers.
     fn read(
         text: &[u8], state_dir: PathBuf, control_address: Option<SocketAddr>, fleet: Option<&Path>,
     ) -> Result<Config, String> {
@@ -277,9 +282,7 @@
         let mut classes = Vec::new();
         for (i, class) in raw_settings.grades.iter().enumerate() {
             if class.serial_by_key {
-                return Err(format!(
-                    "settings.grades[{i}].serial_by_key: messages carry no key of order here"
-                ));
+                return Err(format!("settings.grades[{i}].serial_by_key: ordering keys are not supported"));
             }
             let effect = match class.effect {
                 RawEffect::ReadLike => Effect::Safe,
@@ -366,13 +369,16 @@
             return Err("settings.limits.max_retry_after: must be a number of seconds, 0 or more".into());
         }
         for (i, class) in raw_settings.grades.iter().enumerate() {
-            // It is a part of a path.
+            // It is part of a URL path.
             let is_path_byte = |b: u8| b.is_ascii_graphic() && !b"/?#".contains(&b);
             if class.name.is_empty() || !class.name.bytes().all(is_path_byte) {
-                return Err(format!("settings.grades[{i}].name: {:?}: no part of a path", class.name));
+                return Err(format!(
+                    "settings.grades[{i}].name: {:?} cannot be part of a URL path",
+                    class.name
+                ));
             }
             if raw_settings.grades[..i].iter().any(|other| other.name == class.name) {
-                return Err(format!("settings.grades[{i}].name: {} stands twice", class.name));
+                return Err(format!("settings.grades[{i}].name: {} is a duplicate", class.name));
             }
         }
         let is_reported = |field: &str| {
@@ -400,8 +406,8 @@
         })
     }
 
-    /// The keys by which `other` differs and that bind for as long as a process runs: discovery's address is
-    /// followed, and the seed and the list that was known matter to a start alone.
+    /// The keys by which `other` differs and that take effect only at a restart: discovery's address is
+    /// followed, and the seed and the list of known endpoints matter only at startup.
     pub fn differences(&self, other: &Config) -> Vec<String> {
         let mut keys = Vec::new();
         collect_differences("", &self.document, &other.document, &mut keys);
@@ -412,7 +418,7 @@
     }
 }
 
-/// Adds the paths at which two values differ; what is no object is one leaf.
+/// Collects the paths at which two values differ; anything but an object is a leaf.
 fn collect_differences(path: &str, one: &Value, other: &Value, keys: &mut Vec<String>) {
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,4 +1,5 @@
-//! Where the operators' door meets the dispatcher: orders are put on record and carried out, gauges read.
+//! Connects the operators' control port to the dispatcher: records and applies operator overrides,
+//! and reads the gauges.
 
 use crate::serving::Phase;
 use crate::transfer::Transfer;
@@ -16,26 +17,28 @@
 use tokio::task::spawn_local;
 use waydoor::Event;
 
-/// The orders in force, and where they are on record.
+/// The operator overrides in force, and the file that keeps them.
 pub struct OperatorOverrides {
     overrides: RefCell<Orders>,
     file: File,
-    /// What is on record is not what is in force: the folder refused it.
+    /// Whether the file differs from what is in force, because a write failed.
     unsaved: Cell<bool>,
-    /// Called back while no list had them in service: they come back cold. No more than orders may be in force.
+    /// Endpoints that an operator restored while no list had them in service: they are cold when they
+    /// return. At most as many as there may be overrides.
     restored: RefCell<VecDeque<String>>,
 }
 
 impl OperatorOverrides {
-    /// Orders that an earlier life left. One that can't be read is said, and holds nothing: the dispatcher serves.
+    /// Reads the overrides that an earlier process left. If the file cannot be read, that is logged and
+    /// no override is in force: the dispatcher serves.
     pub fn open(state_dir: &Path) -> OperatorOverrides {
         let file = File::new(state_dir);
         let overrides = file.read().unwrap_or_else(|error| {
-            log::info_limited(format_args!("orders: {error}; none is in force"));
+            log::info_limited(format_args!("orders: {error}; no override is in force"));
             Orders::default()
         });
         for (id, _) in overrides.held() {
-            log::info(format_args!("orders: {id} is out by hand"));
+            log::info(format_args!("orders: {id} is suspended by an operator"));
         }
         OperatorOverrides {
             overrides: RefCell::new(overrides),
@@ -45,33 +48,33 @@
         }
     }
 
-    /// Puts the orders in force on record.
+    /// Writes the overrides in force to the file.
     ///
     /// # Errors
-    /// Those of the folder; [`Control::retry_save`] tries again.
+    /// If the directory refuses the write; [`OperatorOverrides::retry_write`] tries again.
     fn save(&self) -> io::Result<()> {
         let saved = self.file.write(&self.overrides.borrow());
         self.unsaved.set(saved.is_err());
         saved
     }
 
-    /// Records orders that the folder refused when they were given.
+    /// Writes overrides that the directory refused when they were ordered.
     pub fn retry_save(&self) {
         if self.unsaved.get() && self.save().is_ok() {
-            log::info_limited(format_args!("orders: on record again"));
+            log::info_limited(format_args!("orders: written to the file again"));
         }
     }
 
-    /// Whether an endpoint is out by hand.
+    /// Whether an operator has suspended this endpoint.
     pub fn is_suspended(&self, host: &str) -> bool {
         self.overrides.borrow().holds(host)
     }
 }
 
-/// Carries out what operators order, for as long as the process runs.
+/// Carries out operators' commands for as long as the process runs.
 pub async fn process_commands(node: Rc<Node>, mut commands: UnboundedReceiver<Asked>) {
-    while let Some(asked) = commands.recv().await {
-        let command = match asked {
+    while let Some(request) = commands.recv().await {
+        let command = match request {
             Asked::Order(command) => command,
             Asked::Fleet(answer) => {
                 let node = node.clone();
@@ -79,18 +82,18 @@
                 continue;
             }
         };
-        // While this process hands over, nobody owns the orders; then they are the other one's.
+        // During a handover nobody owns the overrides; afterwards they may be the other process's.
         if node.serving_state.wait_until_settled().await == Phase::HandedOver {
             node.transfer(Transfer::Order(command));
             continue;
         }
         let answer = apply_command(&node, &command.subject, command.given);
-        // A caller that has left was told that it may be carried out yet.
+        // A caller that has disconnected was told that the command may still be carried out.
         let _ = command.answer.send(answer);
     }
 }
 
-/// Carries out one order: on record, then in force.
+/// Carries out one command: it is first written to the file, then put in force.
 pub fn apply_command(node: &Node, subject: &Subject, suspend: bool) -> Result<String, String> {
     let operator_overrides = &node.overrides;
     let id = &subject.id;
@@ -103,7 +106,7 @@
             false => overrides.call_back(subject, ever_listed),
         }
     };
-    // Also where it stands already, but is not on record.
+    // This includes an override that is in force already, but not in the file.
     let must_save = matches!(step, Step::Changes(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
@@ -123,7 +126,7 @@
                     node.pool.close_idle(entry.endpoint);
                 }
             }
-            // It was restarted meanwhile.
+            // The endpoint was restarted meanwhile.
             let mut restored = operator_overrides.restored.borrow_mut();
             restored.retain(|other| other != id);
             if change == Change::Ended {
@@ -136,7 +139,7 @@
             report_restored(node);
             log::info_limited(format_args!(
                 "orders: {id} {}",
-                if suspend { "out by hand" } else { "may serve" }
+                if suspend { "suspended by an operator" } else { "may serve" }
             ));
         }
     }
@@ -147,7 +150,8 @@
     }
 }
 
-/// Tells the decisions of endpoints that were called back and are in service now: they were restarted meanwhile.
+/// Tells the decision core which restored endpoints are in service now: they were restarted
+/// meanwhile.
 pub fn report_restored(node: &Node) {
     let directory = node.directory.borrow();
     node.overrides.restored.borrow_mut().retain(|id| {
@@ -157,7 +161,7 @@
     });
 }
 
-/// How things are now.
+/// The current gauges.
 pub fn gauges(node: &Node) -> Gauges {
     let (directory, dispatcher) = (node.directory.borrow(), node.dispatcher.borrow());
     let now = node.now();
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoints as listed now: who they are, where, and what may go there.
+//! The listed endpoints: their names and addresses, and whether messages may be sent to them.
 
 use crate::config::Config;
 use crate::log;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use waydoor::{DestinationId, EndpointEntry, EndpointId, EndpointState, Event};
 
-/// Where an endpoint is and what may go there.
+/// A listed endpoint: its address, and whether it may receive messages.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct ListedEndpoint {
     #[serde(rename = "dial")]
@@ -18,22 +18,25 @@
     /// Its destination's kind, an index of the settings' kinds.
     pub kind: usize,
     pub zone: u16,
+    /// Whether messages may be sent to it now.
     pub ready: bool,
-    /// What the list says of it, orders of operators and bounds aside.
+    /// Whether the list has it in service, apart from operators' suspensions and the fleet's
+    /// restrictions.
     up: bool,
-    /// Out by hand.
+    /// Whether an operator has suspended it.
     #[serde(rename = "held")]
     suspended: bool,
     rate: f64,
 }
 
-/// Names of endpoints that lists have told; beyond this many the oldest is forgotten.
+/// Names of listed endpoints that are remembered; beyond this the oldest is forgotten.
 const MAX_KNOWN_NAMES: usize = 1024;
 
-/// Who was ever listed, as far as that is remembered.
+/// The names of endpoints that were ever listed, as far as they are remembered.
 #[derive(Default, Deserialize, Serialize)]
 struct KnownNames {
     known: HashSet<String>,
+    /// The same names, the oldest first.
     order: VecDeque<String>,
 }
 
@@ -52,7 +55,8 @@
     }
 }
 
-/// The endpoints that are listed and not gone. Names come ever new: nothing is kept of one that has left but its name.
+/// The endpoints that are listed and not gone. New names keep appearing: of an endpoint that has
+/// left only the name is kept.
 #[derive(Default, Deserialize, Serialize)]
 pub struct Directory {
     #[serde(rename = "hosts")]
@@ -63,19 +67,21 @@
     seq: u64,
     #[serde(rename = "named")]
     last_id: u64,
-    /// Destinations held back by a bound, which no other process of this dispatcher knows.
+    /// Destinations that the fleet restricts, which no other process of this dispatcher knows.
     #[serde(skip)]
     restricted: HashSet<u32>,
 }
 
-/// A list in discovery's form.
+/// A list in discovery's format.
 #[derive(Deserialize)]
 pub struct List {
     seq: u64,
+    /// Whether endpoints that are not in `hosts` are gone.
     whole: bool,
     hosts: Vec<Value>,
 }
 
+/// An entry of the list.
 #[derive(Deserialize)]
 struct Host {
     host: String,
@@ -101,13 +107,13 @@
 }
 
 impl ListedEndpoint {
-    /// Whether anything may go there; whether that has changed.
+    /// Updates whether messages may be sent there; returns whether that has changed.
     fn update_ready(&mut self, restricted: &HashSet<u32>) -> bool {
         let ready = self.up && !self.suspended && !restricted.contains(&self.destination);
         std::mem::replace(&mut self.ready, ready) != ready
     }
 
-    /// The entry that tells the decisions.
+    /// The entry for the decision core.
     fn entry(&self, endpoint: EndpointId) -> EndpointEntry {
         let state = if self.ready { EndpointState::Ready } else { EndpointState::Draining };
         entry(endpoint, *self, self.rate, state)
@@ -115,17 +121,18 @@
 }
 
 impl Directory {
+    /// The endpoint, if it is listed.
     pub fn get(&self, endpoint: EndpointId) -> Option<ListedEndpoint> {
         self.endpoints.get(&endpoint).copied()
     }
 
-    /// Whether a message for `dest` may go to the endpoint at this address as listed now.
+    /// Whether a message for `destination` may be sent to this endpoint at this address, as listed now.
     pub fn may_receive(&self, endpoint: EndpointId, at: SocketAddr, destination: u32) -> bool {
         self.ready_address(endpoint) == Some(at)
             && self.endpoints.get(&endpoint).is_some_and(|p| p.destination == destination)
     }
 
-    /// Where the endpoint is, if it may get anything.
+    /// The endpoint's address, if it may receive messages.
     pub fn ready_address(&self, endpoint: EndpointId) -> Option<SocketAddr> {
         self.endpoints
             .get(&endpoint)
@@ -138,19 +145,20 @@
         self.ids_by_name.contains_key(host) || self.names.known.contains(host)
     }
 
-    /// The endpoint of this name, where it may get something.
+    /// The endpoint of this name, if it may receive messages.
     pub fn ready_endpoint(&self, host: &str) -> Option<EndpointId> {
         let endpoint = self.ids_by_name.get(host)?;
         self.ready_address(*endpoint).map(|_| *endpoint)
     }
 
-    /// The endpoints in the list, and whether each may get anything as far as list and orders go.
+    /// The listed endpoints, and whether each may receive messages according to the list, operators and
+    /// the fleet.
     pub fn listed(&self) -> impl Iterator<Item = (EndpointId, bool)> {
         self.endpoints.iter().map(|(id, endpoint_info)| (*id, endpoint_info.ready))
     }
 
-    /// An endpoint is out by hand from now on, or no more. The entry tells the decisions, where that changes what
-    /// may go there.
+    /// Suspends an endpoint, or ends its suspension. Returns the entry for the decision core if that
+    /// changes whether messages may be sent there.
     pub fn set_suspended(&mut self, host: &str, suspended: bool) -> Option<EndpointEntry> {
         let endpoint = *self.ids_by_name.get(host)?;
         let endpoint_info = self.endpoints.get_mut(&endpoint)?;
@@ -158,7 +166,7 @@
         endpoint_info.update_ready(&self.restricted).then(|| endpoint_info.entry(endpoint))
     }
 
-    /// Nothing goes to a destination from now on, or that is no more so. The entries tell the decisions.
+    /// Stops sending to a destination, or resumes. Returns the changed entries for the decision core.
     pub fn set_restricted(&mut self, destination: u32, restricted: bool) -> Vec<EndpointEntry> {
         if restricted {
             self.restricted.insert(destination);
@@ -173,7 +181,7 @@
         changed.collect()
     }
 
-    /// One endpoint of a destination.
+    /// Any endpoint of a destination.
     pub fn any_endpoint_of(&self, destination: u32) -> Option<EndpointId> {
         self.endpoints
             .iter()
@@ -181,7 +189,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Whether the endpoints of a destination are routes of their own, each with its own outages.
+    /// Whether the endpoints of a destination are independent, each with its own outages.
     pub fn has_independent_endpoints(&self, config: &Config, destination: u32) -> bool {
         let endpoint_info =
             self.endpoints.values().find(|endpoint_info| endpoint_info.destination == destination);
@@ -189,14 +197,14 @@
         kind.is_some_and(|kind| kind.independent_endpoints)
     }
 
-    /// The version of the list.
+    /// The sequence number of the list.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Takes one list; an entry that cannot be read is left out. An endpoint that is `held` by hand is draining,
-    /// whatever the list says. Returns the event for the decisions, and the endpoints to which connections are of
-    /// no more use.
+    /// Applies a list; an entry that cannot be parsed is skipped. An endpoint that is `suspended` by an
+    /// operator is draining, whatever the list says. Returns the event for the decision core, and the
+    /// endpoints whose connections can no longer be used.
     pub fn apply(
         &mut self, list: List, kinds: &[String], zones: &[String], is_suspended: &dyn Fn(&str) -> bool,
     ) -> (Event, Vec<EndpointId>) {
@@ -207,13 +215,13 @@
             let host = match Host::deserialize(&value) {
                 Ok(host) => host,
                 Err(error) => {
-                    log::info_limited(format_args!("discovery: entry left out: {error}"));
+                    log::info_limited(format_args!("discovery: entry skipped: {error}"));
                     continue;
                 }
             };
             let Some(kind) = kinds.iter().position(|kind| *kind == host.kind) else {
                 log::info_limited(format_args!(
-                    "discovery: entry left out: {} is of no known class",
+                    "discovery: entry skipped: {} has an unknown class",
                     host.host
                 ));
                 continue;
@@ -234,7 +242,7 @@
             endpoint_info.update_ready(&self.restricted);
             let ready = endpoint_info.ready;
             self.names.add(&host.host);
-            // One that serves another destination now is another endpoint.
+            // A host that serves another destination now is another endpoint.
             let previous_id = self.ids_by_name.get(&host.host).copied();
             let reassigned = previous_id.filter(|old| {
                 self.endpoints
@@ -242,8 +250,8 @@
                     .is_some_and(|endpoint_info| endpoint_info.destination != host.destination)
             });
             entries.extend(reassigned.and_then(|old| self.remove(old)));
-            // Of two at one address the one that is up holds it: the other has made place, though no list
-            // has said so yet. What was sent there for it would come to the wrong one.
+            // Of two endpoints at one address, the one that is up owns it: the other has left, though
+            // no list has said so yet. Messages that are sent there for it would reach the wrong endpoint.
             let same_address = self
                 .endpoints
                 .iter()
@@ -267,7 +275,7 @@
             }
         }
         if list.whole {
-            // What it does not name is gone.
+            // An endpoint that a full list does not name is gone.
             let unlisted: Vec<_> =
                 self.endpoints.keys().filter(|id| !listed_ids.contains(id)).copied().collect();
             for endpoint in unlisted {
@@ -283,7 +291,7 @@
         (event, unusable)
     }
 
-    /// Forgets an endpoint; the entry tells the decisions.
+    /// Removes an endpoint; returns the entry for the decision core.
     fn remove(&mut self, endpoint: EndpointId) -> Option<EndpointEntry> {
         self.ids_by_name.retain(|_, id| *id != endpoint);
         let endpoint_info = self.endpoints.remove(&endpoint)?;
@@ -302,7 +310,7 @@
 mod tests {
     use super::*;
 
-    /// Name, port, block and health.
+    /// Name, port, destination and health.
     type HostFixture<'a> = (&'a str, u16, u32, &'a str);
 
     fn directory(lists: &[(bool, &[HostFixture])]) -> (Directory, Vec<Event>) {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The platform: the list of endpoints comes from it, notices go to it.
+//! Client of the platform: receives the list of endpoints from its discovery service, and sends
+//! notices to it.
 
 use crate::calls::{self, Connection};
 use crate::{Node, control, log};
@@ -13,48 +14,50 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 use waydoor::{DiscoveryMode, Event};
 
-/// A watch that is silent for two heartbeats and more is broken, though its connection may look well.
+/// A watch that is silent for more than two heartbeats is broken, even if its connection looks
+/// intact.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4500);
-/// An agent on this machine answers at once or is down, and so does the platform when a notice comes.
+/// The discovery agent on this machine answers at once or is down, and so does the platform when it
+/// receives a notice.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first notice that is not answered by then goes again, on another connection: the one that is kept may have died
-/// unseen, and a notice is overdue 0.3 s after its message's time. Each failure doubles it up to `ANSWER`. Once more does
-/// no harm.
+/// The first request with notices that is not answered by then is repeated on another connection:
+/// the kept-alive one may be dead without a sign, and a notice is overdue 0.3 s after its message's
+/// deadline. Each failure doubles the time, up to `RESPONSE_TIMEOUT`. A repeated notice does no
+/// harm.
 const FIRST_NOTICE_TIMEOUT: Duration = Duration::from_millis(200);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A longer value is no list.
+/// A longer value is not a list.
 const MAX_VALUE_BYTES: usize = 4 << 20;
-/// A value that is shorter is read anew with each piece of it that comes.
+/// An incomplete value that is shorter is parsed again with each chunk that arrives.
 const MAX_REPARSED_BYTES: usize = 64 << 10;
-/// Before notices that wait for their records are looked at again.
+/// Delay before notices that are not journaled yet are checked again.
 const UNRECORDED_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Notices in one request.
 const MAX_NOTICES_PER_REQUEST: usize = 64;
 
-/// Takes a list in discovery's form.
+/// Applies a list in discovery's format.
 ///
 /// # Errors
-/// Where it can't be read as one: the list stays as it was.
+/// If it cannot be parsed; the current list then stays.
 pub fn apply_list(node: &Node, value: &[u8]) -> Result<(), BoxError> {
     match serde_json::from_slice(value) {
         Ok(list) => {
             let (kinds, zones) = (&node.config.kinds, &node.config.zones);
             let is_suspended = |host: &str| node.overrides.is_suspended(host);
             let (event, unusable) = node.directory.borrow_mut().apply(list, kinds, zones, &is_suspended);
-            // Nothing goes there any more, and somebody else may come to the address.
+            // Nothing is sent there any more, and another endpoint may appear at the address.
             unusable.into_iter().for_each(|endpoint| node.pool.close_idle(endpoint));
             node.send_event(event);
             node.fleet.list_received(node.directory.borrow().seq());
             control::report_restored(node);
         }
-        Err(error) => return Err(format!("no list: {error}").into()),
+        Err(error) => return Err(format!("invalid list: {error}").into()),
     }
     Ok(())
 }
 
-/// Watches the list for as long as the process runs. Where all dispatchers ask one discovery, it is the decisions
-/// that say when to ask: nothing here begins by itself.
+/// Watches the list for as long as the process runs. If all dispatchers share one discovery
+/// service, the decision core says when to ask it, and nothing is asked otherwise.
 pub async fn watch_list(node: Rc<Node>) {
     node.serving_state.run_while_serving(|| watch_loop(node.clone())).await;
 }
@@ -87,17 +90,19 @@
             }
         }
         if on_request {
-            // A new address is not known to be short of time.
+            // The service at a new address is not known to be overloaded.
             tokio::select! {
                 () = node.resubscribe.notified() => {}
                 _ = address_changes.changed() => {}
             }
             continue;
         }
-        // A watch that brought something or lasted was a good one: after its end there is no time to lose.
+        // A watch that brought a list or lasted was a good one: after its end the next one begins
+        // without a long delay.
         let successful = node.directory.borrow().seq() != seq || started_at.elapsed() >= WATCH_TIMEOUT;
         backoff = if successful { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
-        // A new address is tried at once, and so is the known one where another dispatcher has heard it response.
+        // A new address is tried at once, and so is the current one if another dispatcher has had an
+        // answer from it.
         let pause = node.fleet.discovery_interval().map_or(backoff, |interval| interval.max(backoff));
         tokio::select! {
             _ = timeout(pause, address_changes.wait_for(|now| *now != at)) => {}
@@ -106,21 +111,22 @@
     }
 }
 
-/// Whether the list must be asked for, at one discovery for all dispatchers.
+/// Whether the list must be asked for, at one discovery service for all dispatchers.
 fn is_list_on_request(node: &Node) -> bool {
     node.config.settings.discovery_mode != DiscoveryMode::Pushed
 }
 
-/// What ends a watch, or a request.
+/// An error that ends a watch or a request.
 pub type BoxError = Box<dyn std::error::Error>;
 
-/// One watch, from the connection to its end.
+/// Runs one watch, from connecting to its end, and returns why it ended.
 async fn run_watch(node: &Node, at: SocketAddr, seq: u64) -> Result<String, BoxError> {
     let mut connection = timeout(RESPONSE_TIMEOUT, calls::connect(at)).await??;
     let request = Request::get(format!("/registry/instances?stream=1&index={seq}"))
         .header("Host", at.to_string())
         .body(Full::default())?;
-    // Where many ask, calls wait in line: one that is given up early is served for nothing, and made again.
+    // If many dispatchers ask, requests queue: one that is abandoned early is served for nothing, and
+    // made again.
     let response_timeout = if is_list_on_request(node) { WATCH_TIMEOUT } else { RESPONSE_TIMEOUT };
     let response = timeout(response_timeout, connection.sender.send_request(request)).await??;
     if response.status() != StatusCode::OK {
@@ -129,7 +135,7 @@
     let mut body = response.into_body();
     let mut stream = JsonValueStream::default();
     loop {
-        // A value that has begun comes at once; between two of them the heartbeats count.
+        // The rest of a value arrives at once; between two values the heartbeats count.
         let deadline = stream.complete_by.unwrap_or_else(|| Instant::now() + WATCH_TIMEOUT);
         let Ok(frame) = timeout_at(deadline, body.frame()).await else { return Ok("silent".into()) };
         let Some(frame) = frame else { return Ok("closed".into()) };
@@ -141,32 +147,33 @@
     }
 }
 
-/// Whether a value may only lack what has not come yet. A number that ends behind its point is told as a wrong one, at
-/// the very end of what is there.
+/// Whether a value may only lack what has not arrived yet. A number that ends after its decimal
+/// point is reported as an invalid one, at the very end of the input.
 fn is_incomplete(input: &[u8], error: &serde_json::Error) -> bool {
     let last_line = input.rsplit(|byte| *byte == b'\n').next().map_or(0, <[u8]>::len);
     let lines = input.split(|byte| *byte == b'\n').count();
     error.is_eof() || (error.line(), error.column()) == (lines, last_line)
 }
 
-/// A stream of JSON values, one after the other, with any white space between and in them.
+/// A stream of JSON values with any white space between and in them.
 #[derive(Default)]
 struct JsonValueStream {
     buffer: Vec<u8>,
-    /// How much of it was looked at when its value was found not to be consumed.
+    /// Length of the buffer when its value was last found incomplete.
     parsed_length: usize,
-    /// A value that has begun is consumed by then, or the stream has broken off.
+    /// A value that has begun must be complete by then, or the stream is broken.
     complete_by: Option<Instant>,
 }
 
 impl JsonValueStream {
-    /// Takes what has come and gives each value that is consumed; whether anything but white space came.
+    /// Adds what has arrived and passes on each complete value. Returns whether the buffer held
+    /// anything but white space.
     fn push(
         &mut self, data: &[u8], mut handle: impl FnMut(&[u8]) -> Result<(), BoxError>,
     ) -> Result<bool, BoxError> {
         self.buffer.extend_from_slice(data);
         let has_content = !self.buffer.trim_ascii_start().is_empty();
-        // A long value that comes in many pieces is not read anew for each of them.
+        // A long value that arrives in many chunks is not parsed again for each of them.
         let ends_with_brace = self.buffer.trim_ascii_end().ends_with(b"}");
         if self.parsed_length > MAX_REPARSED_BYTES
             && !ends_with_brace
@@ -198,7 +205,7 @@
 
     fn check_size(&mut self, has_content: bool) -> Result<bool, BoxError> {
         if self.buffer.len() > MAX_VALUE_BYTES {
-            return Err("a value without an end".into());
+            return Err("value exceeds the size limit".into());
         }
         match self.buffer.trim_ascii_start().is_empty() {
             true => self.buffer.clear(),
@@ -208,7 +215,7 @@
     }
 }
 
-/// Brings notices to the platform until it has heard each.
+/// Sends notices to the platform until it has acknowledged each.
 pub async fn deliver_notices(node: Rc<Node>) {
     node.serving_state.run_while_serving(|| delivery_loop(node.clone())).await;
 }
@@ -222,7 +229,7 @@
     loop {
         let due = node.journal.borrow().due_notices(node.unix_now(), batch_limit);
         if due.is_empty() {
-            // One that is not on record yet may go out a little later: a kill would forget it.
+            // A notice that is not journaled yet is sent a little later: a kill would forget it.
             let unrecorded = !node.journal.borrow().pending_notices(1).is_empty();
             if unrecorded {
                 sleep(UNRECORDED_RETRY_DELAY).await;
@@ -235,7 +242,7 @@
         let reused = connection.is_some();
         let response = tokio::select! {
             response = post(at, &mut connection, &due, response_timeout) => response,
-            // What the old address has heard already does no harm at the new one.
+            // Notices that the old address has received already do no harm at the new one.
             _ = address_changes.changed() => {
                 (connection, backoff, response_timeout) = (None, INITIAL_BACKOFF, FIRST_NOTICE_TIMEOUT);
                 continue;
@@ -250,24 +257,24 @@
                 }
                 continue;
             }
-            // One that cannot be read must not keep the others from being heard.
+            // A notice that cannot be parsed must not block the others.
             Ok(StatusCode::BAD_REQUEST) if due.len() > 1 => {
                 batch_limit = 1;
                 continue;
             }
             Ok(StatusCode::BAD_REQUEST) => {
                 log::info_limited(format_args!(
-                    "notice for {}: the platform cannot read it; left out",
+                    "notice for {}: the platform cannot parse it; dropped",
                     due[0].1
                 ));
                 node.observe_journal_write(node.journal.borrow_mut().close(due[0].0));
                 continue;
             }
-            Ok(status) => log::info_limited(format_args!("notices: answered {status}")),
+            Ok(status) => log::info_limited(format_args!("notices: platform answered {status}")),
             Err(error) => {
                 log::info_limited(format_args!("notices: {error}"));
                 response_timeout = (response_timeout * 2).min(RESPONSE_TIMEOUT);
-                // A new connection may do at once what the kept one did not.
+                // A new connection may succeed at once where the kept-alive one failed.
                 if reused {
                     connection = None;
                     continue;
@@ -280,8 +287,8 @@
     }
 }
 
-/// One request with notices, over the connection that is kept from the last one where it is to the same
-/// address.
+/// Sends one request with notices, over the kept-alive connection of the last one if that is to the
+/// same address.
 async fn post(
     at: SocketAddr, kept_alive: &mut Option<(SocketAddr, Connection)>, notices: &[(u64, String, Notice)],
     response_timeout: Duration,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,5 +1,6 @@
-//! The one place where parts outside of the decisions meet the rounds: they get facts and the time, and give bounds back.
-//! A bound holds back or hastens, and ends by itself; nothing here waits for a part.
+//! Connects the event loop to the fleet member's thread: reports facts to it, and applies the
+//! restrictions that it returns. A restriction delays attempts or requests to discovery, and
+//! expires by itself; the thread may also prompt a request to discovery. Nothing here waits for it.
 
 use crate::config::Config;
 use crate::serving::Phase;
@@ -18,41 +19,43 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use waydoor::{EndpointEntry, Event, Outcome};
 
-/// The thread answers an operator by then, or the answer is no.
+/// Time for the member to answer an operator; after that the request fails.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What binds this dispatcher, and the parts that say so. Without the fleet's file there are none.
+/// The fleet's restrictions on this dispatcher, and the member that they come from. Without a fleet
+/// file there are none.
 pub struct FleetConstraints {
     member: RefCell<Option<Member<Fact>>>,
     update_sender: UnboundedSender<News>,
     updates: RefCell<Option<UnboundedReceiver<News>>>,
-    /// Destinations that are out for the decisions, and what binds tries there.
+    /// Destinations that the decision core considers unavailable, and the restriction on attempts
+    /// there.
     outages: RefCell<BTreeMap<u32, Bound>>,
-    /// Destinations held back now.
+    /// Destinations to which nothing is sent now.
     restricted: RefCell<BTreeSet<u32>>,
     discovery_pace: Cell<Pace>,
     list_seq: Cell<Option<u64>>,
-    /// How long a bound holds back that nobody renews.
+    /// How long a restriction lasts that nobody renews.
     max_hold_seconds: BootSeconds,
-    /// Discovery's watch has ended, and nothing has come since.
+    /// Whether the discovery watch has ended, and nothing has arrived since.
     watch_ended: Cell<bool>,
-    /// Each act under a duty is a line in the log.
+    /// Whether each action under a duty is logged.
     log_actions: bool,
 }
 
-/// What a bound lets this dispatcher do now.
+/// What the fleet allows this dispatcher to do at a destination now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Permission {
-    /// As alone.
+    /// It acts on its own.
     Unrestricted,
-    /// Nothing goes there.
+    /// Nothing is sent there.
     Restricted,
-    /// It tries for all, under this epoch.
+    /// It makes the attempts for all members, under this epoch.
     Holder(u64),
 }
 
-/// A bound ends by itself, also where the member's thread has ended with it: a holder whose term is over holds back for as
-/// long as others would, and is alone then.
+/// A restriction expires by itself, even if the member's thread has ended: a holder whose term is
+/// over holds back for as long as others would, and then acts on its own.
 fn permission(bound: Bound, now: BootSeconds, max_hold_seconds: BootSeconds) -> Permission {
     match bound {
         Bound::Mine(epoch, until) if now < until => Permission::Holder(epoch),
@@ -63,7 +66,7 @@
 }
 
 impl FleetConstraints {
-    /// None are in force.
+    /// Without any restriction.
     pub fn new(config: &Config) -> FleetConstraints {
         let (update_sender, updates) = unbounded_channel();
         FleetConstraints {
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Begins the member, where this dispatcher is to be one. It takes its record once whoever has it lets it go.
+    /// Starts the member, if this dispatcher is one. It opens its record once the process that holds
+    /// the record releases it.
     pub fn start_member(&self, config: &Config) {
         let Some(file) = &config.fleet else { return };
         let member_settings = shell::Settings {
@@ -92,9 +96,9 @@
         let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
         match shell::begin(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
-            Err(error) => {
-                log::info_limited(format_args!("fleet: no thread: {error}; this dispatcher is alone"))
-            }
+            Err(error) => log::info_limited(format_args!(
+                "fleet: cannot start the member thread: {error}; continuing without the fleet"
+            )),
         }
     }
 
@@ -104,7 +108,7 @@
         }
     }
 
-    /// The decisions take a destination for out, or no more.
+    /// Reports that the decision core considers a destination unavailable, or available again.
     pub fn set_unavailable(&self, node: &Node, destination: u32, unavailable: bool) {
         if self.member.borrow().is_none()
             || node.directory.borrow().has_independent_endpoints(&node.config, destination)
@@ -119,7 +123,7 @@
         }
     }
 
-    /// How a call or a probe ended at a destination.
+    /// Reports how a call or a probe at a destination ended.
     pub fn report_outcomes(&self, destination: u32, outcomes: impl IntoIterator<Item = Outcome>) {
         if !self.outages.borrow().contains_key(&destination) {
             return;
@@ -135,8 +139,9 @@
         }
     }
 
-    /// Another member, which tries for this one, has found a destination out still: as if a probe of the own had failed.
-    /// Without it the decisions would date its return by their own last failure, and fill it too fast.
+    /// Another member, which makes the attempts for this one, has found a destination still
+    /// unavailable: handled like a failed probe of this dispatcher. Otherwise the decision core would
+    /// date the recovery from its own last failure, and send too much too soon.
     fn still_unavailable(&self, node: &Node, destination: u32) {
         if !matches!(self.outages.borrow().get(&destination), Some(Bound::Held(_))) {
             return;
@@ -148,27 +153,28 @@
         });
     }
 
-    /// Discovery's watch has ended.
+    /// Reports that the discovery watch has ended.
     pub fn list_failed(&self) {
         self.watch_ended.set(true);
         self.report(Fact::ListFailed);
     }
 
-    /// A list has come.
+    /// Reports that a list has arrived.
     pub fn list_received(&self, seq: u64) {
         self.list_seq.set(Some(seq));
         self.watch_ended.set(false);
         self.report(Fact::List(seq));
     }
 
-    /// A watch brought a sign of life: discovery answers, and has nothing new.
+    /// Reports a sign of life from a watch: discovery answers, and has nothing new.
     pub fn watch_alive(&self, seq: u64) {
         if self.watch_ended.get() {
             self.list_received(seq);
         }
     }
 
-    /// Whether a call may go to a destination now. A holder looks at its term here, right before the act.
+    /// Whether a call may go to a destination now. A holder checks its term here, right before the
+    /// action.
     pub fn may_send(&self, destination: u32) -> bool {
         let Some(bound) = self.outages.borrow().get(&destination).copied() else { return true };
         let now = clock::now();
@@ -185,7 +191,7 @@
         }
     }
 
-    /// Whether discovery is asked slowly now, because another member asks: how long to wait.
+    /// The delay between requests to discovery, if it is increased because another member makes them.
     pub fn discovery_interval(&self) -> Option<Duration> {
         match self.discovery_pace.get() {
             Pace::Slow(interval, until) if clock::now() < until => Some(Duration::from_secs_f64(interval)),
@@ -193,7 +199,7 @@
         }
     }
 
-    /// Puts bounds that have begun or ended in force.
+    /// Applies restrictions that have begun or ended.
     pub fn refresh(&self, node: &Node) {
         if self.outages.borrow().is_empty() && self.restricted.borrow().is_empty() {
             return;
@@ -215,7 +221,7 @@
         }
     }
 
-    /// Holds back these destinations and no others; what that changes in the list.
+    /// Restricts these destinations and no others; returns the changed entries of the list.
     fn set_restricted(&self, node: &Node, to_restrict: BTreeSet<u32>) -> Vec<Vec<EndpointEntry>> {
         let previous = self.restricted.replace(to_restrict.clone());
         let mut directory = node.directory.borrow_mut();
@@ -225,7 +231,8 @@
         entries.filter(|entries| !entries.is_empty()).collect()
     }
 
-    /// Lifts all bounds, and lets the member's record go: another process of this dispatcher goes on.
+    /// Lifts all restrictions and releases the member's record: another process of this dispatcher
+    /// continues.
     pub fn stop_member(&self, node: &Node) {
         if let Some(member) = self.member.take() {
             member.stop();
@@ -235,21 +242,22 @@
         }
     }
 
-    /// No bound is in force any more; what that changes in the list.
+    /// Lifts all restrictions; returns the changed entries of the list.
     fn lift_all(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
         self.outages.borrow_mut().clear();
         self.discovery_pace.set(Pace::Own);
         self.set_restricted(node, BTreeSet::new())
     }
 
-    /// The other process has not taken over: the member goes on here.
+    /// Restarts the member, since the other process has not taken over.
     pub fn resume(&self, node: &Node) {
         self.start_member(&node.config);
         let outages: Vec<u32> = node.journal.borrow().outages().collect();
         outages.into_iter().for_each(|destination| self.set_unavailable(node, destination, true));
     }
 
-    /// The dispatcher stops: what its member holds is given on, and it does the rest as alone.
+    /// Leaves the fleet at shutdown: the member's duties are passed on, and the dispatcher does the
+    /// rest on its own.
     pub async fn leave_fleet(&self, node: &Node) {
         let member = self.member.take();
         if let Some(member) = member {
@@ -258,17 +266,17 @@
         }
     }
 
-    /// How the fleet is, as this member sees it: JSON.
+    /// The state of the fleet, as this member sees it, as JSON.
     ///
     /// # Errors
-    /// Where there is none, or it does not answer.
+    /// If this dispatcher is no member, or the member does not answer.
     pub async fn status(&self) -> Result<String, String> {
         let member = self.member.borrow().clone().ok_or("this dispatcher is no member of a fleet")?;
         member.show(STATUS_TIMEOUT).await.ok_or_else(|| "the member does not answer".into())
     }
 }
 
-/// Hears what parts have to say, for as long as the process runs.
+/// Processes the member's updates for as long as the process runs.
 pub async fn process_updates(node: Rc<Node>) {
     let Some(mut updates) = node.fleet.updates.take() else { return };
     while let Some(update) = updates.recv().await {
@@ -278,7 +286,7 @@
         let constraints = &node.fleet;
         match update {
             News::Began => {
-                // It has forgotten what it was told.
+                // A member that has just started does not know what was reported before.
                 let outages: Vec<u32> = constraints.outages.borrow().keys().copied().collect();
                 outages
                     .iter()
@@ -322,7 +330,8 @@
     }
 }
 
-/// All rules hold; with the feature `planted`, which is for tests alone, all but the one that a variable names.
+/// All rules hold. With the feature `planted`, which is for tests only, the rule that an
+/// environment variable names is disabled.
 fn duty_rules() -> fawnspoke_duty::Rules {
     #[cfg(feature = "planted")]
     if let Some(rules) =
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,5 +1,6 @@
-//! Where the hand-over of an upgrade meets the dispatcher: what the two sides of `fawnspoke_handover` ask for is done
-//! here. Nothing is decided here.
+//! Connects the handover of an upgrade to the dispatcher: carries out what the state machines of
+//! `fawnspoke_handover` ask for, one in the old process and one in the new one. Nothing is decided
+//! here.
 
 use crate::actions::complete_call;
 use crate::calls::{self, CallEnd, MessageEnd};
@@ -36,32 +37,33 @@
 use tokio::time::{sleep, timeout};
 use waydoor::{Dispatcher, EndpointId, Event as DispatcherEvent, InFlightAttempt, Outcome};
 
-/// How often the giver looks at the time while it hands over.
+/// Polling interval during a handover.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Takers that have not said yet what they want; more are hung up on, and come again.
+/// Connections on which no handover request has arrived yet; more are closed, and their processes
+/// connect again.
 const MAX_PENDING_REQUESTS: usize = 4;
-/// A taker says what it wants by then.
+/// Time for a new process to send its request.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// A packet of the state has gone, or come, by then.
+/// Time to send or receive one packet of the state.
 const PACKET_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// All that the dispatcher knows and that is not on record.
+/// All state of the dispatcher that is not in the journal.
 #[derive(Deserialize)]
 pub struct HandoverState {
-    /// When the dispatcher's clock began, on the system's monotonic one, in seconds.
+    /// When the dispatcher's clock began, on the system's monotonic clock.
     #[serde(rename = "started")]
     clock_start_seconds: f64,
-    /// What the decisions hold in mind.
+    /// The state of the decision core.
     #[serde(rename = "decisions")]
     pub dispatcher: Dispatcher,
-    /// The list.
+    /// The listed endpoints.
     pub directory: Directory,
     /// Messages that have ended.
     #[serde(rename = "ended")]
     pub ended_messages: RecentOutcomes,
 }
 
-/// The same, where it is.
+/// A [`HandoverState`] to write, by reference.
 #[derive(Serialize)]
 struct HandoverStateRef<'a> {
     #[serde(rename = "started")]
@@ -91,16 +93,16 @@
 
 // ---- the old process ----------------------------------------------------------------------------------------------
 
-/// Orders that the other process carries out, by number, and who waits for it.
+/// Operator commands that were forwarded to the new process, by number, and where their results go.
 type ForwardedCommands = BTreeMap<u32, oneshot::Sender<Result<String, String>>>;
 
-/// A taker that asks.
+/// A new process's request to take over.
 pub struct HandoverRequest {
     link: Link,
     hello: Hello,
 }
 
-/// Hears takers for as long as this process owns.
+/// Accepts handover requests for as long as this process owns the state directory.
 pub struct HandoverListener {
     state_dir: PathBuf,
     requests: UnboundedSender<HandoverRequest>,
@@ -108,7 +110,7 @@
 }
 
 impl HandoverListener {
-    /// For the folder that lasts; takers come to the receiver.
+    /// A listener for this state directory, and the receiver of its requests.
     pub fn new(state_dir: &Path) -> (HandoverListener, UnboundedReceiver<HandoverRequest>) {
         let (requests, receiver) = unbounded_channel();
         (
@@ -121,14 +123,14 @@
         )
     }
 
-    /// Listens from now on, in the place of whoever did. Where that can't be, upgrades are restarts.
+    /// Starts to listen, in place of an earlier listener. If that fails, an upgrade is a restart.
     pub fn open(&self) {
         self.close();
         let listener = match Listener::bind(&self.state_dir) {
             Ok(listener) => listener,
             Err(error) => {
                 return log::info_limited(format_args!(
-                    "handover: no socket: {error}; an upgrade is a restart"
+                    "handover: cannot listen: {error}; an upgrade is a restart"
                 ));
             }
         };
@@ -159,13 +161,13 @@
     }
 }
 
-/// What becomes of the process that gave.
+/// How a handover ended for the old process.
 pub enum HandoverResult {
-    /// It goes on as before; told to stop meanwhile, or not.
+    /// It goes on as before; it may have been told to stop meanwhile.
     Resumed { stopping: bool },
     /// It ends.
     Ended,
-    /// It begins anew, from what is on record.
+    /// It restarts from the journal.
     Restart,
 }
 
@@ -176,7 +178,8 @@
     }
 }
 
-/// Hands the dispatcher over to a process that asks, and sees it through to its end.
+/// Hands the dispatcher over to a process that requests it, and continues until the handover has
+/// ended.
 pub async fn hand_over(
     node: &Rc<Node>, stopping: bool, first_request: HandoverRequest,
     requests: &mut UnboundedReceiver<HandoverRequest>, (terminate, interrupt): (&mut Signal, &mut Signal),
@@ -196,12 +199,12 @@
     let (mut commands, mut command_count) = (ForwardedCommands::new(), 0);
     let mut later_request: Option<HandoverRequest> = None;
     loop {
-        // What an action brings about is heard before anything else.
+        // An event that an action causes is handled before any other.
         let mut next = None;
         for action in state_machine.step(node.now(), event) {
             match action {
                 Action::Refuse(reason) => {
-                    // The first one, where this process is stopping, or one that came meanwhile.
+                    // The first request, if this process is stopping, or one that came later.
                     if let Some(refused_link) =
                         later_request.take().map(|request| request.link).or_else(|| link.take())
                     {
@@ -209,16 +212,16 @@
                     }
                 }
                 Action::Give => {
-                    log::info_limited(format_args!("handover: asked; giving"));
+                    log::info_limited(format_args!("handover: requested; handing over"));
                     if !first_request.hello.decisions {
-                        // Who begins from the record takes them for ended.
+                        // A process that starts from the journal assumes that these calls have ended.
                         node.abort_calls().await;
                     }
                     node.serving_state.set_phase(Phase::HandingOver);
                     for number in node.clients.close_unacknowledged() {
                         requests::withdraw_unacknowledged(node, number);
                     }
-                    // The decisions' state goes over without what others have bound.
+                    // The decision core's state is sent without the fleet's restrictions.
                     node.fleet.stop_member(node);
                     node.owner_lock.replace(None);
                     let sent = match &link {
@@ -242,9 +245,9 @@
                 }
                 Action::Resume => {
                     link = None;
-                    // The one that died may have begun on it.
+                    // The process that died may have begun to write to it.
                     if let Err(error) = reopen_journal(node) {
-                        log::info_limited(format_args!("handover: {error}; beginning anew"));
+                        log::info_limited(format_args!("handover: {error}; restarting"));
                         return HandoverResult::Restart;
                     }
                     node.handover_socket.open();
@@ -273,7 +276,7 @@
                 }
                 Action::Restart => {
                     log::info_limited(format_args!(
-                        "handover: the process that took over has died; beginning anew"
+                        "handover: the process that took over has died; restarting"
                     ));
                     return HandoverResult::Restart;
                 }
@@ -306,7 +309,7 @@
             frame = next_frame(link.as_ref()) => match frame {
                 Some(FromTaker::Mine) => Event::Mine,
                 Some(FromTaker::Unusable(reason)) => {
-                    log::info_limited(format_args!("handover: what was given is of no use there: {reason}"));
+                    log::info_limited(format_args!("handover: the new process cannot use the state: {reason}"));
                     link = None;
                     Event::Unusable
                 }
@@ -339,7 +342,7 @@
     }
 }
 
-/// The next frame; none once the link has ended. Without a link it never comes.
+/// The next frame; `None` once the link has ended. Without a link it never completes.
 async fn next_frame(link: Option<&Link>) -> Option<FromTaker> {
     let Some(link) = link else { return std::future::pending().await };
     let (packet, _) = link.receive().await.ok()??;
@@ -348,7 +351,7 @@
 
 type BoxError = Box<dyn std::error::Error>;
 
-/// Opens the journal anew; the messages that ended in this life are remembered.
+/// Opens the journal again; the messages that ended during this process are still remembered.
 fn reopen_journal(node: &Node) -> Result<(), OpenError> {
     let (mut journal, _) = open_journal(&node.config)?;
     journal.restore_recent_outcomes(node.journal.borrow().recent_outcomes().clone());
@@ -356,7 +359,7 @@
     Ok(())
 }
 
-/// Sends all that is known and not on record.
+/// Sends all state that is not in the journal.
 async fn send_state(node: &Node, link: &Link, include_state: bool) -> Result<(), BoxError> {
     let mut state = Vec::new();
     if include_state {
@@ -378,7 +381,8 @@
     Ok(())
 }
 
-/// Hands one thing over, or tells it; what was handed is closed here.
+/// Sends one connection, result or command to the new process. A connection that was sent is closed
+/// here.
 async fn send_transfer(
     link: &Link, transfer: Transfer, commands: &mut ForwardedCommands, command_count: &mut u32,
 ) -> Result<(), BoxError> {
@@ -407,23 +411,25 @@
 
 // ---- the new process ----------------------------------------------------------------------------------------------
 
-/// What came from the process before.
+/// What the previous process sent.
 pub struct ReceivedHandover {
     link: Link,
-    /// What it knew; none where that is of no use here.
+    /// Its state; `None` if it cannot be used here.
     pub state: Option<HandoverState>,
-    /// The clients' listening socket.
+    /// The listening socket for clients.
     pub listener: Option<OwnedFd>,
 }
 
-/// What a process holds that owns the folder; none of it where the file system knows no locks.
+/// The locks of a process that owns the state directory; none of them where the file system does
+/// not support locks.
 #[derive(Default)]
 pub struct Locks {
     pub owner: Option<Lock>,
     pub calls: Option<Lock>,
 }
 
-/// Waits until this process owns the folder: at once where no other does, else by a hand-over, or when the other ends.
+/// Waits until this process owns the state directory: at once if no other does, else by a handover
+/// or when the other ends.
 pub async fn acquire_ownership(config: &Config) -> (Locks, Option<ReceivedHandover>) {
     use taker::{Action, Event};
     let (mut state_machine, mut link, mut locks) = (Taker::default(), None, Locks::default());
@@ -442,10 +448,10 @@
                             Event::Connected
                         }
                         Ok(None) => Event::Nobody,
-                        // Many ask at once.
+                        // Several processes are asking at once.
                         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => Event::Refused,
                         Err(error) => {
-                            log::info_limited(format_args!("handover: no socket: {error}"));
+                            log::info_limited(format_args!("handover: cannot connect: {error}"));
                             Event::Nobody
                         }
                     });
@@ -480,10 +486,10 @@
                         locks.owner = lock;
                     }
                     Err(error) if lock::is_unknown(&error) => {
-                        log::info_limited(format_args!("handover: lock: {error}; going on without"));
+                        log::info_limited(format_args!("handover: lock: {error}; continuing without a lock"));
                         next = Some(Event::Locked(true));
                     }
-                    // Somebody may hold it.
+                    // Another process may hold it.
                     Err(error) => {
                         if !std::mem::replace(&mut lock_error_logged, true) {
                             log::info_limited(format_args!("handover: lock: {error}; trying again"));
@@ -515,8 +521,9 @@
                         state: state.take(),
                         listener: listener.take(),
                     });
-                    let source = if journal_only { "what is on record" } else { "all that it knew" };
-                    // Whoever looks just now whether anybody has calls out is done in a moment.
+                    let source = if journal_only { "the journal only" } else { "its in-memory state" };
+                    // A process that checks whether others have calls in flight holds this lock only
+                    // for a moment.
                     locks.calls = loop {
                         match lock::share_calls(&config.state_dir) {
                             Ok(None) => sleep(Duration::from_millis(1)).await,
@@ -524,7 +531,7 @@
                             shared => break shared.unwrap_or_default(),
                         }
                     };
-                    log::info(format_args!("handover: taken from the process before, with {source}"));
+                    log::info(format_args!("handover: took over from the previous process, with {source}"));
                     return (locks, received);
                 }
                 Action::Begin => return (locks, None),
@@ -533,7 +540,8 @@
         match next {
             Some(next) => event = next,
             None => {
-                // No state waits for nothing; should one, it looks again.
+                // Every state either causes an event or waits; if one ever did neither, it is polled
+                // again.
                 sleep(Duration::from_secs_f64(taker::AGAIN)).await;
                 event = Event::Again;
             }
@@ -541,14 +549,14 @@
     }
 }
 
-/// Comes back once the link has ended.
+/// Completes once the link has ended.
 async fn link_ended(link: Option<&Link>) -> bool {
     let Some(link) = link else { return std::future::pending().await };
     while let Ok(Some(_)) = link.receive().await {}
     true
 }
 
-/// Asks for all that the giver knows.
+/// Requests all state from the old process.
 async fn request_state(
     link: &Link, config: &Config, decisions: bool, state: &mut Option<HandoverState>,
     listener: &mut Option<OwnedFd>, refusal_logged: &mut bool,
@@ -588,18 +596,19 @@
         }
         Ok(_) => {
             log::info_limited(format_args!(
-                "handover: the process before has other settings; only what is on record is taken"
+                "handover: the previous process has other settings; using the journal only"
             ));
             Event::Given(false)
         }
         Err(error) => {
-            log::info_limited(format_args!("handover: {error}; only what is on record is taken"));
+            log::info_limited(format_args!("handover: {error}; using the journal only"));
             Event::Given(false)
         }
     }
 }
 
-/// Tells the giver that this process owns, and takes the rest: connections, and how the calls end that are out there.
+/// Tells the old process that this one is the owner, and receives the rest: connections, and the
+/// results of calls that are still in flight there.
 pub async fn complete_takeover(node: Rc<Node>, received: ReceivedHandover) {
     let link = received.link;
     let mut in_flight: HashMap<(u64, u32), InFlightAttempt> = HashMap::new();
@@ -620,10 +629,10 @@
             }
         }
     }
-    // Its sockets closed with it: what it had out may have run, and no more can come of it.
+    // Its sockets closed with it: what it had in flight may have run, and no more results can come.
     if !in_flight.is_empty() {
         log::info_limited(format_args!(
-            "handover: the process before ended with {} messages out",
+            "handover: the previous process ended with {} messages in flight",
             in_flight.len()
         ));
     }
@@ -634,11 +643,11 @@
             outcome: Outcome::ConnectionReset,
             settled: false,
         };
-        let dest = node.directory.borrow().get(attempt.endpoint).map_or(0, |info| info.destination);
+        let destination = node.directory.borrow().get(attempt.endpoint).map_or(0, |info| info.destination);
         complete_call(
             &node,
             attempt.endpoint,
-            dest,
+            destination,
             attempt.sent_at,
             CallEnd::without_report(vec![end], false),
         );
@@ -654,14 +663,14 @@
     match (frame, stream) {
         (FromGiver::Client { read, asked_ms }, Some(stream)) => {
             if let Err(error) = clients::adopt(node, stream, read, asked_ms) {
-                log::info_limited(format_args!("handover: a client's connection: {error}"));
+                log::info_limited(format_args!("handover: client connection: {error}"));
             }
         }
         (FromGiver::Idle { endpoint, at, idle_ms }, Some(stream)) => {
             let now = tokio::time::Instant::now();
             let idle_since = now.checked_sub(Duration::from_millis(idle_ms.into())).unwrap_or(now);
             let endpoint = EndpointId(endpoint);
-            // It is of use as long as the list says that it leads there.
+            // The connection is usable as long as the list has the endpoint at this address.
             if node.directory.borrow().ready_address(endpoint) == Some(at)
                 && let Ok(connection) = calls::wrap_stream(stream, at, idle_since).await
             {
@@ -692,6 +701,6 @@
                 let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
             }
         }
-        (other, _) => log::info_limited(format_args!("handover: out of place: {other:?}")),
+        (other, _) => log::info_limited(format_args!("handover: unexpected frame: {other:?}")),
     }
 }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: takes messages on, once they stand in the journal, and answers.
+//! Client requests: checks each submitted message, journals it and answers.
 
 use crate::Node;
 use crate::clients::ClientConnection;
@@ -13,12 +13,12 @@
 use std::convert::Infallible;
 use waydoor::{DestinationId, Effect, Event, Message, MessageId, QuotaStatus};
 
-/// A body that is too long is read so far, or the client would not hear the answer.
+/// A body that is too long is read up to this size, or the client would not see the response.
 const MAX_DISCARDED_BODY_BYTES: usize = 1 << 20;
-/// Longest id or key.
+/// Longest message id or idempotency key.
 const MAX_TOKEN_LENGTH: usize = 256;
 
-/// The client was gone before it could hear that its message was taken: nothing is owed.
+/// Closes a message whose client left before it was acknowledged: nothing is due for it.
 pub fn withdraw_unacknowledged(node: &Node, number: u64) {
     node.unacknowledged.borrow_mut().remove(&number);
     node.observe_journal_write(node.journal.borrow_mut().close(number));
@@ -32,7 +32,7 @@
     response
 }
 
-/// The answer to a request.
+/// Handles one request.
 pub async fn handle_request(
     node: &Node, client: &ClientConnection, request: Request<Incoming>,
 ) -> Result<TextResponse, Infallible> {
@@ -50,8 +50,8 @@
             }
         }
     };
-    // Connections end one by one while this process stops. Behind a request that was wrong may stand more
-    // than its sender says.
+    // Connections are closed one by one while this process shuts down. After an invalid request there
+    // may be more input than its sender declared.
     if node.shutting_down.get() || response.status().is_client_error() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -63,8 +63,8 @@
 ) -> TextResponse {
     let received_at = node.unix_now();
     let (head, body) = request.into_parts();
-    // With two lengths a request can hide another one; which of them another reader goes by is not known.
-    // hyper tells of Content-Length no more once there is the other.
+    // A request with two lengths can hide another one, since it is unknown which of them another reader
+    // uses. hyper drops Content-Length if Transfer-Encoding is present.
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return respond(StatusCode::LENGTH_REQUIRED, "Content-Length alone tells the length\n");
     }
@@ -85,31 +85,32 @@
     };
     let submission = AcceptedMessage { body, ..submission };
     let destination_id = DestinationId(submission.destination);
-    // It may have left, and then handed the message in elsewhere; if it listens still, it may come again.
+    // The client may have left, and then submitted the message elsewhere; if it still reads, it may
+    // send it again.
     if trailing == Unread::Closed {
         return reject(node, class, destination_id);
     }
-    // What no list has named may be a slip, or come with a later list.
+    // A destination that no list has named may be a mistake, or appear in a later list.
     if !node.dispatcher.borrow().is_listed(destination_id) {
         return reject(node, class, destination_id);
     }
     let mut journal = node.journal.borrow_mut();
     match journal.number_by_id(&submission.id) {
-        // Still to be heard on another connection, which may yet fail.
+        // Not acknowledged yet on another connection, which may still fail.
         Some(number) if node.unacknowledged.borrow().contains(&number) => {
             return reject(node, class, destination_id);
         }
-        // The same message once more: it is owed already.
+        // A repeat of a message that is accepted already.
         Some(number) if journal.get(number).is_some_and(|journaled| journaled.matches(&submission)) => {
             return respond(StatusCode::ACCEPTED, "taken\n");
         }
-        // Another one under an id that is in use would never be delivered.
+        // Another message under an id that is in use would never be delivered.
         Some(_) => return reject(node, class, destination_id),
         None => {}
     }
-    // Once more after its end.
+    // A repeat of a message that has ended.
     match journal.final_outcome_of(&submission) {
-        // Nothing more is owed, and it may not run again.
+        // Nothing more is due, and it must not run again.
         Some(FinalOutcome::Delivered) => return respond(StatusCode::ACCEPTED, "taken\n"),
         Some(FinalOutcome::GivenUp) => return respond(StatusCode::CONFLICT, "it failed, and may have run\n"),
         Some(FinalOutcome::HandedBack) | None => {}
@@ -158,7 +159,8 @@
     }
 }
 
-/// Handing it in again is harmless, and is worth a try when the decisions say so.
+/// Rejects a message. Submitting it again is harmless, and is worth a try after the time that the
+/// decision core states.
 fn reject(node: &Node, class: usize, destination_id: DestinationId) -> TextResponse {
     node.metrics.ended(class, figures::End::Throttled);
     let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
@@ -171,14 +173,14 @@
 fn parse_head(
     node: &Node, class: usize, headers: &HeaderMap, received_at: UnixMicros,
 ) -> Result<AcceptedMessage, &'static str> {
-    // Of a header that stands twice, nobody can say which one holds.
+    // Of a duplicate header, nobody can say which value is valid.
     let unique_headers =
         ["Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "X-Consignee", "Tenant"];
     if unique_headers.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
         return Err("a header stands twice");
     }
     let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or_default().trim());
-    // Ids and keys stand between blanks where a call holds several messages.
+    // Ids and keys are separated by blanks in a call with several messages.
     let is_token = |text: &&str| {
         (1..=MAX_TOKEN_LENGTH).contains(&text.len())
             && text.bytes().all(|b| b.is_ascii_graphic())
@@ -197,7 +199,7 @@
     };
     let timeout_ms = header("Request-Timeout-Ms").and_then(|ms| ms.parse::<u32>().ok());
     let timeout_ms = timeout_ms.ok_or("Request-Timeout-Ms: whole milliseconds expected")?;
-    // It would be held for longer than anything that is planned for.
+    // It would be queued for longer than the limits are planned for.
     if f64::from(timeout_ms) > (settings.deadline * 1000.0).ceil() {
         return Err("Request-Timeout-Ms: longer than the class may take");
     }
@@ -216,7 +218,8 @@
     })
 }
 
-/// Reads to the end of the body, which the client's record keeps; its length, or none if it is too long.
+/// Reads to the end of the body, which the connection's buffer keeps. Returns its length, or `None`
+/// if it is too long.
 async fn read_body(mut body: Incoming) -> Result<Option<usize>, hyper::Error> {
     if body.size_hint().lower() > MAX_DISCARDED_BODY_BYTES as u64 {
         return Ok(None);
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,5 +1,5 @@
-//! What passed at each destination, counted and told in a line a second while anything happens: what is harmless
-//! at one dispatcher shows in the sum over the fleet (`fawnspoke lab fleet`).
+//! Traffic counters of each destination, logged in one line per second while anything happens: load
+//! that is harmless from one dispatcher shows in the sum over the fleet (`fawnspoke lab fleet`).
 
 use crate::calls::CallEnd;
 use std::cell::RefCell;
@@ -9,10 +9,11 @@
 
 /// Destinations in one line; the others of that second are summed up as `rest`.
 const MAX_DESTINATIONS_PER_LINE: usize = 64;
-/// A refusal with less left than this of a limit comes from the limit, one with more than that does not.
+/// An overload response is due to the rate limit if less than `LIMIT_EXHAUSTED_BELOW` of it is
+/// left, and has another cause if `LIMIT_UNUSED_FROM` of it or more is left.
 const LIMIT_EXHAUSTED_BELOW: f64 = 0.2;
 const LIMIT_UNUSED_FROM: f64 = 0.8;
-/// What is counted, by the names that the line uses.
+/// The names of the counters in the line, which `fawnspoke lab fleet` reads.
 const COUNTER_NAMES: [&str; 18] = [
     "taken",
     "calls",
@@ -34,44 +35,43 @@
     "limit",
 ];
 
-/// Events and gauges of one second at one destination.
+/// Counters and gauges of one destination for one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DestinationCounters {
-    /// Messages that came.
+    /// Messages accepted.
     pub accepted: u64,
-    /// Calls that were begun.
+    /// Calls started.
     pub calls: u64,
-    /// Messages in them.
+    /// Messages in those calls.
     pub messages: u64,
     /// Messages delivered.
     pub delivered: u64,
-    /// Calls that were turned away.
+    /// Calls rejected because of overload.
     pub overloaded: u64,
-    /// Those of them that told that nothing was left of the limit ...
+    /// Of these, the calls whose response reported that the rate limit was used up.
     pub limit_exhausted: u64,
-    /// ... and those that told that nearly all was: shut, its queue full, cold or short of connections.
+    /// Of these, the calls whose response reported that nearly all of the limit was left: the
+    /// destination was unavailable, its queue full, cold or short of connections.
     pub limit_unused: u64,
     /// Calls that failed otherwise.
     pub failed: u64,
     /// Calls that could not connect.
     pub connect_failures: u64,
-    /// New connections.
     pub new_connections: u64,
-    /// Probes.
     pub probes: u64,
-    /// Messages handed back unsent or harmless to send again.
+    /// Messages handed back: unsent, or harmless to send again.
     pub handed_back: u64,
     /// Messages given up.
     pub given_up: u64,
-    /// Messages that are open at the second's end.
+    /// Messages that are open at the end of the second.
     pub open: u64,
     /// Age of the oldest of them, in milliseconds.
     pub oldest_ms: u64,
-    /// Reports that told what is left of a limit.
+    /// Reports that state what is left of a rate limit.
     pub reports: u64,
-    /// What they told, in hundredths, summed up.
+    /// Sum of what these reports state, in percent.
     pub remaining_percent_sum: u64,
-    /// The limit that was told last, in calls a second.
+    /// The rate limit that was reported last, in calls per second.
     pub rate_limit: u64,
 }
 
@@ -143,14 +143,14 @@
     }
 }
 
-/// The counts of the second that runs.
+/// The counters of the current second.
 #[derive(Default)]
 pub struct TrafficCounters {
     destinations: RefCell<BTreeMap<u32, DestinationCounters>>,
 }
 
 impl TrafficCounters {
-    /// Counts something at a destination.
+    /// Updates the counters of a destination.
     pub fn update(&self, destination: u32, change: impl FnOnce(&mut DestinationCounters)) {
         change(self.destinations.borrow_mut().entry(destination).or_default());
     }
@@ -183,8 +183,8 @@
         });
     }
 
-    /// The line of what was counted, and counts anew; none where nothing happened. `held`: destination and age of
-    /// each open message.
+    /// The line with the counters, which then start again from zero; `None` if nothing happened.
+    /// `open_messages`: destination and age of each open message.
     pub fn take_line(
         &self, now: Seconds, open_messages: impl Iterator<Item = (u32, Seconds)>,
     ) -> Option<String> {
