--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// The state of one client connection, for those that do not read from it.
+/// The state of one client connection, shared with code that does not read from the connection.
 pub struct ClientConnection {
     pub stream: SharedStream,
     /// When the last byte arrived, or the last response was ready.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reserved {
     pub descriptors: usize,
-    pub disk: u64,
+    pub disk_bytes: u64,
 }
 
 impl Limits {
@@ -71,14 +71,14 @@
     /// Share of the memory that client requests may use while they are read.
     const READING_MEMORY_SHARE: f64 = 0.5;
 
-    /// Client connections: half of the descriptors, and no more than can be read at once.
+    /// Maximum number of client connections: half of the descriptors, and no more than can be read at once.
     pub fn max_clients(&self) -> usize {
         let bytes_per_request = (MAX_HEAD_BYTES + MAX_BODY_BYTES) as f64;
         let read_at_once = (self.memory_mb * 1e6 * Limits::READING_MEMORY_SHARE / bytes_per_request) as usize;
         (self.sockets.saturating_sub(self.used_descriptors()) / 2).min(read_at_once).max(1)
     }
 
-    /// Client connections without a request. Without this limit, clients that send one request and keep
+    /// Maximum number of client connections without a request. Without this limit, clients that send one request and keep
     /// their connection could occupy all connections, whose number is bounded, and new clients would
     /// have to wait for old connections to end. The cost is that a client that returns after a pause
     /// must reconnect.
@@ -86,7 +86,7 @@
         ((self.max_clients() as f64 * Limits::IDLE_CLIENT_SHARE) as usize).max(1)
     }
 
-    /// Concurrent calls: the connections that clients leave free.
+    /// Maximum number of concurrent calls: the connections that clients leave free.
     fn max_calls(&self) -> usize {
         self.sockets.saturating_sub(self.used_descriptors() + self.max_clients()).max(1)
     }
@@ -97,10 +97,10 @@
 
     /// Bytes that the journal may use on disk.
     pub fn journal_bytes(&self) -> u64 {
-        ((self.disk_mb * 1e6) as u64).saturating_sub(self.reserved.disk)
+        ((self.disk_mb * 1e6) as u64).saturating_sub(self.reserved.disk_bytes)
     }
 
-    /// Idle connections to endpoints: what this many calls leave free.
+    /// Maximum number of idle connections to endpoints: what this many calls leave free.
     pub fn max_idle_connections(&self, calls: usize) -> usize {
         self.max_calls().saturating_sub(calls).max(1)
     }
@@ -263,12 +263,12 @@
             .map_err(|error| format!("{}: {}", error.path(), error.inner()))?;
         let control_address = control_address.or(raw.control);
         if control_address.is_some() {
-            raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk: record::BYTES_MOST };
+            raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk_bytes: record::BYTES_MOST };
         }
         let fleet = fleet.map(|path| File::read(path, &raw.name)).transpose()?;
         if let Some(file) = &fleet {
             raw.limits.reserved.descriptors += shell::descriptors(file, &raw.name);
-            raw.limits.reserved.disk += shell::disk(file);
+            raw.limits.reserved.disk_bytes += shell::disk(file);
             let max_fleet_bytes = raw.limits.disk_mb * 1e6 * Limits::FLEET_DISK_SHARE;
             if shell::disk(file) as f64 > max_fleet_bytes {
                 return Err(format!(
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -150,7 +150,7 @@
     }
 }
 
-/// Tells the decision core which restored endpoints are in service now: they were restarted
+/// Reports to the decision core which restored endpoints are in service now: they were restarted
 /// meanwhile.
 pub fn report_restored(node: &Node) {
     let directory = node.directory.borrow();
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -20,10 +20,9 @@
 /// The discovery agent on this machine answers at once or is down, and so does the platform when it
 /// receives a notice.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first request with notices that is not answered by then is repeated on another connection:
+/// A request with notices that is not answered within this time is repeated on another connection:
 /// the kept-alive one may be dead without a sign, and a notice is overdue 0.3 s after its message's
-/// deadline. Each failure doubles the time, up to `RESPONSE_TIMEOUT`. A repeated notice does no
-/// harm.
+/// deadline. Each failure doubles the time, up to `RESPONSE_TIMEOUT`. Repeated notices do no harm.
 const FIRST_NOTICE_TIMEOUT: Duration = Duration::from_millis(200);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
@@ -90,7 +89,7 @@
             }
         }
         if on_request {
-            // The service at a new address is not known to be overloaded.
+            // The service at a new address is not known to be overloaded, so it is asked at once.
             tokio::select! {
                 () = node.resubscribe.notified() => {}
                 _ = address_changes.changed() => {}
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -165,7 +165,7 @@
 pub enum HandoverResult {
     /// It goes on as before; it may have been told to stop meanwhile.
     Resumed { stopping: bool },
-    /// It ends.
+    /// It exits.
     Ended,
     /// It restarts from the journal.
     Restart,
