--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,8 +1,8 @@
 //! The configuration: one JSON file and a few environment variables, checked once at startup.
 
 use crate::size_limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
-use fawnspoke_cluster::file::File;
-use fawnspoke_cluster::shell;
+use fawnspoke_cluster::config::FleetConfig;
+use fawnspoke_cluster::runtime;
 use fawnspoke_control::{door, record};
 use serde::Deserialize;
 use serde_json::Value;
@@ -22,7 +22,7 @@
     /// The directory for everything that outlives the process.
     pub state_dir: PathBuf,
     /// The fleet file, if this dispatcher is a member of a fleet.
-    pub fleet: Option<File>,
+    pub fleet: Option<FleetConfig>,
     pub seed: u64,
     pub limits: Limits,
     /// The file as it was read; its `known` is a list of endpoints in discovery's format.
@@ -265,12 +265,12 @@
         if control_address.is_some() {
             raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk_bytes: record::BYTES_MOST };
         }
-        let fleet = fleet.map(|path| File::read(path, &raw.name)).transpose()?;
+        let fleet = fleet.map(|path| FleetConfig::load(path, &raw.name)).transpose()?;
         if let Some(file) = &fleet {
-            raw.limits.reserved.descriptors += shell::descriptors(file, &raw.name);
-            raw.limits.reserved.disk_bytes += shell::disk(file);
+            raw.limits.reserved.descriptors += runtime::max_descriptors(file, &raw.name);
+            raw.limits.reserved.disk_bytes += runtime::max_disk_bytes(file);
             let max_fleet_bytes = raw.limits.disk_mb * 1e6 * Limits::FLEET_DISK_SHARE;
-            if shell::disk(file) as f64 > max_fleet_bytes {
+            if runtime::max_disk_bytes(file) as f64 > max_fleet_bytes {
                 return Err(format!(
                     "FAWNSPOKE_FLEET: disk_mb: {} of {} MB; the journal needs at least half of them",
                     file.disk_mb, raw.limits.disk_mb
