--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -266,14 +266,14 @@
             raw.limits.reserved = Reserved { descriptors: door::DESCRIPTORS, disk_bytes: record::BYTES_MOST };
         }
         let fleet = fleet.map(|path| FleetConfig::load(path, &raw.name)).transpose()?;
-        if let Some(file) = &fleet {
-            raw.limits.reserved.descriptors += runtime::max_descriptors(file, &raw.name);
-            raw.limits.reserved.disk_bytes += runtime::max_disk_bytes(file);
+        if let Some(fleet_config) = &fleet {
+            raw.limits.reserved.descriptors += runtime::max_descriptors(fleet_config, &raw.name);
+            raw.limits.reserved.disk_bytes += runtime::max_disk_bytes(fleet_config);
             let max_fleet_bytes = raw.limits.disk_mb * 1e6 * Limits::FLEET_DISK_SHARE;
-            if runtime::max_disk_bytes(file) as f64 > max_fleet_bytes {
+            if runtime::max_disk_bytes(fleet_config) as f64 > max_fleet_bytes {
                 return Err(format!(
                     "FAWNSPOKE_FLEET: disk_mb: {} of {} MB; the journal needs at least half of them",
-                    file.disk_mb, raw.limits.disk_mb
+                    fleet_config.disk_mb, raw.limits.disk_mb
                 ));
             }
         }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -33,7 +33,7 @@
     outages: RefCell<BTreeMap<u32, TrialPermission>>,
     /// Destinations to which nothing is sent now.
     restricted: RefCell<BTreeSet<u32>>,
-    discovery_pace: Cell<PollingRate>,
+    polling_rate: Cell<PollingRate>,
     list_seq: Cell<Option<u64>>,
     /// How long a restriction lasts that nobody renews.
     max_hold_seconds: BootSeconds,
@@ -56,8 +56,10 @@
 
 /// A restriction expires by itself, even if the member's thread has ended: a holder whose term is
 /// over holds back for as long as others would, and then acts on its own.
-fn permission(bound: TrialPermission, now: BootSeconds, max_hold_seconds: BootSeconds) -> Permission {
-    match bound {
+fn permission(
+    trial_permission: TrialPermission, now: BootSeconds, max_hold_seconds: BootSeconds,
+) -> Permission {
+    match trial_permission {
         TrialPermission::Holder(epoch, until) if now < until => Permission::Holder(epoch),
         TrialPermission::Holder(_, until) if now < until + max_hold_seconds => Permission::Restricted,
         TrialPermission::Deferred(until) if now < until => Permission::Restricted,
@@ -75,24 +77,24 @@
             updates: RefCell::new(Some(updates)),
             outages: RefCell::default(),
             restricted: RefCell::default(),
-            discovery_pace: Cell::new(PollingRate::Normal),
+            polling_rate: Cell::new(PollingRate::Normal),
             list_seq: Cell::new(None),
-            max_hold_seconds: config.fleet.as_ref().map_or(0.0, |file| file.hold_most_s),
+            max_hold_seconds: config.fleet.as_ref().map_or(0.0, |fleet_config| fleet_config.hold_most_s),
             watch_ended: Cell::new(false),
-            log_actions: config.fleet.as_ref().is_some_and(|file| file.history),
+            log_actions: config.fleet.as_ref().is_some_and(|fleet_config| fleet_config.history),
         }
     }
 
     /// Starts the member, if this dispatcher is one. It opens its record once the process that holds
     /// the record releases it.
     pub fn start_member(&self, config: &Config) {
-        let Some(file) = &config.fleet else { return };
+        let Some(fleet_config) = &config.fleet else { return };
         let member_settings = runtime::Settings {
-            config: file.clone(),
+            config: fleet_config.clone(),
             name: config.name.clone(),
             state_dir: config.state_dir.clone(),
         };
-        let duties = Settings { rules: duty_rules(), ..Settings::from_file(file) };
+        let duties = Settings { rules: duty_rules(), ..Settings::from_file(fleet_config) };
         let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
         match runtime::spawn(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
@@ -102,9 +104,9 @@
         }
     }
 
-    fn report(&self, fact: DutyReport) {
+    fn report(&self, duty_report: DutyReport) {
         if let Some(member) = &*self.member.borrow() {
-            member.send(fact);
+            member.send(duty_report);
         }
     }
 
@@ -178,9 +180,9 @@
     /// Whether a call may go to a destination now. A holder checks its term here, right before the
     /// action.
     pub fn may_send(&self, destination: u32) -> bool {
-        let Some(bound) = self.outages.borrow().get(&destination).copied() else { return true };
+        let Some(trial_permission) = self.outages.borrow().get(&destination).copied() else { return true };
         let now = clock::now();
-        match permission(bound, now, self.max_hold_seconds) {
+        match permission(trial_permission, now, self.max_hold_seconds) {
             Permission::Holder(epoch) if self.log_actions => {
                 log::info(format_args!(
                     "fleet: {:.6} acts tries/{destination} epoch {epoch}",
@@ -195,7 +197,7 @@
 
     /// The delay between requests to discovery, if it is increased because another member makes them.
     pub fn discovery_interval(&self) -> Option<Duration> {
-        match self.discovery_pace.get() {
+        match self.polling_rate.get() {
             PollingRate::Reduced(interval, until) if clock::now() < until => {
                 Some(Duration::from_secs_f64(interval))
             }
@@ -209,14 +211,14 @@
             return;
         }
         let now = clock::now();
-        let is_restricted = |bound: &TrialPermission| {
-            permission(*bound, now, self.max_hold_seconds) == Permission::Restricted
+        let is_restricted = |trial_permission: &TrialPermission| {
+            permission(*trial_permission, now, self.max_hold_seconds) == Permission::Restricted
         };
         let to_restrict: BTreeSet<u32> = self
             .outages
             .borrow()
             .iter()
-            .filter(|(_, bound)| is_restricted(bound))
+            .filter(|(_, trial_permission)| is_restricted(trial_permission))
             .map(|(destination, _)| *destination)
             .collect();
         if *self.restricted.borrow() != to_restrict {
@@ -250,7 +252,7 @@
     /// Lifts all restrictions; returns the changed entries of the list.
     fn lift_all(&self, node: &Node) -> Vec<Vec<EndpointEntry>> {
         self.outages.borrow_mut().clear();
-        self.discovery_pace.set(PollingRate::Normal);
+        self.polling_rate.set(PollingRate::Normal);
         self.set_restricted(node, BTreeSet::new())
     }
 
@@ -302,37 +304,40 @@
                     .into_iter()
                     .for_each(|seq| constraints.report(DutyReport::ListReceived(seq)));
             }
-            DutyEvent::TrialPermission(destination, bound) => {
+            DutyEvent::TrialPermission(destination, trial_permission) => {
                 if let Some(current) = constraints.outages.borrow_mut().get_mut(&destination) {
-                    *current = bound;
+                    *current = trial_permission;
                 }
                 constraints.refresh(&node);
             }
-            DutyEvent::PollingRate(pace) => constraints.discovery_pace.set(pace),
+            DutyEvent::PollingRate(rate) => constraints.polling_rate.set(rate),
             DutyEvent::PollDiscovery => node.resubscribe.notify_one(),
-            DutyEvent::Granted(name, epoch, holder) => {
+            DutyEvent::Granted(duty, epoch, holder) => {
                 let holder_name = holder.map_or("nobody".into(), |id| format!("{id:016x}"));
                 log::info(format_args!(
-                    "fleet: {:.6} given {name} epoch {epoch} to {holder_name}",
+                    "fleet: {:.6} given {duty} epoch {epoch} to {holder_name}",
                     clock::to_machine_time(clock::now())
                 ));
             }
-            DutyEvent::Rejected(name, epoch, current_epoch) => {
+            DutyEvent::Rejected(duty, epoch, current_epoch) => {
                 log::info(format_args!(
-                    "fleet: {:.6} refused {name} epoch {epoch}, {current_epoch} is given",
+                    "fleet: {:.6} refused {duty} epoch {epoch}, {current_epoch} is given",
                     clock::now()
                 ));
             }
-            DutyEvent::Updated(name, epoch, word) => {
+            DutyEvent::Updated(duty, epoch, holder_update) => {
                 if constraints.log_actions {
-                    log::info(format_args!("fleet: {:.6} told {name} epoch {epoch} {word:?}", clock::now()));
+                    log::info(format_args!(
+                        "fleet: {:.6} told {duty} epoch {epoch} {holder_update:?}",
+                        clock::now()
+                    ));
                 }
-                if let (DutyId::Trials(destination), HolderUpdate::Out) = (name, word) {
+                if let (DutyId::Trials(destination), HolderUpdate::Out) = (duty, holder_update) {
                     constraints.still_unavailable(&node, destination);
                 }
             }
-            DutyEvent::Acted(name, epoch, at) if constraints.log_actions => {
-                log::info(format_args!("fleet: {:.6} acts {name} epoch {epoch}", clock::to_machine_time(at)));
+            DutyEvent::Acted(duty, epoch, at) if constraints.log_actions => {
+                log::info(format_args!("fleet: {:.6} acts {duty} epoch {epoch}", clock::to_machine_time(at)));
             }
             DutyEvent::Acted(..) => {}
         }
