--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -94,30 +94,30 @@
 }
 
 /// Carries out one command: it is first written to the file, then put in force.
-pub fn apply_command(node: &Node, subject: &OverrideKey, suspend: bool) -> Result<String, String> {
+pub fn apply_command(node: &Node, key: &OverrideKey, suspend: bool) -> Result<String, String> {
     let operator_overrides = &node.overrides;
-    let id = &subject.endpoint_id;
+    let id = &key.endpoint_id;
     let ever_listed = node.directory.borrow().ever_listed(id);
     let now = node.unix_now() / 1000;
-    let step = {
+    let result = {
         let mut overrides = operator_overrides.overrides.borrow_mut();
         match suspend {
-            true => overrides.add(subject.clone(), ever_listed, now),
-            false => overrides.remove(subject, ever_listed),
+            true => overrides.add(key.clone(), ever_listed, now),
+            false => overrides.remove(key, ever_listed),
         }
     };
     // This includes an override that is in force already, but not in the file.
-    let must_save = matches!(step, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
+    let must_save = matches!(result, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
         |error: &io::Error| format!("in force, but not on record yet, and gone with this process: {error}");
-    if let (UpdateResult::Unchanged, Err(error)) = (&step, &saved) {
+    if let (UpdateResult::Unchanged, Err(error)) = (&result, &saved) {
         return Err(unsaved_text(error));
     }
-    match step {
+    match result {
         UpdateResult::Unchanged if suspend => return Ok(format!("{id} is out already")),
         UpdateResult::Unchanged => return Ok(format!("{id} may serve")),
-        UpdateResult::Rejected(refusal) => return Err(refusal.to_string()),
+        UpdateResult::Rejected(rejection) => return Err(rejection.to_string()),
         UpdateResult::Changed(change) => {
             let entry = node.directory.borrow_mut().set_suspended(id, change == Change::Added);
             if let Some(entry) = entry {
@@ -165,14 +165,14 @@
 pub fn gauges(node: &Node) -> Gauges {
     let (directory, dispatcher) = (node.directory.borrow(), node.dispatcher.borrow());
     let now = node.now();
-    let (mut listed, mut avoided) = (0, 0);
+    let (mut listed_endpoints, mut out_of_rotation) = (0, 0);
     for (endpoint, ready) in directory.listed() {
-        listed += 1;
-        avoided += u64::from(!ready || dispatcher.is_unavailable(now, endpoint));
+        listed_endpoints += 1;
+        out_of_rotation += u64::from(!ready || dispatcher.is_unavailable(now, endpoint));
     }
     Gauges {
         pending_messages: node.journal.borrow().open_messages() as u64,
-        listed_endpoints: listed,
-        out_of_rotation: avoided,
+        listed_endpoints,
+        out_of_rotation,
     }
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -315,9 +315,9 @@
                     link = None;
                     Event::StateUnusable
                 }
-                Some(ReceiverFrame::OverrideResult { number, success: yes, message: text }) => {
+                Some(ReceiverFrame::OverrideResult { number, success, message }) => {
                     if let Some(answer) = commands.remove(&number) {
-                        let _ = answer.send(if yes { Ok(text) } else { Err(text) });
+                        let _ = answer.send(if success { Ok(message) } else { Err(message) });
                     }
                     continue;
                 }
@@ -468,14 +468,14 @@
                         }
                     });
                 }
-                Action::RequestState { with_decisions: decisions } => {
-                    journal_only = !decisions;
+                Action::RequestState { with_decisions } => {
+                    journal_only = !with_decisions;
                     next = Some(match &link {
                         Some(link) => {
                             request_state(
                                 link,
                                 config,
-                                decisions,
+                                with_decisions,
                                 &mut state,
                                 &mut listener,
                                 &mut refusal_logged,
@@ -515,10 +515,10 @@
                 }
                 Action::Unlock => locks = Locks::default(),
                 Action::CheckCallsDrained => {
-                    let quiet = lock::lock_calls_if_idle(&config.state_dir);
-                    let unknown = quiet.as_ref().is_err_and(lock::is_unsupported);
-                    locks.calls = quiet.unwrap_or_default();
-                    next = Some(Event::CallsDrained(locks.calls.is_some() || unknown));
+                    let calls_lock = lock::lock_calls_if_idle(&config.state_dir);
+                    let unsupported = calls_lock.as_ref().is_err_and(lock::is_unsupported);
+                    locks.calls = calls_lock.unwrap_or_default();
+                    next = Some(Event::CallsDrained(locks.calls.is_some() || unsupported));
                 }
                 Action::DiscardState => (link, state, listener) = (None, None, None),
                 Action::ScheduleRetry => {
@@ -682,13 +682,13 @@
                 log::info_limited(format_args!("handover: client connection: {error}"));
             }
         }
-        (SenderFrame::IdleConnection { endpoint, address: at, idle_ms }, Some(stream)) => {
+        (SenderFrame::IdleConnection { endpoint, address, idle_ms }, Some(stream)) => {
             let now = tokio::time::Instant::now();
             let idle_since = now.checked_sub(Duration::from_millis(idle_ms.into())).unwrap_or(now);
             let endpoint = EndpointId(endpoint);
             // The connection is usable as long as the list has the endpoint at this address.
-            if node.directory.borrow().ready_address(endpoint) == Some(at)
-                && let Ok(connection) = calls::wrap_stream(stream, at, idle_since).await
+            if node.directory.borrow().ready_address(endpoint) == Some(address)
+                && let Ok(connection) = calls::wrap_stream(stream, address, idle_since).await
             {
                 node.pool.add_idle(endpoint, connection);
             }
@@ -710,16 +710,15 @@
             }
             Err(error) => log::info_limited(format_args!("handover: {error}")),
         },
-        (SenderFrame::OverrideCommand { number, activate: given, endpoint_id: id }, _) => {
+        (SenderFrame::OverrideCommand { number, activate, endpoint_id }, _) => {
             let result = control::apply_command(
                 node,
-                &OverrideKey { kind: OverrideKind::Suspend, endpoint_id: id },
-                given,
+                &OverrideKey { kind: OverrideKind::Suspend, endpoint_id },
+                activate,
             );
-            let (yes, text) = result.map_or_else(|text| (false, text), |text| (true, text));
-            if let Ok(packet) =
-                frames::encode(&ReceiverFrame::OverrideResult { number, success: yes, message: text })
-            {
+            let (success, message) =
+                result.map_or_else(|message| (false, message), |message| (true, message));
+            if let Ok(packet) = frames::encode(&ReceiverFrame::OverrideResult { number, success, message }) {
                 let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
             }
         }
