--- a/crates/handover/src/frames.rs
+++ b/crates/handover/src/frames.rs
@@ -1,97 +1,100 @@
-//! What passes between the two: one packet a frame.
+//! The messages between sender and receiver, one frame per packet.
 //!
-//! The first packet of each side is a [`Hello`], in JSON, which every version reads; what follows is of the version that
-//! both know.
+//! The receiver's first packet is a [`Hello`] in JSON, which every protocol version can read. All other packets are
+//! postcard frames of [`PROTOCOL_VERSION`].
 
 pub use fawnspoke_frames::{FrameError, decode, encode};
 use serde::{Deserialize, Serialize};
 
-/// The version of the frames. One that differs is no partner: the new process waits until the old one has ended.
+/// The version of the frames. Processes of different versions do not hand over: the new one waits until the old one
+/// exits.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// Longest packet, in bytes: what a client has sent of a request so far fits, head and body.
+/// Longest packet, in bytes. A partially received client request, head and body, fits into it.
 pub const MAX_PACKET_BYTES: usize = 128 * 1024;
-/// Bytes of a state in one packet.
+/// Bytes of the state in one packet.
 pub const STATE_CHUNK_BYTES: usize = 64 * 1024;
-/// A state that is longer is none.
+/// A longer state is rejected.
 pub const MAX_STATE_BYTES: usize = 64 << 20;
 
-/// The first word of a taker.
+/// The receiver's first message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Its [`PROTOCOL_VERSION`].
+    /// The receiver's [`PROTOCOL_VERSION`].
     pub version: u32,
-    /// It wants what the decisions hold in mind. Without it the giver breaks off its calls first.
+    /// Whether the receiver requests the dispatcher's in-memory state. If not, the sender aborts its calls before it
+    /// hands over.
     pub decisions: bool,
 }
 
-/// What a giver sends.
+/// A frame from the sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SenderFrame {
-    /// It does not give, and why.
+    /// The handover is rejected, with the reason.
     Rejected(String),
-    /// A piece of its state; the last one is empty. With that one comes the clients' listening socket as a descriptor,
-    /// unless both have it from who started them.
+    /// A chunk of the state; an empty chunk ends it. The clients' listening socket comes with the last one as a file
+    /// descriptor, unless both processes inherited it from their parent.
     State(Vec<u8>),
-    /// A client's connection, as a descriptor.
+    /// A client connection, sent along as a file descriptor.
     Client {
-        /// What was read of a request that is not whole.
+        /// The bytes read so far of an incomplete request.
         partial_request: Vec<u8>,
-        /// Since when that request is awaited, in milliseconds; none where none is.
+        /// For how long the rest of that request has been awaited, in milliseconds; none if no request is incomplete.
         waited_ms: Option<u32>,
     },
-    /// An idle connection to an endpoint, as a descriptor.
+    /// An idle connection to an endpoint, sent along as a file descriptor.
     IdleConnection {
-        /// The endpoint, by the decisions' number.
+        /// The endpoint's number in the dispatcher.
         endpoint: u64,
-        /// Where it is.
+        /// The endpoint's address.
         address: std::net::SocketAddr,
-        /// For how long it has been idle, in milliseconds.
+        /// For how long the connection has been idle, in milliseconds.
         idle_ms: u32,
     },
-    /// How a call ended that was out: in the form that the dispatcher keeps.
+    /// The result of a call that was in flight, encoded by the dispatcher.
     CallCompleted(Vec<u8>),
-    /// How an order was carried out that came to the giver's door: asked by [`ReceiverFrame::OverrideResult`]'s number.
+    /// An operator override that the sender's control port has received. The receiver answers with
+    /// [`ReceiverFrame::OverrideResult`] and the same number.
     OverrideCommand {
-        /// Counts the orders.
+        /// Identifies the override; counted up.
         number: u32,
-        /// Given, or called back.
+        /// Whether to add the override or to remove it.
         activate: bool,
-        /// The endpoint's id.
+        /// The endpoint's id in the service registry.
         endpoint_id: String,
     },
 }
 
-/// What a taker sends.
+/// A frame from the receiver.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReceiverFrame {
-    /// It owns.
+    /// The receiver is the owner now.
     OwnershipAcquired,
-    /// It can't use what came, and why.
+    /// The receiver can't use the state, with the reason.
     StateUnusable(String),
-    /// How an order was carried out that came to the giver's door.
+    /// The result of an operator override that the sender forwarded.
     OverrideResult {
-        /// The order's number.
+        /// The number of the override.
         number: u32,
-        /// A yes.
+        /// Whether it succeeded.
         success: bool,
-        /// With this text.
+        /// The text for the operator.
         message: String,
     },
 }
 
 impl Hello {
-    /// As a packet.
+    /// Encodes the hello as a packet.
     ///
     /// # Errors
-    /// None that is known.
+    /// Where it can't be encoded; none is known.
     pub fn encode(&self) -> Result<Vec<u8>, FrameError> {
         fawnspoke_frames::encode_hello(self)
     }
 
-    /// Reads a packet.
+    /// Decodes a packet.
     ///
     /// # Errors
-    /// Where it is no hello.
+    /// Where the packet is not a hello.
     pub fn decode(packet: &[u8]) -> Result<Hello, FrameError> {
         fawnspoke_frames::decode_hello(packet)
     }
@@ -103,19 +106,19 @@
     use proptest::prelude::*;
 
     #[test]
-    fn what_is_sent_is_read() {
+    fn frames_and_hellos_round_trip() {
         let hello = Hello { version: PROTOCOL_VERSION, decisions: true };
         assert_eq!(Hello::decode(&hello.encode().unwrap()).unwrap(), hello);
-        // A later version may say more.
-        let later = Hello::decode(br#"{"version":9,"decisions":false,"more":[1]}"#).unwrap();
-        assert_eq!(later.version, 9);
+        // A later version may add fields.
+        let newer = Hello::decode(br#"{"version":9,"decisions":false,"more":[1]}"#).unwrap();
+        assert_eq!(newer.version, 9);
         let frame = SenderFrame::Client { partial_request: vec![0, 255], waited_ms: Some(7) };
         assert_eq!(decode::<SenderFrame>(&encode(&frame).unwrap()).unwrap(), frame);
     }
 
     proptest! {
         #[test]
-        fn bytes_that_are_no_frame_are_an_error_and_no_more(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+        fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
             let _ = (decode::<SenderFrame>(&bytes), decode::<ReceiverFrame>(&bytes), Hello::decode(&bytes));
         }
     }
--- a/crates/handover/src/lock.rs
+++ b/crates/handover/src/lock.rs
@@ -1,5 +1,7 @@
-//! The locks on the folder that lasts. Who holds the one owns what is in it; the other is shared by all that may have
-//! calls out. The kernel frees them with their process.
+//! File locks on the state directory.
+//!
+//! The exclusive owner lock makes its holder the owner of the directory's contents. The calls lock is shared by all
+//! processes that may have calls in flight. The kernel releases both when a process exits.
 
 use rustix::fs::{FlockOperation, flock};
 use rustix::io::Errno;
@@ -7,9 +9,9 @@
 use std::io;
 use std::path::Path;
 
-/// The owner's file in the folder; always empty.
+/// File of the owner lock; always empty.
 pub const OWNER_FILE: &str = "lock";
-/// The file of those that may have calls out; always empty.
+/// File of the calls lock; always empty.
 pub const CALLS_FILE: &str = "calls";
 
 /// A lock that is held until it is dropped.
@@ -18,50 +20,52 @@
     _file: File,
 }
 
-/// Tries for the lock of a folder; none where another process holds it.
+/// Tries to acquire the owner lock; `None` where another process holds it.
 ///
 /// # Errors
-/// Those of the file, and of a file system that knows no locks.
-pub fn try_lock(folder: &Path) -> io::Result<Option<Lock>> {
-    held(open(folder, OWNER_FILE)?, FlockOperation::NonBlockingLockExclusive)
+/// I/O errors of the file, also where the file system has no locks (see [`is_unsupported`]).
+pub fn try_lock(state_dir: &Path) -> io::Result<Option<Lock>> {
+    acquire(open(state_dir, OWNER_FILE)?, FlockOperation::NonBlockingLockExclusive)
 }
 
-/// Shares the calls' lock with whoever has calls out already; none where one is just looking whether anybody has.
+/// Acquires the calls lock shared with other processes; `None` while a process holds it exclusively, which
+/// [`lock_calls_if_idle`] does for a moment.
 ///
 /// # Errors
 /// As for [`try_lock`].
-pub fn share_calls_lock(folder: &Path) -> io::Result<Option<Lock>> {
-    held(open(folder, CALLS_FILE)?, FlockOperation::NonBlockingLockShared)
+pub fn share_calls_lock(state_dir: &Path) -> io::Result<Option<Lock>> {
+    acquire(open(state_dir, CALLS_FILE)?, FlockOperation::NonBlockingLockShared)
 }
 
-/// The calls' lock where no other process may have calls out; none where one may.
+/// Acquires the calls lock if no other process holds it, which shows that no other process has calls in flight; `None`
+/// otherwise. The lock is tried for exclusively, then kept shared.
 ///
 /// # Errors
 /// As for [`try_lock`].
-pub fn lock_calls_if_idle(folder: &Path) -> io::Result<Option<Lock>> {
-    let alone = held(open(folder, CALLS_FILE)?, FlockOperation::NonBlockingLockExclusive)?;
-    alone.map_or(Ok(None), |lock| held(lock._file, FlockOperation::NonBlockingLockShared))
+pub fn lock_calls_if_idle(state_dir: &Path) -> io::Result<Option<Lock>> {
+    let exclusive = acquire(open(state_dir, CALLS_FILE)?, FlockOperation::NonBlockingLockExclusive)?;
+    exclusive.map_or(Ok(None), |lock| acquire(lock._file, FlockOperation::NonBlockingLockShared))
 }
 
-/// Whether an error tells that the file system knows no locks; any other may pass.
+/// Whether an error means that the file system does not support locks; any other error may be transient.
 pub fn is_unsupported(error: &io::Error) -> bool {
     let code = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(code, Some(Errno::NOLCK | Errno::NOTSUP | Errno::NOSYS | Errno::INVAL))
 }
 
-/// Opens the file of a lock. One that is there is opened on a disk without room too.
-fn open(folder: &Path, name: &str) -> io::Result<File> {
-    let path = folder.join(name);
+/// Opens a lock file, creating it only if it is missing: an existing file can be opened on a full disk as well.
+fn open(state_dir: &Path, name: &str) -> io::Result<File> {
+    let path = state_dir.join(name);
     match OpenOptions::new().write(true).open(&path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => {
             OpenOptions::new().create(true).truncate(false).write(true).open(&path)
         }
-        opened => opened,
+        result => result,
     }
 }
 
-fn held(file: File, how: FlockOperation) -> io::Result<Option<Lock>> {
-    match flock(&file, how) {
+fn acquire(file: File, operation: FlockOperation) -> io::Result<Option<Lock>> {
+    match flock(&file, operation) {
         Ok(()) => Ok(Some(Lock { _file: file })),
         Err(Errno::WOULDBLOCK) => Ok(None),
         Err(error) => Err(error.into()),
@@ -73,21 +77,21 @@
     use super::*;
 
     #[test]
-    fn one_holds_it_until_it_is_dropped() {
-        let folder = std::env::temp_dir().join(format!("fawnspoke-lock-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        let held = try_lock(&folder).unwrap();
-        assert!(held.is_some());
-        assert!(try_lock(&folder).unwrap().is_none());
-        drop(held);
-        assert!(try_lock(&folder).unwrap().is_some());
-        let first = lock_calls_if_idle(&folder).unwrap();
-        assert!(first.is_some() && lock_calls_if_idle(&folder).unwrap().is_none());
-        let second = share_calls_lock(&folder).unwrap();
-        drop(first);
-        assert!(second.is_some() && lock_calls_if_idle(&folder).unwrap().is_none());
-        drop(second);
-        assert!(lock_calls_if_idle(&folder).unwrap().is_some());
-        std::fs::remove_dir_all(folder).unwrap();
+    fn a_lock_is_held_until_it_is_dropped() {
+        let state_dir = std::env::temp_dir().join(format!("fawnspoke-lock-{}", std::process::id()));
+        std::fs::create_dir_all(&state_dir).unwrap();
+        let owner_lock = try_lock(&state_dir).unwrap();
+        assert!(owner_lock.is_some());
+        assert!(try_lock(&state_dir).unwrap().is_none());
+        drop(owner_lock);
+        assert!(try_lock(&state_dir).unwrap().is_some());
+        let first_calls_lock = lock_calls_if_idle(&state_dir).unwrap();
+        assert!(first_calls_lock.is_some() && lock_calls_if_idle(&state_dir).unwrap().is_none());
+        let second_calls_lock = share_calls_lock(&state_dir).unwrap();
+        drop(first_calls_lock);
+        assert!(second_calls_lock.is_some() && lock_calls_if_idle(&state_dir).unwrap().is_none());
+        drop(second_calls_lock);
+        assert!(lock_calls_if_idle(&state_dir).unwrap().is_some());
+        std::fs::remove_dir_all(state_dir).unwrap();
     }
 }
--- a/crates/handover/src/receiver.rs
+++ b/crates/handover/src/receiver.rs
@@ -1,122 +1,125 @@
-//! The new process's side.
+//! The new process's side of a handover, as a state machine.
 //!
-//! It is_owner once it holds the lock. It asks whoever holds it first: what that one knows is more than what is on record.
+//! The receiver becomes the owner by acquiring the lock on the state directory. It first requests the state of the
+//! process that holds the lock, if there is one: that process knows more than what the journal holds.
 
 use crate::Seconds;
 
-/// Between two tries.
+/// Delay between two attempts.
 pub const RETRY_SECONDS: Seconds = 0.02;
 
-/// What happens to the taker.
+/// Inputs of the receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The process has begun.
+    /// The process has started.
     Started,
-    /// Somebody answers at the socket.
+    /// The connection to the sender's socket is open.
     Connected,
-    /// NoListener does: no process serves, or one that knows nothing of this.
+    /// Nothing listens on the socket: no process serves, or one that does not support handovers.
     NoListener,
-    /// The giver says no: it is busy or stops.
+    /// The sender has rejected the request: it is busy or stopping.
     Rejected,
-    /// All that the giver knows has come, and can be used, or not.
+    /// The whole state has arrived; whether it is usable.
     StateReceived(bool),
-    /// The link has ended.
+    /// The link to the sender has closed.
     LinkClosed,
-    /// The lock was tried for, and is held by this process now, or not.
+    /// The result of [`Action::TryLock`]: whether this process holds the lock now.
     LockResult(bool),
-    /// Whether no other process has calls out.
+    /// The result of [`Action::CheckCallsDrained`]: whether no other process has calls in flight.
     CallsDrained(bool),
-    /// Whether the link still holds, asked once the lock was had.
+    /// The result of [`Action::CheckLink`]: whether the link is still open.
     LinkChecked(bool),
-    /// The time until the next try has passed.
+    /// The delay of [`Action::ScheduleRetry`] has passed.
     RetryDue,
 }
 
-/// What the taker does.
+/// What the caller of the state machine has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Connect to the socket.
+    /// Connect to the sender's socket.
     Connect,
-    /// Ask for all; `decisions`: also for what the decisions hold in mind.
+    /// Request the state.
     RequestState {
-        /// Whether it could be used.
+        /// Include the dispatcher's in-memory state; otherwise the receiver relies on the journal.
         with_decisions: bool,
     },
-    /// Tell the giver that what came is of no use, and end the link.
+    /// Report to the sender that the state is unusable, and close the link.
     ReportUnusable,
-    /// Try for the lock.
+    /// Try to acquire the lock.
     TryLock,
-    /// Look whether another process has calls out still: come back with `CallsDrained`.
+    /// Check whether another process still has calls in flight; answered by [`Event::CallsDrained`].
     CheckCallsDrained,
-    /// Look whether the giver is still at the other end: come back with `LinkChecked`. While this process holds the lock the
-    /// giver can't take back what it gave.
+    /// Check whether the sender is still connected; answered by [`Event::LinkChecked`]. The sender can't resume while
+    /// this process holds the lock.
     CheckLink,
-    /// Free the lock.
+    /// Release the lock.
     Unlock,
-    /// DiscardState what came, and the link.
+    /// Discard the received state and close the link.
     DiscardState,
-    /// Come back with `RetryDue` after [`RETRY_SECONDS`].
+    /// Send [`Event::RetryDue`] after [`RETRY_SECONDS`].
     ScheduleRetry,
-    /// TakeOver: open what is on record, go on with what came, and tell the giver, if there is one still.
+    /// Become the owner: open the journal, continue from the received state and confirm ownership to the sender.
     TakeOver,
-    /// TakeOver: begin from what is on record alone.
+    /// Become the owner with nothing but the journal.
     StartFromJournal,
 }
 
-/// Where the taker stands.
+/// The receiver's state. `journal_only`: the dispatcher's in-memory state proved unusable, because the sender runs
+/// another program or has other settings, and is not requested any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ReceiverState {
-    /// It looks for a giver.
+    /// Looks for a sender to connect to.
     Connecting {
-        /// What the decisions hold could not be used: the giver is from another program, or told something else.
-        without_decisions: bool,
+        /// Do not request the in-memory state.
+        journal_only: bool,
     },
-    /// It has asked.
+    /// Has requested the state.
     AwaitingState {
-        /// As before.
-        without_decisions: bool,
+        /// Do not request the in-memory state.
+        journal_only: bool,
     },
-    /// It has all, and tries for the lock.
+    /// Has received the state and tries to acquire the lock.
     Locking {
-        /// As before.
-        without_decisions: bool,
+        /// Do not request the in-memory state.
+        journal_only: bool,
     },
-    /// No giver is there: it tries for the lock.
+    /// Nothing listens on the sender's socket; tries to acquire the lock.
     LockingWithoutSender {
-        /// As before.
-        without_decisions: bool,
+        /// Do not request the in-memory state.
+        journal_only: bool,
     },
-    /// It has the lock, and waits until no call of another process is out.
+    /// Holds the lock and waits until no other process has calls in flight.
     AwaitingCallDrain,
-    /// It is_owner.
+    /// This process is the owner.
     Owner,
 }
 
 impl Default for ReceiverState {
     fn default() -> ReceiverState {
-        ReceiverState::Connecting { without_decisions: false }
+        ReceiverState::Connecting { journal_only: false }
     }
 }
 
 impl ReceiverState {
-    /// Whether this process is_owner.
+    /// Whether this process is the owner.
     pub fn is_owner(&self) -> bool {
         *self == ReceiverState::Owner
     }
 
-    /// One event, and what to do about it, in this order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, event: Event) -> Vec<Action> {
         use Action::*;
         let (next, actions) = match (*self, event) {
             (ReceiverState::Connecting { .. }, Event::Started | Event::RetryDue) => (*self, vec![Connect]),
-            (ReceiverState::Connecting { without_decisions }, Event::Connected) => (
-                ReceiverState::AwaitingState { without_decisions },
-                vec![RequestState { with_decisions: !without_decisions }],
+            (ReceiverState::Connecting { journal_only }, Event::Connected) => (
+                ReceiverState::AwaitingState { journal_only },
+                vec![RequestState { with_decisions: !journal_only }],
             ),
-            (ReceiverState::Connecting { without_decisions }, Event::NoListener) => {
-                (ReceiverState::LockingWithoutSender { without_decisions }, vec![TryLock])
+            (ReceiverState::Connecting { journal_only }, Event::NoListener) => {
+                (ReceiverState::LockingWithoutSender { journal_only }, vec![TryLock])
             }
-            // On record a call without_decisions an end may have run, and may go again: it has to be over.
+            // A call without a recorded outcome may still be running, and its messages may be sent again: wait for
+            // its end.
             (ReceiverState::LockingWithoutSender { .. }, Event::LockResult(true)) => {
                 (ReceiverState::AwaitingCallDrain, vec![CheckCallsDrained])
             }
@@ -125,34 +128,36 @@
             }
             (ReceiverState::AwaitingCallDrain, Event::CallsDrained(false)) => (*self, vec![ScheduleRetry]),
             (ReceiverState::AwaitingCallDrain, Event::RetryDue) => (*self, vec![CheckCallsDrained]),
-            // Its holder may be a giver that has not opened its socket yet, or one that frees the lock when it ends.
-            (ReceiverState::LockingWithoutSender { without_decisions }, Event::LockResult(false)) => {
-                (ReceiverState::Connecting { without_decisions }, vec![ScheduleRetry])
+            // The lock holder may be a sender that has not opened its socket yet, or one that releases the lock on
+            // exit.
+            (ReceiverState::LockingWithoutSender { journal_only }, Event::LockResult(false)) => {
+                (ReceiverState::Connecting { journal_only }, vec![ScheduleRetry])
             }
-            // Somebody is there and hears nobody just now: the lock may be free, and is not for the taking.
+            // A sender that rejects the request may have released the lock for another receiver: do not try for it.
             (ReceiverState::Connecting { .. }, Event::Rejected) => (*self, vec![ScheduleRetry]),
-            (ReceiverState::AwaitingState { without_decisions }, Event::Rejected | Event::LinkClosed) => {
-                (ReceiverState::Connecting { without_decisions }, vec![DiscardState, ScheduleRetry])
+            (ReceiverState::AwaitingState { journal_only }, Event::Rejected | Event::LinkClosed) => {
+                (ReceiverState::Connecting { journal_only }, vec![DiscardState, ScheduleRetry])
             }
-            (ReceiverState::AwaitingState { without_decisions }, Event::StateReceived(true)) => {
-                (ReceiverState::Locking { without_decisions }, vec![TryLock])
+            (ReceiverState::AwaitingState { journal_only }, Event::StateReceived(true)) => {
+                (ReceiverState::Locking { journal_only }, vec![TryLock])
             }
             (ReceiverState::AwaitingState { .. }, Event::StateReceived(false)) => {
-                (ReceiverState::Connecting { without_decisions: true }, vec![ReportUnusable, ScheduleRetry])
+                (ReceiverState::Connecting { journal_only: true }, vec![ReportUnusable, ScheduleRetry])
             }
-            // The lock may be free since a giver that had taken it back gives to somebody else: what came here is old.
+            // The sender may have resumed and then released the lock for another receiver, which makes this state
+            // stale.
             (ReceiverState::Locking { .. }, Event::LockResult(true)) => (*self, vec![CheckLink]),
             (ReceiverState::Locking { .. }, Event::LinkChecked(true)) => {
                 (ReceiverState::Owner, vec![TakeOver])
             }
-            (ReceiverState::Locking { without_decisions }, Event::LinkChecked(false)) => {
-                (ReceiverState::Connecting { without_decisions }, vec![Unlock, DiscardState, ScheduleRetry])
+            (ReceiverState::Locking { journal_only }, Event::LinkChecked(false)) => {
+                (ReceiverState::Connecting { journal_only }, vec![Unlock, DiscardState, ScheduleRetry])
             }
             (ReceiverState::Locking { .. }, Event::LockResult(false)) => (*self, vec![ScheduleRetry]),
             (ReceiverState::Locking { .. }, Event::RetryDue) => (*self, vec![TryLock]),
-            // The giver has taken it back, or died and somebody else may own meanwhile: what came is old.
-            (ReceiverState::Locking { without_decisions }, Event::LinkClosed) => {
-                (ReceiverState::Connecting { without_decisions }, vec![DiscardState, ScheduleRetry])
+            // The sender has resumed, or died and another process may be the owner by now: the state is stale.
+            (ReceiverState::Locking { journal_only }, Event::LinkClosed) => {
+                (ReceiverState::Connecting { journal_only }, vec![DiscardState, ScheduleRetry])
             }
             (state, _) => (state, vec![]),
         };
@@ -165,62 +170,63 @@
 mod tests {
     use super::*;
 
-    fn steps(events: &[Event]) -> (ReceiverState, Vec<Action>) {
-        let mut taker = ReceiverState::default();
-        let actions = events.iter().flat_map(|event| taker.step(*event)).collect();
-        (taker, actions)
+    fn run_events(events: &[Event]) -> (ReceiverState, Vec<Action>) {
+        let mut receiver = ReceiverState::default();
+        let actions = events.iter().flat_map(|event| receiver.step(*event)).collect();
+        (receiver, actions)
     }
 
     #[test]
-    fn it_takes_over() {
-        let (taker, actions) = steps(&[
+    fn requests_the_state_then_the_lock() {
+        let (receiver, actions) = run_events(&[
             Event::Started,
             Event::Connected,
             Event::StateReceived(true),
             Event::LockResult(false),
             Event::RetryDue,
         ]);
-        assert!(!taker.is_owner());
-        let asked = Action::RequestState { with_decisions: true };
+        assert!(!receiver.is_owner());
+        let request = Action::RequestState { with_decisions: true };
         assert_eq!(
             actions,
-            [Action::Connect, asked, Action::TryLock, Action::ScheduleRetry, Action::TryLock]
+            [Action::Connect, request, Action::TryLock, Action::ScheduleRetry, Action::TryLock]
         );
     }
 
     #[test]
-    fn what_was_taken_back_is_not_gone_on_with() {
-        let asked = [Event::Started, Event::Connected, Event::StateReceived(true), Event::LockResult(true)];
-        let (taker, actions) = steps(&[&asked[..], &[Event::LinkChecked(false)]].concat());
-        assert_eq!(taker, ReceiverState::default());
+    fn discards_the_state_when_the_sender_has_resumed() {
+        let until_locked =
+            [Event::Started, Event::Connected, Event::StateReceived(true), Event::LockResult(true)];
+        let (receiver, actions) = run_events(&[&until_locked[..], &[Event::LinkChecked(false)]].concat());
+        assert_eq!(receiver, ReceiverState::default());
         assert_eq!(
             actions[3..],
             [Action::CheckLink, Action::Unlock, Action::DiscardState, Action::ScheduleRetry]
         );
-        assert!(steps(&[&asked[..], &[Event::LinkChecked(true)]].concat()).0.is_owner());
+        assert!(run_events(&[&until_locked[..], &[Event::LinkChecked(true)]].concat()).0.is_owner());
     }
 
     #[test]
-    fn alone_it_begins_from_what_is_on_record() {
-        let alone = [
+    fn without_a_sender_it_starts_from_the_journal_once_calls_are_drained() {
+        let no_sender = [
             Event::Started,
             Event::NoListener,
             Event::LockResult(true),
             Event::CallsDrained(false),
             Event::RetryDue,
         ];
-        let (taker, actions) = steps(&alone);
-        assert!(!taker.is_owner());
-        let quiet = Action::CheckCallsDrained;
-        assert_eq!(actions, [Action::Connect, Action::TryLock, quiet, Action::ScheduleRetry, quiet]);
-        let (taker, actions) = steps(&[&alone[..], &[Event::CallsDrained(true)]].concat());
-        assert!(taker.is_owner());
+        let (receiver, actions) = run_events(&no_sender);
+        assert!(!receiver.is_owner());
+        let check = Action::CheckCallsDrained;
+        assert_eq!(actions, [Action::Connect, Action::TryLock, check, Action::ScheduleRetry, check]);
+        let (receiver, actions) = run_events(&[&no_sender[..], &[Event::CallsDrained(true)]].concat());
+        assert!(receiver.is_owner());
         assert_eq!(actions.last(), Some(&Action::StartFromJournal));
     }
 
     #[test]
-    fn what_cannot_be_used_is_not_asked_for_again() {
-        let (_, actions) = steps(&[
+    fn does_not_request_unusable_state_again() {
+        let (_, actions) = run_events(&[
             Event::Started,
             Event::Connected,
             Event::StateReceived(false),
@@ -231,15 +237,15 @@
     }
 
     #[test]
-    fn a_giver_that_takes_back_is_asked_again() {
-        let (taker, actions) = steps(&[
+    fn requests_the_state_again_from_a_sender_that_resumed() {
+        let (receiver, actions) = run_events(&[
             Event::Started,
             Event::Connected,
             Event::StateReceived(true),
             Event::LinkClosed,
             Event::RetryDue,
         ]);
-        assert_eq!(taker, ReceiverState::default());
+        assert_eq!(receiver, ReceiverState::default());
         assert_eq!(actions[3..], [Action::DiscardState, Action::ScheduleRetry, Action::Connect]);
     }
 }
--- a/crates/handover/src/sender.rs
+++ b/crates/handover/src/sender.rs
@@ -1,99 +1,100 @@
-//! The old process's side.
+//! The old process's side of a handover, as a state machine.
 //!
-//! It is_owner until it frees the lock, and again once it has taken it back. Between the two it changes nothing that is on
-//! record and begins nothing; what is out goes on.
+//! The sender owns the state directory until it releases the lock, and again once it has reacquired it. In between it
+//! changes nothing in the journal and starts no call; calls in flight continue.
 
 use crate::Seconds;
 
-/// A taker that has not said that it is_owner by then is doubted: clients wait 0.4 s for an answer.
+/// How long the sender waits for the receiver to confirm ownership before it tries to reacquire the lock. Clients wait
+/// 0.4 s for an answer.
 pub const RECEIVER_TIMEOUT_SECONDS: Seconds = 1.0;
-/// How often the lock is tried while its holder is in doubt.
+/// Interval between attempts to reacquire the lock while it is not known whether the receiver lives.
 pub const LOCK_RETRY_SECONDS: Seconds = 0.05;
-/// A lock that somebody else holds for so long, with no link to him, is not coming back.
+/// A lock held by another process for this long, with no link to that process, is taken to be lost for good.
 pub const MAX_LOCK_WAIT_SECONDS: Seconds = 3.0;
-/// A process that has drained and was not told to stop ends by itself after this.
+/// A sender that has drained its calls and received no signal exits by itself after this time.
 pub const EXIT_GRACE_SECONDS: Seconds = 5.0;
-/// From the word to stop on, calls that are out may end by then; the platform kills 3.7 s after it.
+/// Calls in flight may complete for this long after the termination signal; the platform kills the process after 3.7 s.
 pub const CALL_DRAIN_SECONDS: Seconds = 3.0;
 
-/// What happens to the giver.
+/// Inputs of the sender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event {
-    /// A taker asks.
+    /// A receiver requests the handover.
     HandoverRequested,
-    /// The taker is_owner.
+    /// The receiver has confirmed that it is the owner.
     OwnershipAcquired,
-    /// The taker can't use what it got.
+    /// The receiver can't use the state that it was sent.
     StateUnusable,
-    /// The link has ended.
+    /// The link to the receiver has closed.
     LinkClosed,
-    /// The lock was tried for, and is held by this process now, or not.
+    /// The result of [`Action::TryLock`]: whether this process holds the lock now.
     LockResult(bool),
-    /// No call is out, and all that goes over has gone.
+    /// No call is in flight and everything to be sent has been sent.
     Drained,
-    /// The process is told to stop.
+    /// The process has received a termination signal.
     Terminate,
     /// Time has passed.
     Tick,
 }
 
-/// What the giver does.
+/// What the caller of the state machine has to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Say no to a taker that asks, and why.
+    /// Reject the receiver's request, with the reason.
     Reject(&'static str),
-    /// Begin nothing more; write nothing more; free the lock; send all that is known.
+    /// Start no more calls, write nothing more, release the lock and send the whole state.
     HandOver,
-    /// Try for the lock.
+    /// Try to acquire the lock.
     TryLock,
-    /// End the link and go on as before: nothing has changed meanwhile.
+    /// Close the link and continue as owner: the state on disk has not changed in the meantime.
     Resume,
-    /// The rest may go over: clients' connections, idle ones to endpoints.
+    /// Send the rest: client connections and idle connections to endpoints.
     SendConnections,
-    /// Break off what is out, so that whoever is_owner may take it for ended.
+    /// Abort the calls in flight, so that the next owner may treat them as ended.
     AbortCalls,
-    /// Begin anew, from what is on record.
+    /// Restart the dispatcher from the journal.
     Restart,
-    /// End the process.
+    /// Exit the process.
     Exit,
 }
 
-/// Where the giver stands.
+/// The sender's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SenderState {
-    /// It is_owner.
+    /// This process is the owner.
     Owner {
-        /// It was told to stop.
+        /// A termination signal has arrived.
         stopping: bool,
     },
-    /// It has given and not heard yet; nobody may own.
+    /// The state has been sent and the receiver has not confirmed yet; there may be no owner.
     AwaitingReceiver {
-        /// From then on the taker is doubted.
+        /// When the sender starts to try for the lock.
         timeout_at: Seconds,
-        /// The lock was tried for, or is to be, then.
+        /// When the lock is tried for next.
         lock_retry_at: Seconds,
-        /// The link has ended since then.
+        /// When the link closed, if it has.
         link_closed_at: Option<Seconds>,
-        /// It was told to stop.
+        /// A termination signal has arrived.
         stopping: bool,
     },
-    /// The taker is_owner; calls of this process may still be out.
+    /// The receiver is the owner; calls of this process may still be in flight.
     Draining {
-        /// Nothing is out any more.
+        /// No call is in flight any more.
         drained: bool,
-        /// It ends then at the latest, where that is known.
+        /// When the process exits at the latest, if that is known.
         exit_at: Option<Seconds>,
     },
-    /// The taker has died while this process was finishing: nobody may own.
+    /// The receiver died while this process was draining; there may be no owner.
     ReceiverLost {
-        /// Since then.
+        /// When the link closed.
         since: Seconds,
-        /// The lock is tried for next.
+        /// When the lock is tried for next.
         lock_retry_at: Seconds,
-        /// It was told to stop.
+        /// A termination signal has arrived.
         stopping: bool,
     },
-    /// It does nothing more.
+    /// The sender has finished and does nothing more.
     Ended,
 }
 
@@ -104,21 +105,21 @@
 }
 
 impl SenderState {
-    /// Whether this process is_owner.
+    /// Whether this process is the owner.
     pub fn is_owner(&self) -> bool {
         matches!(self, SenderState::Owner { .. })
     }
 
-    /// One event, and what to do about it, in this order.
+    /// Handles one event and returns the actions to carry out, in order.
     pub fn step(&mut self, now: Seconds, event: Event) -> Vec<Action> {
-        let (next, actions) = self.after(now, event);
+        let (next, actions) = self.transition(now, event);
         *self = next;
         actions
     }
 
-    fn after(self, now: Seconds, event: Event) -> (SenderState, Vec<Action>) {
+    fn transition(self, now: Seconds, event: Event) -> (SenderState, Vec<Action>) {
         use Action::*;
-        let stay = |actions: Vec<Action>| (self, actions);
+        let unchanged = |actions: Vec<Action>| (self, actions);
         match (self, event) {
             (SenderState::Owner { stopping: false }, Event::HandoverRequested) => {
                 let (timeout_at, lock_retry_at) =
@@ -134,7 +135,7 @@
                 )
             }
             (SenderState::Owner { stopping: true }, Event::HandoverRequested) => {
-                stay(vec![Reject("stopping")])
+                unchanged(vec![Reject("stopping")])
             }
             (SenderState::Owner { .. }, Event::Terminate) => (SenderState::Owner { stopping: true }, vec![]),
             (
@@ -142,7 +143,7 @@
                 | SenderState::Draining { .. }
                 | SenderState::ReceiverLost { .. },
                 Event::HandoverRequested,
-            ) => stay(vec![Reject("an upgrade is under way")]),
+            ) => unchanged(vec![Reject("an upgrade is under way")]),
             (
                 SenderState::AwaitingReceiver { timeout_at, lock_retry_at, link_closed_at, .. },
                 Event::Terminate,
@@ -155,13 +156,13 @@
                 (SenderState::Draining { drained: false, exit_at }, vec![SendConnections])
             }
             (SenderState::AwaitingReceiver { timeout_at, stopping, .. }, Event::StateUnusable) => {
-                let given = SenderState::AwaitingReceiver {
+                let awaiting = SenderState::AwaitingReceiver {
                     timeout_at,
                     lock_retry_at: now + LOCK_RETRY_SECONDS,
                     link_closed_at: None,
                     stopping,
                 };
-                (given, vec![TryLock])
+                (awaiting, vec![TryLock])
             }
             (
                 SenderState::AwaitingReceiver { timeout_at, link_closed_at, stopping, .. },
@@ -181,7 +182,7 @@
             (SenderState::AwaitingReceiver { stopping, .. }, Event::LockResult(true)) => {
                 (SenderState::Owner { stopping }, vec![Resume])
             }
-            // Whoever holds the lock without a link to this process has begun from what is on record.
+            // A process that holds the lock without a link to this one has started from the journal.
             (SenderState::AwaitingReceiver { link_closed_at: Some(at), .. }, Event::LockResult(false))
                 if now >= at + MAX_LOCK_WAIT_SECONDS =>
             {
@@ -191,8 +192,8 @@
                 SenderState::AwaitingReceiver { timeout_at, lock_retry_at, link_closed_at, stopping },
                 Event::Tick,
             ) => {
-                let doubted = link_closed_at.is_some() || now >= timeout_at;
-                if doubted && now >= lock_retry_at {
+                let may_be_dead = link_closed_at.is_some() || now >= timeout_at;
+                if may_be_dead && now >= lock_retry_at {
                     (
                         SenderState::AwaitingReceiver {
                             timeout_at,
@@ -203,7 +204,7 @@
                         vec![TryLock],
                     )
                 } else {
-                    stay(vec![])
+                    unchanged(vec![])
                 }
             }
             (SenderState::Draining { drained: false, exit_at }, Event::Drained) => match exit_at {
@@ -224,14 +225,14 @@
             }
             (SenderState::Draining { drained, exit_at }, Event::LinkClosed) => {
                 let stopping = exit_at.is_some() && !drained;
-                let orphan = SenderState::ReceiverLost {
+                let receiver_lost = SenderState::ReceiverLost {
                     since: now,
                     lock_retry_at: now + LOCK_RETRY_SECONDS,
                     stopping,
                 };
-                (orphan, vec![AbortCalls, TryLock])
+                (receiver_lost, vec![AbortCalls, TryLock])
             }
-            // It was told to stop, and whoever told it starts another.
+            // Whoever sent the termination signal starts another process.
             (SenderState::ReceiverLost { stopping: true, .. }, Event::LockResult(true)) => {
                 (SenderState::Ended, vec![Exit])
             }
@@ -254,7 +255,7 @@
                     vec![TryLock],
                 )
             }
-            _ => stay(vec![]),
+            _ => unchanged(vec![]),
         }
     }
 }
@@ -263,62 +264,62 @@
 mod tests {
     use super::*;
 
-    fn steps(events: &[(Seconds, Event)]) -> (SenderState, Vec<Action>) {
-        let mut giver = SenderState::default();
-        let actions = events.iter().flat_map(|(at, event)| giver.step(*at, *event)).collect();
-        (giver, actions)
+    fn run_events(events: &[(Seconds, Event)]) -> (SenderState, Vec<Action>) {
+        let mut sender = SenderState::default();
+        let actions = events.iter().flat_map(|(at, event)| sender.step(*at, *event)).collect();
+        (sender, actions)
     }
 
     #[test]
-    fn it_gives_and_finishes() {
-        let (giver, actions) = steps(&[
+    fn hands_over_then_drains_and_exits() {
+        let (sender, actions) = run_events(&[
             (0.0, Event::HandoverRequested),
             (0.1, Event::HandoverRequested),
             (0.2, Event::OwnershipAcquired),
             (0.3, Event::Drained),
             (0.4, Event::Terminate),
         ]);
-        let busy = Action::Reject("an upgrade is under way");
-        assert_eq!(actions, [Action::HandOver, busy, Action::SendConnections, Action::Exit]);
-        assert_eq!(giver, SenderState::Ended);
+        let rejected = Action::Reject("an upgrade is under way");
+        assert_eq!(actions, [Action::HandOver, rejected, Action::SendConnections, Action::Exit]);
+        assert_eq!(sender, SenderState::Ended);
     }
 
     #[test]
-    fn a_taker_that_dies_or_hangs_leaves_the_old_one_serving() {
-        let (giver, actions) = steps(&[
+    fn a_receiver_that_dies_or_hangs_leaves_the_sender_serving() {
+        let (sender, actions) = run_events(&[
             (0.0, Event::HandoverRequested),
             (0.1, Event::LinkClosed),
             (0.1, Event::LockResult(true)),
         ]);
         assert_eq!(actions, [Action::HandOver, Action::TryLock, Action::Resume]);
-        assert!(giver.is_owner());
-        let hangs = [
+        assert!(sender.is_owner());
+        let hung_receiver = [
             (0.0, Event::HandoverRequested),
             (0.5, Event::Tick),
             (1.1, Event::Tick),
             (1.1, Event::LockResult(true)),
         ];
-        assert_eq!(steps(&hangs).1, [Action::HandOver, Action::TryLock, Action::Resume]);
-        let unusable =
+        assert_eq!(run_events(&hung_receiver).1, [Action::HandOver, Action::TryLock, Action::Resume]);
+        let unusable_state =
             [(0.0, Event::HandoverRequested), (0.1, Event::StateUnusable), (0.1, Event::LockResult(true))];
-        assert!(steps(&unusable).0.is_owner());
+        assert!(run_events(&unusable_state).0.is_owner());
     }
 
     #[test]
-    fn while_the_taker_has_the_lock_it_is_waited_for() {
-        let mut giver = SenderState::default();
-        giver.step(0.0, Event::HandoverRequested);
+    fn waits_as_long_as_the_receiver_holds_the_lock() {
+        let mut sender = SenderState::default();
+        sender.step(0.0, Event::HandoverRequested);
         for i in 10..100 {
             let now = f64::from(i) / 10.0;
-            assert_eq!(giver.step(now, Event::Tick), [Action::TryLock]);
-            assert_eq!(giver.step(now, Event::LockResult(false)), []);
+            assert_eq!(sender.step(now, Event::Tick), [Action::TryLock]);
+            assert_eq!(sender.step(now, Event::LockResult(false)), []);
         }
-        assert_eq!(giver.step(11.0, Event::OwnershipAcquired), [Action::SendConnections]);
+        assert_eq!(sender.step(11.0, Event::OwnershipAcquired), [Action::SendConnections]);
     }
 
     #[test]
-    fn calls_may_end_for_a_while_after_the_word() {
-        let (giver, actions) = steps(&[
+    fn calls_may_complete_for_a_limited_time_after_termination() {
+        let (sender, actions) = run_events(&[
             (0.0, Event::HandoverRequested),
             (0.2, Event::OwnershipAcquired),
             (1.0, Event::Terminate),
@@ -326,25 +327,25 @@
             (4.1, Event::Tick),
         ]);
         assert_eq!(actions, [Action::HandOver, Action::SendConnections, Action::AbortCalls, Action::Exit]);
-        assert_eq!(giver, SenderState::Ended);
-        let alone = [
+        assert_eq!(sender, SenderState::Ended);
+        let no_signal = [
             (0.0, Event::HandoverRequested),
             (0.2, Event::OwnershipAcquired),
             (1.0, Event::Drained),
             (6.1, Event::Tick),
         ];
-        assert_eq!(steps(&alone).0, SenderState::Ended);
+        assert_eq!(run_events(&no_signal).0, SenderState::Ended);
     }
 
     #[test]
-    fn a_taker_that_dies_as_owner_is_followed_by_the_old_one() {
-        let orphan = [
+    fn restarts_when_a_receiver_that_owns_dies() {
+        let receiver_lost = [
             (0.0, Event::HandoverRequested),
             (0.1, Event::OwnershipAcquired),
             (0.2, Event::LinkClosed),
             (0.2, Event::LockResult(true)),
         ];
-        let actions = steps(&orphan).1;
+        let actions = run_events(&receiver_lost).1;
         let expected =
             [Action::HandOver, Action::SendConnections, Action::AbortCalls, Action::TryLock, Action::Restart];
         assert_eq!(actions, expected);
--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -1,11 +1,11 @@
-//! Every order of events of an upgrade: the two sides, the lock, the link between them, kills at any point, and a sender
-//! that loses patience. Checked state by state.
+//! Model check of an upgrade: explores all interleavings of one sender, several receivers, the lock, the links, kills
+//! at any point and timeouts of the sender, and checks the properties below in every reachable state.
 
 use fawnspoke_handover::receiver::{self, ReceiverState};
 use fawnspoke_handover::sender::{self, SenderState};
 use stateright::{Checker, Model, Property};
 
-/// Who holds the lock.
+/// Which process holds the lock.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum Holder {
     Nobody,
@@ -13,19 +13,19 @@
     Receiver(usize),
 }
 
-/// What is on its way, in order.
+/// A packet in transit.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum Packet {
     Hello,
     State,
-    Refused,
-    Mine,
-    Unusable,
+    Rejected,
+    OwnershipAcquired,
+    StateUnusable,
 }
 
-/// Where a model_state stands, without its times: these are chosen by the checker, as "time passes" steps.
+/// [`SenderState`] without its times. Whether timeouts have elapsed is a choice of the checker, made in separate steps.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
-enum SenderSide {
+enum AbstractSender {
     Owner { stopping: bool },
     AwaitingReceiver { link_closed: bool, stopping: bool },
     Draining { drained: bool, stopping: bool },
@@ -33,39 +33,39 @@
     Ended,
 }
 
-/// A new process, and its link to the sender.
+/// A new process and its link to the sender.
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
 struct Receiver {
     state: ReceiverState,
     alive: bool,
-    /// None: no link. To the sender, to the state.
+    /// Packets in transit to the sender and to the receiver, in order; `None` without a link.
     link: Option<(Vec<Packet>, Vec<Packet>)>,
-    /// The sender's end is open still.
+    /// Whether the sender's end of the link is open.
     sender_end_open: bool,
-    /// The own end is.
+    /// Whether the receiver's end of the link is open.
     receiver_end_open: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
-struct World {
-    sender: SenderSide,
+struct ModelState {
+    sender: AbstractSender,
     sender_alive: bool,
     holder: Holder,
     receivers: Vec<Receiver>,
-    /// The state that the sender has given to.
+    /// The receiver to which the sender has handed over.
     handed_over_to: Option<usize>,
-    /// A call of the sender is out on an open connection.
+    /// Whether a call of the sender is in flight.
     call_in_flight: bool,
-    /// The sender shares the lock of those that may have calls out.
+    /// Whether the sender holds the shared lock of the processes with calls in flight.
     calls_lock_held: bool,
-    /// Both have sent that message while the other's attempt was out.
+    /// Whether a message has been sent by one process while the other's attempt was in flight.
     sent_twice: bool,
-    /// The sender began anew: it is a state like any other then, and out of this picture.
+    /// Whether the sender has restarted. From then on it would be one more receiver, which the model leaves out.
     restarted: bool,
     kills: u8,
-    terminated: bool,
-    /// What came can be used.
-    usable: bool,
+    termination_sent: bool,
+    /// Whether the receivers can use the state that the sender hands over.
+    state_usable: bool,
 }
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     SenderTicksAfterTimeouts,
     SenderTicksBeforeTimeouts,
     CallCompletes,
-    Finished,
+    Drained,
     Terminate,
     KillSender,
     KillReceiver(usize),
@@ -91,67 +91,67 @@
     receivers: usize,
 }
 
-/// The sender_state in a state, at a time when all its spans have passed or none has.
-fn sender_state(model_state: SenderSide, timeouts_elapsed: bool) -> (SenderState, f64) {
+/// The sender's state at a time when all of its timeouts have elapsed, or none.
+fn concrete_state(abstract_state: AbstractSender, timeouts_elapsed: bool) -> (SenderState, f64) {
     let now = 100.0;
     let at = if timeouts_elapsed { now } else { now + 50.0 };
-    let sender = match model_state {
-        SenderSide::Owner { stopping } => SenderState::Owner { stopping },
-        SenderSide::AwaitingReceiver { link_closed, stopping } => {
+    let sender = match abstract_state {
+        AbstractSender::Owner { stopping } => SenderState::Owner { stopping },
+        AbstractSender::AwaitingReceiver { link_closed, stopping } => {
             let link_closed_at = link_closed.then_some(if timeouts_elapsed { 0.0 } else { now });
             SenderState::AwaitingReceiver { timeout_at: at, lock_retry_at: at, link_closed_at, stopping }
         }
-        SenderSide::Draining { drained, stopping } => {
+        AbstractSender::Draining { drained, stopping } => {
             let exit_at = (stopping || drained).then_some(at);
             SenderState::Draining { drained, exit_at }
         }
-        SenderSide::ReceiverLost { stopping } => SenderState::ReceiverLost {
+        AbstractSender::ReceiverLost { stopping } => SenderState::ReceiverLost {
             since: if timeouts_elapsed { 0.0 } else { now },
             lock_retry_at: at,
             stopping,
         },
-        SenderSide::Ended => SenderState::Ended,
+        AbstractSender::Ended => SenderState::Ended,
     };
     (sender, now)
 }
 
-fn model_state(state: SenderState) -> SenderSide {
+fn abstract_state(state: SenderState) -> AbstractSender {
     match state {
-        SenderState::Owner { stopping } => SenderSide::Owner { stopping },
+        SenderState::Owner { stopping } => AbstractSender::Owner { stopping },
         SenderState::AwaitingReceiver { link_closed_at, stopping, .. } => {
-            SenderSide::AwaitingReceiver { link_closed: link_closed_at.is_some(), stopping }
+            AbstractSender::AwaitingReceiver { link_closed: link_closed_at.is_some(), stopping }
         }
         SenderState::Draining { drained, exit_at } => {
-            SenderSide::Draining { drained, stopping: exit_at.is_some() && !drained }
+            AbstractSender::Draining { drained, stopping: exit_at.is_some() && !drained }
         }
-        SenderState::ReceiverLost { stopping, .. } => SenderSide::ReceiverLost { stopping },
-        SenderState::Ended => SenderSide::Ended,
+        SenderState::ReceiverLost { stopping, .. } => AbstractSender::ReceiverLost { stopping },
+        SenderState::Ended => AbstractSender::Ended,
     }
 }
 
-impl World {
+impl ModelState {
     fn sender_event(&mut self, event: sender::Event, timeouts_elapsed: bool) {
         let mut next = Some(event);
         while let Some(event) = next.take() {
-            let (mut sender_state, now) = sender_state(self.sender, timeouts_elapsed);
-            let actions = sender_state.step(now, event);
-            self.sender = model_state(sender_state);
+            let (mut concrete_state, now) = concrete_state(self.sender, timeouts_elapsed);
+            let actions = concrete_state.step(now, event);
+            self.sender = abstract_state(concrete_state);
             for action in actions {
                 match action {
-                    // Whoever asked hears it where that is known.
+                    // A rejected receiver is answered where the packet is read.
                     sender::Action::Reject(_) => {}
                     sender::Action::HandOver => {
                         self.holder = Holder::Nobody;
-                        if let Some(to) = self.handed_over_to {
-                            self.send_to_receiver(to, Packet::State);
+                        if let Some(i) = self.handed_over_to {
+                            self.send_to_receiver(i, Packet::State);
                         }
                     }
                     sender::Action::TryLock => {
-                        let got = matches!(self.holder, Holder::Nobody | Holder::Sender);
-                        if got {
+                        let acquired = matches!(self.holder, Holder::Nobody | Holder::Sender);
+                        if acquired {
                             self.holder = Holder::Sender;
                         }
-                        next = Some(sender::Event::LockResult(got));
+                        next = Some(sender::Event::LockResult(acquired));
                     }
                     sender::Action::Resume => self.close_link(),
                     sender::Action::SendConnections => {}
@@ -168,17 +168,17 @@
         }
     }
 
-    /// The sender closes the link that it has given over.
+    /// Closes the sender's end of the link to the receiver that it has handed over to.
     fn close_link(&mut self) {
-        if let Some(to) = self.handed_over_to.take() {
-            self.receivers[to].sender_end_open = false;
+        if let Some(i) = self.handed_over_to.take() {
+            self.receivers[i].sender_end_open = false;
         }
     }
 
     fn end_sender(&mut self) {
         self.sender_alive = false;
-        self.sender = SenderSide::Ended;
-        self.receivers.iter_mut().for_each(|state| state.sender_end_open = false);
+        self.sender = AbstractSender::Ended;
+        self.receivers.iter_mut().for_each(|receiver| receiver.sender_end_open = false);
         (self.call_in_flight, self.calls_lock_held) = (false, false);
         if self.holder == Holder::Sender {
             self.holder = Holder::Nobody;
@@ -191,37 +191,37 @@
             for action in self.receivers[i].state.step(event) {
                 match action {
                     receiver::Action::Connect => {
-                        // One that is finishing has closed its doorstep, and an owner beside it has one of its own,
-                        // which is found or not: not to find it is the worse.
-                        let there = self.sender_alive && !self.restarted;
-                        let there = there
+                        // A draining sender has closed its socket. An owner next to it listens on a socket of its own,
+                        // which may or may not be found; the model takes the worse case, that it is not.
+                        let listening = self.sender_alive && !self.restarted;
+                        let listening = listening
                             && matches!(
                                 self.sender,
-                                SenderSide::Owner { .. } | SenderSide::AwaitingReceiver { .. }
+                                AbstractSender::Owner { .. } | AbstractSender::AwaitingReceiver { .. }
                             );
-                        let one = &mut self.receivers[i];
-                        if there && one.link.is_none() {
-                            one.link = Some((vec![], vec![]));
-                            (one.sender_end_open, one.receiver_end_open) = (true, true);
+                        let receiver = &mut self.receivers[i];
+                        if listening && receiver.link.is_none() {
+                            receiver.link = Some((vec![], vec![]));
+                            (receiver.sender_end_open, receiver.receiver_end_open) = (true, true);
                         }
-                        // A link before this one that the sender has not done with: it hears nobody else meanwhile.
-                        next = Some(match there {
-                            true if one.receiver_end_open => receiver::Event::Connected,
+                        // An earlier link that the sender has not closed yet keeps it from accepting another one.
+                        next = Some(match listening {
+                            true if receiver.receiver_end_open => receiver::Event::Connected,
                             true => receiver::Event::Rejected,
                             false => receiver::Event::NoListener,
                         });
                     }
                     receiver::Action::RequestState { .. } => self.send_to_sender(i, Packet::Hello),
                     receiver::Action::ReportUnusable => {
-                        self.send_to_sender(i, Packet::Unusable);
+                        self.send_to_sender(i, Packet::StateUnusable);
                         self.receivers[i].receiver_end_open = false;
                     }
                     receiver::Action::TryLock => {
-                        let got = self.holder == Holder::Nobody || self.holder == Holder::Receiver(i);
-                        if got {
+                        let acquired = self.holder == Holder::Nobody || self.holder == Holder::Receiver(i);
+                        if acquired {
                             self.holder = Holder::Receiver(i);
                         }
-                        next = Some(receiver::Event::LockResult(got));
+                        next = Some(receiver::Event::LockResult(acquired));
                     }
                     receiver::Action::CheckCallsDrained => {
                         next = Some(receiver::Event::CallsDrained(!self.calls_lock_held))
@@ -232,8 +232,8 @@
                     receiver::Action::Unlock => self.holder = Holder::Nobody,
                     receiver::Action::DiscardState => self.receivers[i].receiver_end_open = false,
                     receiver::Action::ScheduleRetry => {}
-                    receiver::Action::TakeOver => self.send_to_sender(i, Packet::Mine),
-                    // From what is on record alone, a call without an end is taken for ended.
+                    receiver::Action::TakeOver => self.send_to_sender(i, Packet::OwnershipAcquired),
+                    // A start from the journal treats a call without a recorded outcome as ended.
                     receiver::Action::StartFromJournal => self.sent_twice |= self.call_in_flight,
                 }
             }
@@ -241,43 +241,44 @@
     }
 
     fn send_to_sender(&mut self, i: usize, packet: Packet) {
-        let one = &mut self.receivers[i];
-        if one.receiver_end_open
-            && let Some((to, _)) = &mut one.link
+        let receiver = &mut self.receivers[i];
+        if receiver.receiver_end_open
+            && let Some((to_sender, _)) = &mut receiver.link
         {
-            to.push(packet);
+            to_sender.push(packet);
         }
     }
 
     fn send_to_receiver(&mut self, i: usize, packet: Packet) {
-        let one = &mut self.receivers[i];
-        if one.sender_end_open
-            && let Some((_, to)) = &mut one.link
+        let receiver = &mut self.receivers[i];
+        if receiver.sender_end_open
+            && let Some((_, to_receiver)) = &mut receiver.link
         {
-            to.push(packet);
+            to_receiver.push(packet);
         }
     }
 
-    /// A link that nobody holds is none.
+    /// Removes links that are closed at both ends.
     fn drop_closed_links(&mut self) {
-        for one in &mut self.receivers {
-            if !one.sender_end_open && !one.receiver_end_open {
-                one.link = None;
+        for receiver in &mut self.receivers {
+            if !receiver.sender_end_open && !receiver.receiver_end_open {
+                receiver.link = None;
             }
         }
     }
 
     fn owner_count(&self) -> usize {
-        let sender = self.sender_alive && matches!(self.sender, SenderSide::Owner { .. });
-        usize::from(sender) + self.receivers.iter().filter(|one| one.alive && one.state.is_owner()).count()
+        let sender_owns = self.sender_alive && matches!(self.sender, AbstractSender::Owner { .. });
+        usize::from(sender_owns)
+            + self.receivers.iter().filter(|receiver| receiver.alive && receiver.state.is_owner()).count()
     }
 }
 
 impl Model for Upgrade {
-    type State = World;
+    type State = ModelState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let receiver = Receiver {
             state: ReceiverState::default(),
             alive: true,
@@ -285,8 +286,8 @@
             sender_end_open: false,
             receiver_end_open: false,
         };
-        let world = |usable| World {
-            sender: SenderSide::Owner { stopping: false },
+        let world = |state_usable| ModelState {
+            sender: AbstractSender::Owner { stopping: false },
             sender_alive: true,
             holder: Holder::Sender,
             receivers: vec![receiver.clone(); self.receivers],
@@ -296,29 +297,29 @@
             sent_twice: false,
             restarted: false,
             kills: 0,
-            terminated: false,
-            usable,
+            termination_sent: false,
+            state_usable,
         };
         vec![world(true), world(false)]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        let sender = world.sender_alive && !world.restarted && world.sender != SenderSide::Ended;
-        for (i, one) in world.receivers.iter().enumerate() {
-            if one.alive {
-                match one.state {
+    fn actions(&self, world: &ModelState, steps: &mut Vec<Step>) {
+        let sender_runs = world.sender_alive && !world.restarted && world.sender != AbstractSender::Ended;
+        for (i, receiver) in world.receivers.iter().enumerate() {
+            if receiver.alive {
+                match receiver.state {
                     ReceiverState::Connecting { .. } => steps.push(Step::ReceiverStarts(i)),
                     ReceiverState::Locking { .. } | ReceiverState::AwaitingCallDrain => {
                         steps.push(Step::ReceiverRetries(i))
                     }
                     _ => {}
                 }
-                if let Some((_, to)) = &one.link
-                    && one.receiver_end_open
+                if let Some((_, to_receiver)) = &receiver.link
+                    && receiver.receiver_end_open
                 {
-                    if !to.is_empty() {
+                    if !to_receiver.is_empty() {
                         steps.push(Step::ReceiverReads(i));
-                    } else if !one.sender_end_open {
+                    } else if !receiver.sender_end_open {
                         steps.push(Step::ReceiverSeesLinkClose(i));
                     }
                 }
@@ -326,23 +327,25 @@
                     steps.push(Step::KillReceiver(i));
                 }
             }
-            if sender
-                && let Some((to, _)) = &one.link
-                && one.sender_end_open
+            if sender_runs
+                && let Some((to_sender, _)) = &receiver.link
+                && receiver.sender_end_open
             {
-                if !to.is_empty() {
+                if !to_sender.is_empty() {
                     steps.push(Step::SenderReads(i));
-                } else if !one.receiver_end_open {
+                } else if !receiver.receiver_end_open {
                     steps.push(Step::SenderSeesLinkClose(i));
                 }
             }
         }
-        if sender {
+        if sender_runs {
             steps.extend([Step::SenderTicksAfterTimeouts, Step::SenderTicksBeforeTimeouts]);
-            if matches!(world.sender, SenderSide::Draining { drained: false, .. }) && !world.call_in_flight {
-                steps.push(Step::Finished);
+            if matches!(world.sender, AbstractSender::Draining { drained: false, .. })
+                && !world.call_in_flight
+            {
+                steps.push(Step::Drained);
             }
-            if !world.terminated {
+            if !world.termination_sent {
                 steps.push(Step::Terminate);
             }
         }
@@ -354,18 +357,19 @@
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
+    fn next_state(&self, last: &ModelState, step: Step) -> Option<ModelState> {
         let mut world = last.clone();
         match step {
             Step::ReceiverStarts(i) => world.receiver_event(i, receiver::Event::Started),
             Step::ReceiverRetries(i) => world.receiver_event(i, receiver::Event::RetryDue),
             Step::ReceiverReads(i) => {
-                let packet = world.receivers[i].link.as_mut().map(|(_, to)| to.remove(0))?;
+                let packet =
+                    world.receivers[i].link.as_mut().map(|(_, to_receiver)| to_receiver.remove(0))?;
                 let event = match (packet, world.receivers[i].state) {
-                    (Packet::Refused, _) => receiver::Event::Rejected,
-                    // What the decisions hold is of no use, or was not asked for.
-                    (Packet::State, ReceiverState::AwaitingState { without_decisions }) => {
-                        receiver::Event::StateReceived(world.usable || without_decisions)
+                    (Packet::Rejected, _) => receiver::Event::Rejected,
+                    // The in-memory state is unusable, unless it was not requested.
+                    (Packet::State, ReceiverState::AwaitingState { journal_only }) => {
+                        receiver::Event::StateReceived(world.state_usable || journal_only)
                     }
                     (Packet::State, _) => receiver::Event::StateReceived(true),
                     _ => return None,
@@ -375,21 +379,22 @@
             Step::ReceiverSeesLinkClose(i) => {
                 world.receivers[i].receiver_end_open = false;
                 if world.receivers[i].state.is_owner() {
-                    // Whatever the sender had out has ended with its end of the link: its messages may go again.
+                    // The receiver takes the end of the link for the end of the sender's calls and may send their
+                    // messages again.
                     world.sent_twice |= world.call_in_flight;
                 } else {
                     world.receiver_event(i, receiver::Event::LinkClosed);
                 }
             }
             Step::SenderReads(i) => {
-                let packet = world.receivers[i].link.as_mut().map(|(to, _)| to.remove(0))?;
-                let mine = world.handed_over_to == Some(i);
+                let packet = world.receivers[i].link.as_mut().map(|(to_sender, _)| to_sender.remove(0))?;
+                let from_selected_receiver = world.handed_over_to == Some(i);
                 match packet {
-                    Packet::Hello if world.sender == (SenderSide::Owner { stopping: false }) => {
-                        // Without the decisions' state the calls are broken off before anything is given.
+                    Packet::Hello if world.sender == (AbstractSender::Owner { stopping: false }) => {
+                        // Without the in-memory state the sender aborts its calls before it hands over.
                         if matches!(
                             world.receivers[i].state,
-                            ReceiverState::AwaitingState { without_decisions: true }
+                            ReceiverState::AwaitingState { journal_only: true }
                         ) {
                             world.call_in_flight = false;
                         }
@@ -397,11 +402,13 @@
                         world.sender_event(sender::Event::HandoverRequested, false);
                     }
                     Packet::Hello => {
-                        world.send_to_receiver(i, Packet::Refused);
+                        world.send_to_receiver(i, Packet::Rejected);
                         world.receivers[i].sender_end_open = false;
                     }
-                    Packet::Mine if mine => world.sender_event(sender::Event::OwnershipAcquired, false),
-                    Packet::Unusable if mine => {
+                    Packet::OwnershipAcquired if from_selected_receiver => {
+                        world.sender_event(sender::Event::OwnershipAcquired, false)
+                    }
+                    Packet::StateUnusable if from_selected_receiver => {
                         world.close_link();
                         world.sender_event(sender::Event::StateUnusable, false);
                     }
@@ -418,9 +425,9 @@
             Step::SenderTicksAfterTimeouts => world.sender_event(sender::Event::Tick, true),
             Step::SenderTicksBeforeTimeouts => world.sender_event(sender::Event::Tick, false),
             Step::CallCompletes => world.call_in_flight = false,
-            Step::Finished => world.sender_event(sender::Event::Drained, false),
+            Step::Drained => world.sender_event(sender::Event::Drained, false),
             Step::Terminate => {
-                world.terminated = true;
+                world.termination_sent = true;
                 world.sender_event(sender::Event::Terminate, false);
             }
             Step::KillSender | Step::KillReceiver(_) | Step::KillAll => {
@@ -444,40 +451,43 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one owner at most", |_, world: &World| world.owner_count() <= 1),
-            Property::always("who owns holds the lock", |_, world: &World| {
-                let sender = world.sender_alive && matches!(world.sender, SenderSide::Owner { .. });
+            Property::always("at most one owner", |_, world: &ModelState| world.owner_count() <= 1),
+            Property::always("the owner holds the lock", |_, world: &ModelState| {
+                let sender_owns = world.sender_alive && matches!(world.sender, AbstractSender::Owner { .. });
                 let receivers = world.receivers.iter().enumerate();
-                let mut owners = receivers.filter(|(_, one)| one.alive && one.state.is_owner());
-                (!sender || world.holder == Holder::Sender)
+                let mut owners =
+                    receivers.filter(|(_, receiver)| receiver.alive && receiver.state.is_owner());
+                (!sender_owns || world.holder == Holder::Sender)
                     && owners.all(|(i, _)| world.holder == Holder::Receiver(i))
             }),
             Property::always(
-                "no message is sent by one while the other's attempt is out",
-                |_, world: &World| !world.sent_twice,
+                "no message is sent while the other process's attempt is in flight",
+                |_, world: &ModelState| !world.sent_twice,
             ),
-            // Where one is alive it owns, or something can happen still: no dead end without an owner.
-            Property::always("no process is stuck", |model: &Upgrade, world: &World| {
+            // While a process is alive, there is an owner or another step is possible.
+            Property::always("no process is stuck", |model: &Upgrade, world: &ModelState| {
                 let mut steps = Vec::new();
                 model.actions(world, &mut steps);
-                let moves = steps.into_iter().any(|step| {
+                let can_progress = steps.into_iter().any(|step| {
                     !matches!(
                         step,
                         Step::KillAll | Step::KillSender | Step::KillReceiver(_) | Step::Terminate
                     ) && model.next_state(world, step).is_some()
                 });
-                let none = !world.sender_alive && world.receivers.iter().all(|one| !one.alive);
-                world.owner_count() == 1 || world.restarted || none || moves
+                let all_dead = !world.sender_alive && world.receivers.iter().all(|receiver| !receiver.alive);
+                world.owner_count() == 1 || world.restarted || all_dead || can_progress
             }),
-            Property::sometimes("a new one takes over", |_, world: &World| {
-                world.receivers[0].state.is_owner() && matches!(world.sender, SenderSide::Draining { .. })
+            Property::sometimes("a receiver takes over", |_, world: &ModelState| {
+                world.receivers[0].state.is_owner() && matches!(world.sender, AbstractSender::Draining { .. })
             }),
-            Property::sometimes("the old one serves on", |_, world: &World| {
+            Property::sometimes("the sender resumes", |_, world: &ModelState| {
                 world.kills > 0
-                    && matches!(world.sender, SenderSide::Owner { .. })
+                    && matches!(world.sender, AbstractSender::Owner { .. })
                     && world.handed_over_to.is_none()
             }),
-            Property::sometimes("an orphan begins anew", |_, world: &World| world.restarted),
+            Property::sometimes("a sender that lost its receiver restarts", |_, world: &ModelState| {
+                world.restarted
+            }),
         ]
     }
 }
@@ -491,7 +501,7 @@
 }
 
 #[test]
-fn one_owner_at_most_and_none_is_stuck() {
+fn at_most_one_owner_and_no_process_is_stuck() {
     check(1, 2, 200);
     check(2, 3, 5_000);
     check(3, 4, 50_000);
