--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,13 @@
-//! The operators' door of a dispatcher.
+//! The operators' control port of a dispatcher.
 //!
-//! - [`protocol`]: one line in, one answer out, as a decoder and an encoder;
-//! - [`metrics`]: the counts and gauges that the door shows;
-//! - [`overrides`]: what operators have ordered and what holds until it is called back;
-//! - [`override_file`]: the file in which orders outlast the process;
-//! - [`server`]: the shell that listens, on a thread of its own;
-//! - [`client`]: the other side.
+//! - [`protocol`]: the text protocol, one request line and one response per connection;
+//! - [`metrics`]: the counters and gauges that the control port serves;
+//! - [`overrides`]: operator overrides, which stay in force until they are removed;
+//! - [`override_file`]: the file that persists the overrides;
+//! - [`server`]: the control server, on a thread of its own;
+//! - [`client`]: the client side.
 //!
-//! What decides knows nothing of sockets or files.
+//! The protocol, the metrics and the overrides are free of I/O.
 
 pub mod client;
 pub mod metrics;
--- a/crates/control/src/override_file.rs
+++ b/crates/control/src/override_file.rs
@@ -1,4 +1,4 @@
-//! The file in which overrides outlast the process.
+//! The file that persists the operator overrides.
 
 use crate::overrides::{MAX_OVERRIDES, Overrides};
 use crate::protocol::MAX_ID_BYTES;
@@ -6,33 +6,33 @@
 use std::io::{self, ErrorKind};
 use std::path::{Path, PathBuf};
 
-/// Its name in the folder that lasts.
+/// The file's name in the state directory.
 pub const FILE_NAME: &str = "orders.json";
-const NEXT: &str = "orders.json.next";
-/// Bytes of an order beside its id.
-const ENTRY: usize = 64;
+const TEMPORARY_NAME: &str = "orders.json.next";
+/// Bytes of an override in the file beside its id.
+const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// Bytes that the file may take on disk, with the one that is to replace it.
-pub const MAX_DISK_BYTES: u64 = 2 * (MAX_OVERRIDES * (MAX_ID_BYTES + ENTRY)) as u64;
+/// Largest size on disk, in bytes, of the file together with its replacement during a save.
+pub const MAX_DISK_BYTES: u64 = 2 * (MAX_OVERRIDES * (MAX_ID_BYTES + ENTRY_OVERHEAD_BYTES)) as u64;
 
-/// The file of one dispatcher.
+/// The override file of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct OverrideFile {
-    folder: PathBuf,
+    state_dir: PathBuf,
 }
 
 impl OverrideFile {
-    /// The file in this folder.
-    pub fn new(folder: &Path) -> OverrideFile {
-        OverrideFile { folder: folder.to_path_buf() }
+    /// The file in the given state directory.
+    pub fn new(state_dir: &Path) -> OverrideFile {
+        OverrideFile { state_dir: state_dir.to_path_buf() }
     }
 
-    /// The overrides on record; none where there is no file.
+    /// Loads the overrides; none where there is no file.
     ///
     /// # Errors
-    /// Where it is there and can't be read: overrides that hold would not be known.
+    /// Where the file exists and can't be read. Taking it for empty would lose overrides in force without notice.
     pub fn load(&self) -> Result<Overrides, String> {
-        let path = self.folder.join(FILE_NAME);
+        let path = self.state_dir.join(FILE_NAME);
         match fs::read(&path) {
             Ok(bytes) => Overrides::from_json(&bytes).map_err(|error| format!("{}: {error}", path.display())),
             Err(error) if error.kind() == ErrorKind::NotFound => Ok(Overrides::default()),
@@ -40,13 +40,14 @@
         }
     }
 
-    /// Replaces the file at one go. It outlasts the process, not the machine, as the journal does.
+    /// Replaces the file atomically. Like the journal, it is written to outlast the process, not a crash of the
+    /// machine.
     ///
     /// # Errors
-    /// Those of the folder; the file is as it was then.
+    /// I/O errors of the directory; the file is unchanged then.
     pub fn save(&self, overrides: &Overrides) -> io::Result<()> {
-        let next = self.folder.join(NEXT);
-        fs::write(&next, overrides.to_json())?;
-        fs::rename(next, self.folder.join(FILE_NAME))
+        let temporary = self.state_dir.join(TEMPORARY_NAME);
+        fs::write(&temporary, overrides.to_json())?;
+        fs::rename(temporary, self.state_dir.join(FILE_NAME))
     }
 }
--- a/crates/control/src/overrides.rs
+++ b/crates/control/src/overrides.rs
@@ -1,60 +1,60 @@
-//! Overrides that last: what operators have ordered, and what is_suspended until it is called back.
+//! Operator overrides, which stay in force until they are removed.
 //!
-//! Free of I/O. A call gives a [`UpdateResult`]: what is to be on record before the answer, and the answer. The same
-//! order twice is one; one call back ends it.
+//! Free of I/O. Each update returns an [`UpdateResult`], which says what has to be saved before the operator is
+//! answered. Updates are idempotent: adding an override twice is adding it once, and one removal ends it.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Overrides in force at once. Each is a line in a small file.
+/// Most overrides in force at a time. Each is an entry in a small file.
 pub const MAX_OVERRIDES: usize = 128;
 
-/// What an order does.
+/// What an override does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OverrideKind {
-    /// The endpoint gets nothing new.
+    /// The endpoint gets no new calls.
     #[serde(rename = "hold")]
     Suspend,
 }
 
-/// What an order is about: its kind, and the endpoint's id in discovery's list.
+/// Identifies an override: its kind, and the endpoint's id in discovery's list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OverrideKey {
-    /// What it does.
+    /// What the override does.
     pub kind: OverrideKind,
-    /// To whom.
+    /// The endpoint that it applies to.
     #[serde(rename = "id")]
     pub endpoint_id: String,
 }
 
-/// UnixMillis when an order is in force: Unix time in milliseconds.
+/// A Unix time in milliseconds.
 pub type UnixMillis = u64;
 
-/// What changed.
+/// How the set of overrides has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The order is in force from now on.
+    /// The override is in force from now on.
     Added,
-    /// It was called back.
+    /// The override is no longer in force.
     Removed,
 }
 
-/// What a call asks for.
+/// The result of an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateResult {
-    /// Nothing changes; the answer is yes.
+    /// Nothing has changed; the update succeeds.
     Unchanged,
-    /// This changes. It is to be on record before the yes, and in force whether or not that worked.
+    /// The set has changed. It has to be saved before success is reported, and is in force even if saving fails.
     Changed(Change),
-    /// The answer is no.
+    /// The update fails.
     Rejected(OverrideError),
 }
 
-/// Why an order is not carried out.
+/// Why an update is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// No list has named this id.
+    /// Discovery has never listed this id.
     #[error("no endpoint of this id was ever listed")]
     NeverListed,
     /// [`MAX_OVERRIDES`] are in force.
@@ -62,105 +62,104 @@
     TooMany,
 }
 
-/// The orders in force.
+/// The overrides in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Overrides {
-    force: BTreeMap<OverrideKey, UnixMillis>,
+    active: BTreeMap<OverrideKey, UnixMillis>,
 }
 
 impl Overrides {
-    /// Whether such an order is in force.
+    /// Whether the endpoint is suspended.
     pub fn is_suspended(&self, id: &str) -> bool {
-        self.force.keys().any(|subject| subject.kind == OverrideKind::Suspend && subject.endpoint_id == id)
+        self.active.keys().any(|key| key.kind == OverrideKind::Suspend && key.endpoint_id == id)
     }
 
-    /// Ids that are held.
+    /// The ids of the suspended endpoints, each with the time of its suspension.
     pub fn suspended(&self) -> impl Iterator<Item = (&str, UnixMillis)> {
-        self.force.iter().map(|(subject, since)| (&*subject.endpoint_id, *since))
+        self.active.iter().map(|(key, since)| (&*key.endpoint_id, *since))
     }
 
-    /// How many are in force.
+    /// The number of overrides in force.
     pub fn len(&self) -> usize {
-        self.force.len()
+        self.active.len()
     }
 
-    /// Whether none is.
+    /// Whether no override is in force.
     pub fn is_empty(&self) -> bool {
-        self.force.is_empty()
+        self.active.is_empty()
     }
 
-    /// An order is given. `known`: a list has named the id, now or earlier.
-    pub fn add(&mut self, subject: OverrideKey, known: bool, now: UnixMillis) -> UpdateResult {
-        if self.force.contains_key(&subject) {
+    /// Adds an override. `ever_listed`: whether discovery lists the endpoint or has listed it before.
+    pub fn add(&mut self, key: OverrideKey, ever_listed: bool, now: UnixMillis) -> UpdateResult {
+        if self.active.contains_key(&key) {
             return UpdateResult::Unchanged;
         }
-        if !known {
+        if !ever_listed {
             return UpdateResult::Rejected(OverrideError::NeverListed);
         }
-        if self.force.len() >= MAX_OVERRIDES {
+        if self.active.len() >= MAX_OVERRIDES {
             return UpdateResult::Rejected(OverrideError::TooMany);
         }
-        self.force.insert(subject, now);
+        self.active.insert(key, now);
         UpdateResult::Changed(Change::Added)
     }
 
-    /// An order is called back. One that is not in force is over already, where the id is known.
-    pub fn remove(&mut self, subject: &OverrideKey, known: bool) -> UpdateResult {
-        match self.force.remove(subject) {
+    /// Removes an override. Removing one that is not in force succeeds if discovery has ever listed the endpoint.
+    pub fn remove(&mut self, key: &OverrideKey, ever_listed: bool) -> UpdateResult {
+        match self.active.remove(key) {
             Some(_) => UpdateResult::Changed(Change::Removed),
-            None if known => UpdateResult::Unchanged,
+            None if ever_listed => UpdateResult::Unchanged,
             None => UpdateResult::Rejected(OverrideError::NeverListed),
         }
     }
 
-    /// What stands on record.
+    /// The overrides as the contents of the override file.
     pub fn to_json(&self) -> Vec<u8> {
-        let entry = |(subject, since): (&OverrideKey, &UnixMillis)| Entry {
-            subject: subject.clone(),
-            since_ms: *since,
-        };
-        let record = Record { version: VERSION, orders: self.force.iter().map(entry).collect() };
-        serde_json::to_vec(&record).unwrap_or_default()
+        let entry = |(key, since): (&OverrideKey, &UnixMillis)| Entry { key: key.clone(), since_ms: *since };
+        let file =
+            FileContents { version: FORMAT_VERSION, overrides: self.active.iter().map(entry).collect() };
+        serde_json::to_vec(&file).unwrap_or_default()
     }
 
-    /// The orders of a record.
+    /// Reads the contents of an override file.
     ///
     /// # Errors
-    /// Where it is none, or of a later version.
+    /// Where the contents are invalid or of a newer version.
     pub fn from_json(bytes: &[u8]) -> Result<Overrides, OverrideFileError> {
-        let record: Record = serde_json::from_slice(bytes)?;
-        if record.version > VERSION {
-            return Err(OverrideFileError::UnsupportedVersion(record.version));
+        let file: FileContents = serde_json::from_slice(bytes)?;
+        if file.version > FORMAT_VERSION {
+            return Err(OverrideFileError::UnsupportedVersion(file.version));
         }
-        let force = record.orders.into_iter().map(|entry| (entry.subject, entry.since_ms)).collect();
-        Ok(Overrides { force })
+        let active = file.overrides.into_iter().map(|entry| (entry.key, entry.since_ms)).collect();
+        Ok(Overrides { active })
     }
 }
 
-/// The record's version.
-const VERSION: u32 = 1;
+/// The version of the file format.
+const FORMAT_VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
-struct Record {
+struct FileContents {
     version: u32,
-    orders: Vec<Entry>,
+    #[serde(rename = "orders")]
+    overrides: Vec<Entry>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Entry {
     #[serde(flatten)]
-    subject: OverrideKey,
+    key: OverrideKey,
     since_ms: UnixMillis,
 }
 
-/// A record that is_suspended no orders.
+/// Why the contents of an override file are rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum OverrideFileError {
-    /// It can't be read.
-    #[error("not a record of orders: {0}")]
+    /// The contents can't be parsed.
+    #[error("invalid override file: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// A later program wrote it.
-    #[error("a record of version {0}, which this program does not know")]
+    /// A newer version of the program wrote the file.
+    #[error("override file has version {0}, which this program does not support")]
     UnsupportedVersion(u32),
 }
 
@@ -168,41 +167,50 @@
 mod tests {
     use super::*;
 
-    fn hold(id: &str) -> OverrideKey {
+    fn suspend_key(id: &str) -> OverrideKey {
         OverrideKey { kind: OverrideKind::Suspend, endpoint_id: id.into() }
     }
 
     #[test]
-    fn an_order_holds_until_one_call_back() {
-        let mut orders = Overrides::default();
-        assert_eq!(orders.add(hold("a"), true, 1), UpdateResult::Changed(Change::Added));
-        // Once more, also while its endpoint is not listed.
-        assert_eq!(orders.add(hold("a"), false, 2), UpdateResult::Unchanged);
-        assert!(orders.is_suspended("a"));
-        assert_eq!(orders.remove(&hold("a"), false), UpdateResult::Changed(Change::Removed));
-        assert!(!orders.is_suspended("a"));
-        assert_eq!(orders.remove(&hold("a"), true), UpdateResult::Unchanged);
+    fn an_override_is_in_force_until_it_is_removed_once() {
+        let mut overrides = Overrides::default();
+        assert_eq!(overrides.add(suspend_key("a"), true, 1), UpdateResult::Changed(Change::Added));
+        // Adding it again succeeds, even while discovery does not list the endpoint.
+        assert_eq!(overrides.add(suspend_key("a"), false, 2), UpdateResult::Unchanged);
+        assert!(overrides.is_suspended("a"));
+        assert_eq!(overrides.remove(&suspend_key("a"), false), UpdateResult::Changed(Change::Removed));
+        assert!(!overrides.is_suspended("a"));
+        assert_eq!(overrides.remove(&suspend_key("a"), true), UpdateResult::Unchanged);
     }
 
     #[test]
-    fn an_id_that_was_never_listed_is_owed_a_no() {
-        let mut orders = Overrides::default();
-        assert_eq!(orders.add(hold("a"), false, 1), UpdateResult::Rejected(OverrideError::NeverListed));
-        assert_eq!(orders.remove(&hold("a"), false), UpdateResult::Rejected(OverrideError::NeverListed));
-        assert!(orders.is_empty());
+    fn rejects_an_id_that_was_never_listed() {
+        let mut overrides = Overrides::default();
+        assert_eq!(
+            overrides.add(suspend_key("a"), false, 1),
+            UpdateResult::Rejected(OverrideError::NeverListed)
+        );
+        assert_eq!(
+            overrides.remove(&suspend_key("a"), false),
+            UpdateResult::Rejected(OverrideError::NeverListed)
+        );
+        assert!(overrides.is_empty());
     }
 
     #[test]
-    fn orders_are_bounded_and_outlast_the_process() {
-        let mut orders = Overrides::default();
+    fn overrides_are_bounded_and_round_trip_through_the_file_format() {
+        let mut overrides = Overrides::default();
         for i in 0..MAX_OVERRIDES {
             assert_eq!(
-                orders.add(hold(&format!("e{i}")), true, i as u64),
+                overrides.add(suspend_key(&format!("e{i}")), true, i as u64),
                 UpdateResult::Changed(Change::Added)
             );
         }
-        assert_eq!(orders.add(hold("more"), true, 1), UpdateResult::Rejected(OverrideError::TooMany));
-        assert_eq!(Overrides::from_json(&orders.to_json()).unwrap(), orders);
+        assert_eq!(
+            overrides.add(suspend_key("more"), true, 1),
+            UpdateResult::Rejected(OverrideError::TooMany)
+        );
+        assert_eq!(Overrides::from_json(&overrides.to_json()).unwrap(), overrides);
         assert!(matches!(
             Overrides::from_json(b"{\"version\":9,\"orders\":[]}"),
             Err(OverrideFileError::UnsupportedVersion(9))
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -1,32 +1,31 @@
-//! One line to a connection, one answer back.
+//! The text protocol of the control port: one request line per connection, one response.
 
 use std::fmt::Display;
 
-/// Longest line of a call, its end not counted, in bytes. No id of an endpoint that may be ordered about is longer than
-/// [`MAX_ID_BYTES`].
+/// Longest request line without its line end, in bytes. It has room for a verb and an id of [`MAX_ID_BYTES`].
 pub const MAX_LINE_BYTES: usize = 512;
-/// Longest id of an endpoint in a call, in bytes.
+/// Longest endpoint id in a request, in bytes.
 pub const MAX_ID_BYTES: usize = 256;
-/// The line behind the figures.
+/// The line that ends the metrics.
 pub const END_OF_METRICS: &str = "EOT";
 
-/// What a caller wants.
+/// A request to the control port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Request {
     /// Whether this process is ready to serve.
     Status,
-    /// The figures.
+    /// The metrics.
     Metrics,
-    /// Take an endpoint out until it is called back.
+    /// Suspend an endpoint until it is restored.
     Suspend(String),
-    /// An endpoint may serve again.
+    /// Lift the suspension of an endpoint.
     Restore(String),
-    /// How the fleet stands, as this member sees it: members and duties, as JSON.
+    /// The fleet's status as this member sees it: members and duties, as JSON.
     Fleet,
 }
 
 impl Request {
-    /// The line that asks for it.
+    /// The request as a line.
     pub fn to_line(&self) -> String {
         match self {
             Request::Status => "STATUS\n".into(),
@@ -37,10 +36,10 @@
         }
     }
 
-    /// Reads a line without its end.
+    /// Parses a line without its line end.
     ///
     /// # Errors
-    /// Where it is no call; the error says what is wrong with it.
+    /// Where the line is not a valid request.
     pub fn parse(line: &[u8]) -> Result<Request, RequestError> {
         let line = std::str::from_utf8(line).map_err(|_| RequestError::NotText)?;
         if line.chars().any(|c| c.is_control() && c != '\t') {
@@ -52,9 +51,9 @@
         if words.next().is_some() {
             return Err(RequestError::TooManyWords);
         }
-        let named = |id: Option<&str>| match id {
-            None => Err(RequestError::NoId),
-            Some(id) if id.len() > MAX_ID_BYTES => Err(RequestError::LongId),
+        let required_id = |id: Option<&str>| match id {
+            None => Err(RequestError::MissingId),
+            Some(id) if id.len() > MAX_ID_BYTES => Err(RequestError::IdTooLong),
             Some(id) => Ok(id.to_string()),
         };
         match (verb, id) {
@@ -62,113 +61,113 @@
             ("METRICS", None) => Ok(Request::Metrics),
             ("FLEET", None) => Ok(Request::Fleet),
             ("STATUS" | "METRICS" | "FLEET", Some(_)) => Err(RequestError::TooManyWords),
-            ("SUSPEND", id) => named(id).map(Request::Suspend),
-            ("RESTORE", id) => named(id).map(Request::Restore),
-            _ => Err(RequestError::Unknown),
+            ("SUSPEND", id) => required_id(id).map(Request::Suspend),
+            ("RESTORE", id) => required_id(id).map(Request::Restore),
+            _ => Err(RequestError::UnknownVerb),
         }
     }
 }
 
-/// What is wrong with a call.
+/// Why a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// A line with nothing in it.
+    /// The line is empty.
     #[error("an empty line; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
     Empty,
-    /// Bytes that are no UTF-8, or control characters.
+    /// The line is not UTF-8 or contains control characters.
     #[error("not plain text")]
     NotText,
-    /// The first word is none that is known.
+    /// The verb is unknown.
     #[error("unknown call; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
-    Unknown,
-    /// More words than the call takes.
+    UnknownVerb,
+    /// The request has more words than its verb takes.
     #[error("too many words")]
     TooManyWords,
-    /// The endpoint is not named.
+    /// The endpoint id is missing.
     #[error("an endpoint's id is missing")]
-    NoId,
-    /// An id that is longer than [`MAX_ID_BYTES`].
+    MissingId,
+    /// The id is longer than [`MAX_ID_BYTES`].
     #[error("an id longer than 256 bytes")]
-    LongId,
-    /// No line end within [`MAX_LINE_BYTES`].
+    IdTooLong,
+    /// There is no line end within [`MAX_LINE_BYTES`].
     #[error("a line longer than 512 bytes")]
-    LongLine,
-    /// The caller ended its sending before the line's end: a cut id is another endpoint's.
+    LineTooLong,
+    /// The client closed its sending side before the line end. A truncated id could be that of another endpoint.
     #[error("the line was cut off")]
-    CutOff,
+    Truncated,
 }
 
-/// Puts one line together from pieces. It holds [`MAX_LINE_BYTES`] bytes at most.
+/// Assembles a request line from chunks. It buffers little more than [`MAX_LINE_BYTES`].
 #[derive(Debug, Default)]
 pub struct Decoder {
     line: Vec<u8>,
 }
 
 impl Decoder {
-    /// Takes bytes that came; once the line is whole, what it asks for. What stands behind the line is left alone.
+    /// Adds received bytes; returns the request once its line is complete. Bytes after the line are ignored.
     pub fn feed(&mut self, bytes: &[u8]) -> Option<Result<Request, RequestError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
-        let piece = &bytes[..end.unwrap_or(bytes.len())];
-        if self.line.len() + piece.len() > MAX_LINE_BYTES + 1 {
-            return Some(Err(RequestError::LongLine));
+        let chunk = &bytes[..end.unwrap_or(bytes.len())];
+        if self.line.len() + chunk.len() > MAX_LINE_BYTES + 1 {
+            return Some(Err(RequestError::LineTooLong));
         }
-        self.line.extend_from_slice(piece);
+        self.line.extend_from_slice(chunk);
         end?;
         let line = self.line.strip_suffix(b"\r").unwrap_or(&self.line);
-        Some(if line.len() > MAX_LINE_BYTES { Err(RequestError::LongLine) } else { Request::parse(line) })
+        Some(if line.len() > MAX_LINE_BYTES { Err(RequestError::LineTooLong) } else { Request::parse(line) })
     }
 
-    /// The caller sends nothing more, and its line is not whole.
+    /// The error for a client that sends nothing more before its line is complete.
     pub fn finish(&self) -> RequestError {
-        if self.line.is_empty() { RequestError::Empty } else { RequestError::CutOff }
+        if self.line.is_empty() { RequestError::Empty } else { RequestError::Truncated }
     }
 }
 
-/// A yes, as one line.
+/// A success response, as one line.
 pub fn success(text: impl Display) -> String {
-    line("SUCCESS", text)
+    response_line("SUCCESS", text)
 }
 
-/// A no, as one line.
+/// A failure response, as one line.
 pub fn failure(text: impl Display) -> String {
-    line("FAILURE", text)
+    response_line("FAILURE", text)
 }
 
-/// An answer is one line, whatever stands in its text.
-fn line(word: &str, text: impl Display) -> String {
+/// Formats a response line. Control characters in the text become spaces, so that the response stays one line.
+fn response_line(status: &str, text: impl Display) -> String {
     let text: String = text.to_string().chars().map(|c| if c.is_control() { ' ' } else { c }).collect();
-    if text.is_empty() { format!("{word}\n") } else { format!("{word} {text}\n") }
+    if text.is_empty() { format!("{status}\n") } else { format!("{status} {text}\n") }
 }
 
-/// What a door has answered.
+/// A response of the control port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Response {
-    /// A line that begins with `SUCCESS`, and its text.
+    /// A line that begins with `SUCCESS`, with the text behind it.
     Success(String),
-    /// A line that begins with `FAILURE`, and its text.
+    /// A line that begins with `FAILURE`, with the text behind it.
     Failure(String),
-    /// The figures, a line each, by name: the value and its sign (`c` counts up, `g` goes up and down).
+    /// The metrics, one per line: name, value and StatsD type (`c` for a counter, `g` for a gauge).
     Metrics(Vec<(String, u64, char)>),
 }
 
 impl Response {
-    /// Reads a whole answer; none where it is not one.
+    /// Parses a complete response; `None` where the text is not one.
     pub fn parse(text: &str) -> Option<Response> {
         let first = text.lines().next().unwrap_or_default();
-        let (word, rest) = first.split_once(' ').unwrap_or((first, ""));
-        if text.ends_with('\n') && word == "SUCCESS" {
+        let (status, rest) = first.split_once(' ').unwrap_or((first, ""));
+        if text.ends_with('\n') && status == "SUCCESS" {
             return Some(Response::Success(rest.into()));
         }
-        if text.ends_with('\n') && word == "FAILURE" {
+        if text.ends_with('\n') && status == "FAILURE" {
             return Some(Response::Failure(rest.into()));
         }
         let body = text.trim_end().strip_suffix(END_OF_METRICS)?;
-        let figures = body.lines().map(|line| {
+        let metrics = body.lines().map(|line| {
             let (name, value) = line.rsplit_once(':')?;
-            let (value, sign) = value.split_once('|')?;
-            Some((name.to_string(), value.parse().ok()?, sign.parse().ok()?))
+            let (value, metric_type) = value.split_once('|')?;
+            Some((name.to_string(), value.parse().ok()?, metric_type.parse().ok()?))
         });
-        figures.collect::<Option<_>>().map(Response::Metrics)
+        metrics.collect::<Option<_>>().map(Response::Metrics)
     }
 }
 
@@ -177,7 +176,7 @@
     use super::*;
 
     #[test]
-    fn a_line_is_put_together_from_pieces() {
+    fn assembles_a_line_from_chunks() {
         let mut decoder = Decoder::default();
         assert_eq!(decoder.feed(b"SUSP"), None);
         assert_eq!(decoder.feed(b"END s-1"), None);
@@ -186,30 +185,30 @@
     }
 
     #[test]
-    fn what_is_no_call_is_said_to_be_none() {
-        let read = |line: &[u8]| Decoder::default().feed(line).unwrap().unwrap_err();
-        assert_eq!(read(b"\n"), RequestError::Empty);
-        assert_eq!(read(b"STATUS \0\n"), RequestError::NotText);
-        assert_eq!(read(b"\xff\xfe\n"), RequestError::NotText);
-        assert_eq!(read(b"status\n"), RequestError::Unknown);
-        assert_eq!(read(b"STATUS now\n"), RequestError::TooManyWords);
-        assert_eq!(read(b"SUSPEND\n"), RequestError::NoId);
-        assert_eq!(read(b"SUSPEND a b\n"), RequestError::TooManyWords);
-        assert_eq!(read(format!("SUSPEND {}\n", "x".repeat(257)).as_bytes()), RequestError::LongId);
-        assert_eq!(read(&[b'x'; 10_000]), RequestError::LongLine);
-        let mut cut = Decoder::default();
-        assert_eq!(cut.feed(b"SUSPEND s-1"), None);
-        assert_eq!(cut.finish(), RequestError::CutOff);
+    fn rejects_invalid_requests() {
+        let parse_error = |line: &[u8]| Decoder::default().feed(line).unwrap().unwrap_err();
+        assert_eq!(parse_error(b"\n"), RequestError::Empty);
+        assert_eq!(parse_error(b"STATUS \0\n"), RequestError::NotText);
+        assert_eq!(parse_error(b"\xff\xfe\n"), RequestError::NotText);
+        assert_eq!(parse_error(b"status\n"), RequestError::UnknownVerb);
+        assert_eq!(parse_error(b"STATUS now\n"), RequestError::TooManyWords);
+        assert_eq!(parse_error(b"SUSPEND\n"), RequestError::MissingId);
+        assert_eq!(parse_error(b"SUSPEND a b\n"), RequestError::TooManyWords);
+        assert_eq!(parse_error(format!("SUSPEND {}\n", "x".repeat(257)).as_bytes()), RequestError::IdTooLong);
+        assert_eq!(parse_error(&[b'x'; 10_000]), RequestError::LineTooLong);
+        let mut truncated = Decoder::default();
+        assert_eq!(truncated.feed(b"SUSPEND s-1"), None);
+        assert_eq!(truncated.finish(), RequestError::Truncated);
     }
 
     #[test]
-    fn an_answer_is_one_line_and_is_read_back() {
+    fn responses_are_one_line_and_parse_back() {
         assert_eq!(failure("two\nlines"), "FAILURE two lines\n");
         assert_eq!(Response::parse(&success("")), Some(Response::Success(String::new())));
         assert_eq!(Response::parse("FAILURE why\n"), Some(Response::Failure("why".into())));
-        let figures = "app.fulfilled.a:3|c\napp.open_requests:1|g\nEOT\n";
-        let read = vec![("app.fulfilled.a".into(), 3, 'c'), ("app.open_requests".into(), 1, 'g')];
-        assert_eq!(Response::parse(figures), Some(Response::Metrics(read)));
+        let metrics = "app.fulfilled.a:3|c\napp.open_requests:1|g\nEOT\n";
+        let parsed = vec![("app.fulfilled.a".into(), 3, 'c'), ("app.open_requests".into(), 1, 'g')];
+        assert_eq!(Response::parse(metrics), Some(Response::Metrics(parsed)));
         assert_eq!(Response::parse("app.fulfilled.a:3|c\n"), None);
         assert_eq!(Response::parse("SUCCESS cut"), None);
     }
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -1,4 +1,5 @@
-//! The shell: listens on a thread of its own, so that an answer waits for no round, no journal and no start.
+//! The control server. It runs on a thread of its own, so that a response does not wait for the dispatcher's event
+//! loop, for the journal or for the start of the process.
 
 use crate::metrics::Metrics;
 use crate::overrides::{OverrideKey, OverrideKind};
@@ -17,148 +18,154 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Descriptors of the door: its callers', its listener's and its runtime's.
-pub const MAX_DESCRIPTORS: usize = MAX_CLIENTS + ANSWERED_MOST + 6;
-/// Callers at once. One that has said nothing whole leaves when the next one comes.
+/// Most file descriptors of the control server: its clients', its listener's and its runtime's.
+pub const MAX_DESCRIPTORS: usize = MAX_CLIENTS + MAX_ANSWERING_CLIENTS + 6;
+/// Most clients at a time. The oldest one without a complete request is disconnected when another connects.
 pub const MAX_CLIENTS: usize = 16;
-/// Callers beyond those: all of them have said what they want, and are being answered.
-const ANSWERED_MOST: usize = 16;
-/// How often callers get a turn to leave before one more is accepted.
-const YIELDS: usize = 4;
-/// A call is whole by then.
-const CALL_TIME: Duration = Duration::from_secs(2);
-/// The dispatcher's thread has said yes or no to an order by then, or the answer is no: it may be carried out later.
-const ORDER_TIME: Duration = Duration::from_millis(800);
-/// A caller has read its answer by then.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
-/// The thread's stack, in bytes.
-const STACK: usize = 256 << 10;
-/// After a failed accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Most clients beyond those, while all others have sent their request and are being answered.
+const MAX_ANSWERING_CLIENTS: usize = 16;
+/// How often the server yields to its clients' tasks to get below [`MAX_CLIENTS`] before it accepts one more.
+const MAX_YIELDS: usize = 4;
+/// Time limit for receiving a complete request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for the dispatcher's thread to answer a command. After it the client is told of a failure, although the
+/// command may still be carried out.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time limit for the client to read the response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The thread's stack size.
+const STACK_BYTES: usize = 256 << 10;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What the dispatcher's thread is asked.
+/// A command for the dispatcher's thread.
 #[derive(Debug)]
 pub enum ControlCommand {
-    /// To carry out an order.
+    /// Add or remove an operator override.
     Override(OverrideCommand),
-    /// How the fleet stands.
+    /// Report the fleet's status.
     FleetStatus(oneshot::Sender<Result<String, String>>),
 }
 
-/// An order for the dispatcher's thread.
+/// A command to add or remove an operator override.
 #[derive(Debug)]
 pub struct OverrideCommand {
-    /// What it is about.
+    /// The override.
     pub key: OverrideKey,
-    /// Given, or called back.
+    /// Whether to add the override or to remove it.
     pub activate: bool,
-    /// Where the answer goes: a yes or a no with its text.
+    /// Receives the result: the text of the response, as a success or a failure.
     pub reply: oneshot::Sender<Result<String, String>>,
 }
 
-/// Opens the door; it stays open as long as the process.
+/// Starts the control server and returns its address. It runs until the process exits.
 ///
 /// # Errors
-/// Where the address can't be listened at, or no thread be started.
+/// Where the address can't be bound or the thread can't be started.
 pub fn start(
-    at: SocketAddr, figures: Arc<Metrics>, orders: UnboundedSender<ControlCommand>,
+    address: SocketAddr, metrics: Arc<Metrics>, commands: UnboundedSender<ControlCommand>,
 ) -> io::Result<SocketAddr> {
-    let listener = TcpListener::bind(at)?;
+    let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
-    let at = listener.local_addr()?;
+    let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    std::thread::Builder::new().name("door".into()).stack_size(STACK).spawn(move || {
-        let door = Rc::new(Door { figures, orders, waiting: RefCell::default(), callers: Cell::new(0) });
+    std::thread::Builder::new().name("door".into()).stack_size(STACK_BYTES).spawn(move || {
+        let server = Rc::new(Server {
+            metrics,
+            commands,
+            idle_clients: RefCell::default(),
+            client_count: Cell::new(0),
+        });
         LocalSet::new().block_on(&runtime, async {
             match tokio::net::TcpListener::from_std(listener) {
-                Ok(listener) => door.serve(listener).await,
-                Err(error) => say(format_args!("door: {error}")),
+                Ok(listener) => server.serve(listener).await,
+                Err(error) => log_line(format_args!("control port: {error}")),
             }
         });
     })?;
-    Ok(at)
+    Ok(address)
 }
 
-/// Writes a line to the log; one that takes nothing is no reason to end.
-fn say(text: std::fmt::Arguments) {
+/// Writes a line to the log. A failed write is ignored: it is no reason to stop serving.
+fn log_line(text: std::fmt::Arguments) {
     let _ = writeln!(io::stdout(), "{text}");
 }
 
-struct Door {
-    figures: Arc<Metrics>,
-    orders: UnboundedSender<ControlCommand>,
-    /// Callers that have said nothing whole, the oldest first.
-    waiting: RefCell<VecDeque<Rc<Notify>>>,
-    callers: Cell<usize>,
+struct Server {
+    metrics: Arc<Metrics>,
+    commands: UnboundedSender<ControlCommand>,
+    /// Clients without a complete request, the oldest first; notifying one disconnects it.
+    idle_clients: RefCell<VecDeque<Rc<Notify>>>,
+    client_count: Cell<usize>,
 }
 
-impl Door {
+impl Server {
     async fn serve(self: Rc<Self>, listener: tokio::net::TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // The oldest that has said nothing is gone before this one counts; where all have said what they want,
-                    // they are answered in a moment.
-                    for _ in 0..YIELDS {
-                        if self.callers.get() < MAX_CLIENTS {
+                    // Makes room by disconnecting the oldest clients without a complete request. If there are none, all
+                    // clients are being answered and finish soon.
+                    for _ in 0..MAX_YIELDS {
+                        if self.client_count.get() < MAX_CLIENTS {
                             break;
                         }
-                        if let Some(oldest) = self.waiting.borrow_mut().pop_front() {
+                        if let Some(oldest) = self.idle_clients.borrow_mut().pop_front() {
                             oldest.notify_one();
                         }
                         yield_now().await;
                     }
-                    if self.callers.get() >= MAX_CLIENTS + ANSWERED_MOST {
+                    if self.client_count.get() >= MAX_CLIENTS + MAX_ANSWERING_CLIENTS {
                         continue;
                     }
-                    // It counts from here on: more may be accepted before its task has run.
-                    let leave = Rc::new(Notify::new());
-                    self.waiting.borrow_mut().push_back(leave.clone());
-                    self.callers.set(self.callers.get() + 1);
-                    let door = self.clone();
+                    // Counted here and not in its task: more clients may be accepted before the task runs.
+                    let disconnect = Rc::new(Notify::new());
+                    self.idle_clients.borrow_mut().push_back(disconnect.clone());
+                    self.client_count.set(self.client_count.get() + 1);
+                    let server = self.clone();
                     spawn_local(async move {
-                        // A caller that breaks off is its own affair.
-                        let _ = door.caller(stream, leave).await;
-                        door.callers.set(door.callers.get() - 1);
+                        // A failed connection concerns only its client.
+                        let _ = server.handle_client(stream, disconnect).await;
+                        server.client_count.set(server.client_count.get() - 1);
                     });
                 }
                 Err(error) => {
-                    say(format_args!("door: accept: {error}"));
-                    sleep(PAUSE).await;
+                    log_line(format_args!("control port: accept: {error}"));
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn caller(&self, mut stream: TcpStream, leave: Rc<Notify>) -> io::Result<()> {
-        let call = tokio::select! {
-            // What has said all that it wants is answered, also where it was to leave.
+    async fn handle_client(&self, mut stream: TcpStream, disconnect: Rc<Notify>) -> io::Result<()> {
+        let received = tokio::select! {
+            // A complete request is answered even if the client was to be disconnected.
             biased;
-            call = timeout(CALL_TIME, read(&mut stream)) => Some(call),
-            () = leave.notified() => None,
+            request = timeout(REQUEST_TIMEOUT, read_request(&mut stream)) => Some(request),
+            () = disconnect.notified() => None,
         };
-        self.waiting.borrow_mut().retain(|waiting| !Rc::ptr_eq(waiting, &leave));
-        let answer = match call {
+        self.idle_clients.borrow_mut().retain(|other| !Rc::ptr_eq(other, &disconnect));
+        let response = match received {
             None => failure("too many callers that say nothing"),
             Some(Err(_)) => failure("no whole line within 2 s"),
-            Some(Ok(call)) => match call? {
-                Ok(call) => self.answer(call).await,
-                Err(malformed) => failure(malformed),
+            Some(Ok(request)) => match request? {
+                Ok(request) => self.respond(request).await,
+                Err(error) => failure(error),
             },
         };
-        timeout(ANSWER_TIME, async {
-            stream.write_all(answer.as_bytes()).await?;
+        timeout(RESPONSE_TIMEOUT, async {
+            stream.write_all(response.as_bytes()).await?;
             stream.shutdown().await
         })
         .await?
     }
 
-    async fn answer(&self, call: Request) -> String {
-        let (reply, answered) = oneshot::channel();
-        let asked = match call {
-            Request::Status if self.figures.ready() => return success("serving"),
+    async fn respond(&self, request: Request) -> String {
+        let (reply, result) = oneshot::channel();
+        let command = match request {
+            Request::Status if self.metrics.ready() => return success("serving"),
             Request::Status => return failure("not serving"),
-            Request::Metrics => return format!("{}{END_OF_METRICS}\n", self.figures.statsd_lines()),
+            Request::Metrics => return format!("{}{END_OF_METRICS}\n", self.metrics.statsd_lines()),
             Request::Suspend(id) => {
                 ControlCommand::Override(OverrideCommand { key: suspend_key(id), activate: true, reply })
             }
@@ -167,10 +174,10 @@
             }
             Request::Fleet => ControlCommand::FleetStatus(reply),
         };
-        if self.orders.send(asked).is_err() {
+        if self.commands.send(command).is_err() {
             return failure("this process takes no orders any more");
         }
-        match timeout(ORDER_TIME, answered).await {
+        match timeout(COMMAND_TIMEOUT, result).await {
             Ok(Ok(Ok(text))) => success(text),
             Ok(Ok(Err(text))) => failure(text),
             Ok(Err(_)) => failure("this process takes no orders any more"),
@@ -183,17 +190,17 @@
     OverrideKey { kind: OverrideKind::Suspend, endpoint_id }
 }
 
-type Read = Result<Request, crate::protocol::RequestError>;
+type ParseResult = Result<Request, crate::protocol::RequestError>;
 
-async fn read(stream: &mut TcpStream) -> io::Result<Read> {
-    let (mut decoder, mut bytes) = (Decoder::default(), [0; 1024]);
+async fn read_request(stream: &mut TcpStream) -> io::Result<ParseResult> {
+    let (mut decoder, mut buffer) = (Decoder::default(), [0; 1024]);
     loop {
-        let read = stream.read(&mut bytes).await?;
-        if read == 0 {
+        let length = stream.read(&mut buffer).await?;
+        if length == 0 {
             return Ok(Err(decoder.finish()));
         }
-        if let Some(call) = decoder.feed(&bytes[..read]) {
-            return Ok(call);
+        if let Some(request) = decoder.feed(&buffer[..length]) {
+            return Ok(request);
         }
     }
 }
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The door's decoder under bytes of any kind, in any pieces; the orders under generated calls against a plain list.
+//! Property tests: the request decoder on arbitrary bytes in arbitrary chunks, and the overrides against a plain set.
 
 use fawnspoke_control::overrides::{MAX_OVERRIDES, OverrideKey, OverrideKind, Overrides, UpdateResult};
 use fawnspoke_control::protocol::{
@@ -7,28 +7,28 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-/// Cases of each property: more with `DOOR_CASES`.
+/// The number of cases of each property; set `DOOR_CASES` to change it.
 fn cases() -> ProptestConfig {
     let cases = std::env::var("DOOR_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(20_000);
     ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(cases) }
 }
 
-/// What is fed in pieces, until the decoder says something.
-fn fed(bytes: &[u8], pieces: &[usize]) -> Option<Result<Request, RequestError>> {
+/// Feeds bytes in chunks of the given lengths until the decoder returns a result.
+fn decode_in_chunks(bytes: &[u8], chunk_lengths: &[usize]) -> Option<Result<Request, RequestError>> {
     let (mut decoder, mut rest) = (Decoder::default(), bytes);
-    let mut lengths = pieces.iter().copied().chain(std::iter::repeat(1));
+    let mut lengths = chunk_lengths.iter().copied().chain(std::iter::repeat(1));
     while !rest.is_empty() {
-        let (piece, later) = rest.split_at(lengths.next().unwrap_or(1).clamp(1, rest.len()));
-        if let Some(said) = decoder.feed(piece) {
-            return Some(said);
+        let (chunk, remaining) = rest.split_at(lengths.next().unwrap_or(1).clamp(1, rest.len()));
+        if let Some(result) = decoder.feed(chunk) {
+            return Some(result);
         }
-        rest = later;
+        rest = remaining;
     }
     None
 }
 
-/// Bytes that come close to calls.
-fn bytes() -> impl Strategy<Value = Vec<u8>> {
+/// Bytes that resemble requests.
+fn request_like_bytes() -> impl Strategy<Value = Vec<u8>> {
     let word = prop_oneof![
         Just(b"STATUS".to_vec()),
         Just(b"SUSPEND".to_vec()),
@@ -49,26 +49,26 @@
     #![proptest_config(cases())]
 
     #[test]
-    fn pieces_change_nothing_and_what_is_read_is_written_alike(
-        bytes in bytes(), pieces in proptest::collection::vec(1..40usize, 0..20),
+    fn chunking_does_not_matter_and_requests_round_trip(
+        bytes in request_like_bytes(), chunk_lengths in proptest::collection::vec(1..40usize, 0..20),
     ) {
-        let whole = fed(&bytes, &[bytes.len()]);
-        let cut = fed(&bytes, &pieces);
-        match (&whole, &cut) {
-            // A line that is too long may be found out before its end comes.
-            (Some(Err(_)), Some(Err(RequestError::LongLine))) | (None, Some(Err(RequestError::LongLine))) => {}
-            _ => prop_assert_eq!(&whole, &cut),
+        let at_once = decode_in_chunks(&bytes, &[bytes.len()]);
+        let chunked = decode_in_chunks(&bytes, &chunk_lengths);
+        match (&at_once, &chunked) {
+            // A line can prove too long before its end has arrived.
+            (Some(Err(_)), Some(Err(RequestError::LineTooLong))) | (None, Some(Err(RequestError::LineTooLong))) => {}
+            _ => prop_assert_eq!(&at_once, &chunked),
         }
-        // A line that is whole and short is always answered, one that is not whole never is.
-        let line = bytes.iter().position(|byte| *byte == b'\n');
-        prop_assert_eq!(cut.is_some(), line.is_some() || bytes.len() > MAX_LINE_BYTES + 1);
-        if let Some(Ok(call)) = whole {
-            prop_assert_eq!(fed(call.to_line().as_bytes(), &[]), Some(Ok(call)));
+        // A complete line always has a result, as has one that is too long; an incomplete line has none.
+        let line_end = bytes.iter().position(|byte| *byte == b'\n');
+        prop_assert_eq!(chunked.is_some(), line_end.is_some() || bytes.len() > MAX_LINE_BYTES + 1);
+        if let Some(Ok(request)) = at_once {
+            prop_assert_eq!(decode_in_chunks(request.to_line().as_bytes(), &[]), Some(Ok(request)));
         }
     }
 
     #[test]
-    fn an_answer_is_one_line_whatever_its_text(text in any::<String>()) {
+    fn a_response_is_one_line_whatever_its_text(text in any::<String>()) {
         for line in [success(&text), failure(&text)] {
             prop_assert_eq!(line.lines().count(), 1);
             prop_assert!(Response::parse(&line).is_some());
@@ -76,28 +76,28 @@
     }
 
     #[test]
-    fn orders_are_those_of_a_plain_list(
-        calls in proptest::collection::vec((any::<bool>(), 0..12u8, any::<bool>()), 0..60),
+    fn overrides_behave_like_a_plain_set(
+        updates in proptest::collection::vec((any::<bool>(), 0..12u8, any::<bool>()), 0..60),
     ) {
-        let (mut orders, mut plain) = (Overrides::default(), BTreeSet::new());
-        for (i, (given, id, known)) in calls.into_iter().enumerate() {
-            let subject = OverrideKey { kind: OverrideKind::Suspend, endpoint_id: format!("e{id}") };
-            let step = match given {
-                true => orders.add(subject, known, i as u64),
-                false => orders.remove(&subject, known),
+        let (mut overrides, mut expected) = (Overrides::default(), BTreeSet::new());
+        for (i, (add, id, ever_listed)) in updates.into_iter().enumerate() {
+            let key = OverrideKey { kind: OverrideKind::Suspend, endpoint_id: format!("e{id}") };
+            let result = match add {
+                true => overrides.add(key, ever_listed, i as u64),
+                false => overrides.remove(&key, ever_listed),
             };
-            let allowed = known || plain.contains(&id);
-            prop_assert_eq!(matches!(step, UpdateResult::Rejected(_)), !allowed);
+            let allowed = ever_listed || expected.contains(&id);
+            prop_assert_eq!(matches!(result, UpdateResult::Rejected(_)), !allowed);
             if allowed {
-                let changed = if given { plain.insert(id) } else { plain.remove(&id) };
-                prop_assert_eq!(matches!(step, UpdateResult::Changed(_)), changed);
+                let changed = if add { expected.insert(id) } else { expected.remove(&id) };
+                prop_assert_eq!(matches!(result, UpdateResult::Changed(_)), changed);
             }
-            prop_assert_eq!(orders.len(), plain.len());
-            let held = plain.iter().all(|id| orders.is_suspended(&format!("e{id}")));
-            prop_assert!(held);
-            prop_assert!(orders.len() <= MAX_OVERRIDES);
-            // At any point a kill may come: what is on record is what is in force.
-            prop_assert_eq!(&Overrides::from_json(&orders.to_json()).unwrap(), &orders);
+            prop_assert_eq!(overrides.len(), expected.len());
+            let all_suspended = expected.iter().all(|id| overrides.is_suspended(&format!("e{id}")));
+            prop_assert!(all_suspended);
+            prop_assert!(overrides.len() <= MAX_OVERRIDES);
+            // The process may be killed at any point: the saved overrides equal those in force.
+            prop_assert_eq!(&Overrides::from_json(&overrides.to_json()).unwrap(), &overrides);
         }
     }
 }
