--- a/crates/drill/src/host.rs
+++ b/crates/drill/src/host.rs
@@ -1,4 +1,4 @@
-//! Routes the records of a batch to the instances and their actions back.
+//! Passes the event records of a batch to the dispatcher instances and encodes their actions as a reply.
 
 use crate::settings;
 use crate::wire::{Batch, Reader, WireError, Writer, put_endpoint};
@@ -10,20 +10,20 @@
     MessageId, OrderKey, Outcome, RateLimitReport,
 };
 
-/// One dispatcher and where its reports tell the limit.
+/// A dispatcher and the positions of its rate limit fields in load reports.
 struct Instance {
     dispatcher: Dispatcher,
-    limit: Fields,
+    rate_limit_fields: RateLimitFields,
 }
 
-/// All instances of this process, and the lists by number.
+/// All dispatcher instances of this process, and the endpoint lists by number.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Instance>,
-    rosters: BTreeMap<u16, Vec<EndpointEntry>>,
+    endpoint_lists: BTreeMap<u16, Vec<EndpointEntry>>,
 }
 
-fn outcome(reader: &mut Reader) -> Result<Outcome, WireError> {
+fn read_outcome(reader: &mut Reader) -> Result<Outcome, WireError> {
     Ok(match reader.u8()? {
         1 => Outcome::Served,
         2 => Outcome::Error,
@@ -34,36 +34,38 @@
         7 => Outcome::Cancelled,
         8 => Outcome::NotSent,
         other => {
-            return Err(reader.fault(format!("an outcome from 1 to 8 expected before here, got {other}")));
+            return Err(reader.error(format!("an outcome from 1 to 8 expected before here, got {other}")));
         }
     })
 }
 
-/// Where a report tells the limit, and what is left of it.
-type Fields = (Option<usize>, Option<usize>);
+/// The positions, in a load report, of the rate limit and of the share of it that is left.
+type RateLimitFields = (Option<usize>, Option<usize>);
 
-fn report(reader: &mut Reader, (limit, left): Fields) -> Result<Option<RateLimitReport>, WireError> {
-    let n = reader.u8()?;
-    let values = (0..n).map(|_| reader.f32().map(f64::from)).collect::<Result<Vec<_>, _>>()?;
-    let left = left.and_then(|i| values.get(i)).filter(|left| left.is_finite());
-    let left = left.map(|left| left.clamp(0.0, 1.0));
-    // A limit that is no number tells nothing.
-    let rate = limit.and_then(|i| values.get(i)).filter(|rate| rate.is_finite());
-    Ok(rate.map(|rate| RateLimitReport { rate: *rate, remaining_share: left }))
+fn read_rate_limit(
+    reader: &mut Reader, (rate_field, share_field): RateLimitFields,
+) -> Result<Option<RateLimitReport>, WireError> {
+    let count = reader.u8()?;
+    let values = (0..count).map(|_| reader.f32().map(f64::from)).collect::<Result<Vec<_>, _>>()?;
+    let remaining_share = share_field.and_then(|i| values.get(i)).filter(|share| share.is_finite());
+    let remaining_share = remaining_share.map(|share| share.clamp(0.0, 1.0));
+    // A rate limit that is not finite counts as no report.
+    let rate = rate_field.and_then(|i| values.get(i)).filter(|rate| rate.is_finite());
+    Ok(rate.map(|rate| RateLimitReport { rate: *rate, remaining_share }))
 }
 
-fn entries(reader: &mut Reader) -> Result<Vec<EndpointEntry>, WireError> {
-    let n = reader.u32()?;
+fn read_endpoint_list(reader: &mut Reader) -> Result<Vec<EndpointEntry>, WireError> {
+    let count = reader.u32()?;
     let mut list = Vec::new();
-    for _ in 0..n {
+    for _ in 0..count {
         let endpoint = EndpointId(reader.endpoint()?);
-        let listed = match reader.u8()? {
+        let state = match reader.u8()? {
             2 => EndpointState::Ready,
             1 => EndpointState::Draining,
             0 => EndpointState::Removed,
             other => {
                 return Err(
-                    reader.fault(format!("a condition from 0 to 2 expected before here, got {other}"))
+                    reader.error(format!("a condition from 0 to 2 expected before here, got {other}"))
                 );
             }
         };
@@ -71,88 +73,97 @@
         let rate = f64::from(reader.f32()?);
         let destination = DestinationId(reader.u16()?.into());
         reader.f64()?;
-        list.push(EndpointEntry { endpoint, destination, kind, zone, rate, state: listed });
+        list.push(EndpointEntry { endpoint, destination, kind, zone, rate, state });
     }
     Ok(list)
 }
 
 impl Host {
-    fn begin(&mut self, reader: &mut Reader, i: u32) -> Result<(), WireError> {
+    /// Creates an instance from its seed and settings.
+    fn create_instance(&mut self, reader: &mut Reader, instance_id: u32) -> Result<(), WireError> {
         let seed = reader.u64()?;
-        let n = reader.u32()? as usize;
-        let text = reader.bytes(n)?;
-        let settings = settings::read(reader.record, text)?;
-        let all = String::from_utf8_lossy(text);
-        let names = all.lines().find_map(|line| line.trim().strip_prefix("report.fields="));
-        let field = |name| names.and_then(|names| names.split(',').position(|field| field == name));
-        let limit = (field("x1"), field("x0"));
+        let length = reader.u32()? as usize;
+        let text = reader.bytes(length)?;
+        let settings = settings::parse(reader.record, text)?;
+        let lossy_text = String::from_utf8_lossy(text);
+        let field_names = lossy_text.lines().find_map(|line| line.trim().strip_prefix("report.fields="));
+        let position = |name| field_names.and_then(|names| names.split(',').position(|field| field == name));
+        let rate_limit_fields = (position("x1"), position("x0"));
         let record = reader.record;
         let dispatcher = Dispatcher::new(settings, seed).map_err(|error| WireError::Settings {
             record,
             key: error.name,
             expected: error.problem,
         })?;
-        self.instances.insert(i, Instance { dispatcher, limit });
+        self.instances.insert(instance_id, Instance { dispatcher, rate_limit_fields });
         Ok(())
     }
 
-    /// Reads one record; an event goes to its instance.
-    fn record(
-        &mut self, reader: &mut Reader, clock: f64, touched: &mut BTreeSet<u32>,
+    /// Reads one record and passes its event to the instance. Instances that are to be asked for actions go into
+    /// `updated`.
+    fn handle_record(
+        &mut self, reader: &mut Reader, clock: f64, updated: &mut BTreeSet<u32>,
     ) -> Result<(), WireError> {
         let code = reader.u8()?;
+        // An endpoint list, which later records refer to by its number.
         if code == 40 {
-            let id = reader.u16()?;
-            let list = entries(reader)?;
-            self.rosters.insert(id, list);
+            let list_id = reader.u16()?;
+            let list = read_endpoint_list(reader)?;
+            self.endpoint_lists.insert(list_id, list);
             return Ok(());
         }
         if !matches!(code, 10 | 20 | 30 | 50 | 60 | 70 | 80 | 90 | 100 | 110) {
-            return Err(reader.fault(format!("a known event code expected before here, got {code}")));
+            return Err(reader.error(format!("a known event code expected before here, got {code}")));
         }
-        let i = reader.u32()?;
-        let limit = self.instances.get(&i).map_or((None, None), |instance| instance.limit);
+        let instance_id = reader.u32()?;
+        let rate_limit_fields =
+            self.instances.get(&instance_id).map_or((None, None), |instance| instance.rate_limit_fields);
         let event = match code {
+            // Create an instance.
             60 => {
-                self.begin(reader, i)?;
-                touched.insert(i);
+                self.create_instance(reader, instance_id)?;
+                updated.insert(instance_id);
                 return Ok(());
             }
+            // Remove an instance.
             50 => {
-                self.instances.remove(&i);
-                touched.remove(&i);
+                self.instances.remove(&instance_id);
+                updated.remove(&instance_id);
                 return Ok(());
             }
+            // An attempt has ended.
             10 => {
                 let id = MessageId(reader.u64()?);
                 let endpoint = EndpointId(reader.endpoint()?);
-                let outcome = outcome(reader)?;
+                let outcome = read_outcome(reader)?;
                 let attempt = reader.u16()?.into();
-                let closed = reader.u8()? != 0;
-                let note = reader.u32()?;
+                let settled = reader.u8()? != 0;
+                let retry_after_ms = reader.u32()?;
                 let latency = reader.f64()?;
-                let allowance = report(reader, limit)?;
-                let wait = (outcome == Outcome::Overloaded && note > 0).then(|| f64::from(note) / 1000.0);
-                let kept = outcome.answered();
+                let rate_limit_report = read_rate_limit(reader, rate_limit_fields)?;
+                let retry_after = (outcome == Outcome::Overloaded && retry_after_ms > 0)
+                    .then(|| f64::from(retry_after_ms) / 1000.0);
+                let connection_kept = outcome.answered();
                 Event::AttemptEnded(AttemptEnd {
                     id,
                     endpoint,
                     attempt,
                     outcome,
-                    retry_after: wait,
-                    settled: closed,
+                    retry_after,
+                    settled,
                     latency,
-                    rate_limit_report: allowance,
-                    // The wire does not tell.
+                    rate_limit_report,
+                    // Not reported on the wire.
                     connection_reused: false,
-                    connection_kept: kept,
+                    connection_kept,
                 })
             }
+            // The start of a response stream, which this kind of service does not have.
             20 => {
-                // A begun stream: this kind of service has none.
                 reader.bytes(8 + 2 + 6 + 8)?;
                 return Ok(());
             }
+            // A message has been accepted.
             30 => {
                 let id = MessageId(reader.u64()?);
                 reader.u8()?;
@@ -162,66 +173,62 @@
                 let destination = DestinationId(reader.f32()? as u32);
                 reader.bytes(8)?;
                 let tenant = reader.u16()?.into();
-                let over_share = None;
-                Event::Accepted(Message {
-                    id,
-                    class,
-                    destination,
-                    deadline,
-                    key,
-                    tenant,
-                    over_quota: over_share,
-                })
+                let over_quota = None;
+                Event::Accepted(Message { id, class, destination, deadline, key, tenant, over_quota })
             }
+            // A probe has ended.
             70 => {
                 let endpoint = EndpointId(reader.endpoint()?);
-                let outcome = outcome(reader)?;
+                let outcome = read_outcome(reader)?;
                 let latency = reader.f64()?;
-                let allowance = report(reader, limit)?;
-                Event::ProbeEnded { endpoint, outcome, latency, rate_limit_report: allowance }
+                let rate_limit_report = read_rate_limit(reader, rate_limit_fields)?;
+                Event::ProbeEnded { endpoint, outcome, latency, rate_limit_report }
             }
+            // An update of the endpoint list.
             80 => {
                 let kind = reader.u8()?;
-                let roster = reader.u16()?;
+                let list_id = reader.u16()?;
                 reader.u32()?;
-                let list = || self.rosters.get(&roster).cloned();
-                let missing = || reader.fault(format!("a roster numbered {roster} expected earlier"));
+                let list = || self.endpoint_lists.get(&list_id).cloned();
+                let missing = || reader.error(format!("a roster numbered {list_id} expected earlier"));
                 match kind {
                     0 => Event::ListUpdate(list().ok_or_else(missing)?),
                     1 | 2 => Event::ListSnapshot(list().ok_or_else(missing)?),
                     3 => Event::ListFailed,
                     other => {
-                        return Err(reader.fault(format!("a list kind from 0 to 3 expected, got {other}")));
+                        return Err(reader.error(format!("a list kind from 0 to 3 expected, got {other}")));
                     }
                 }
             }
+            // A timer has fired.
             90 => Event::TimerFired(reader.u32()?),
+            // The client has withdrawn a message.
             100 => Event::Withdrawn(MessageId(reader.u64()?)),
+            // 110: a message between instances; these dispatchers send none.
             _ => {
-                // A note between instances: none is ever sent.
                 reader.u16()?;
-                let n = reader.u16()?.into();
-                reader.bytes(n)?;
+                let length = reader.u16()?.into();
+                reader.bytes(length)?;
                 return Ok(());
             }
         };
-        if let Some(instance) = self.instances.get_mut(&i) {
+        if let Some(instance) = self.instances.get_mut(&instance_id) {
             instance.dispatcher.handle(clock, event);
-            touched.insert(i);
+            updated.insert(instance_id);
         }
         Ok(())
     }
 
-    /// Plays a batch and returns the reply.
-    pub fn play(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
+    /// Handles the records of a batch and returns the reply with the resulting actions.
+    pub fn handle_batch(&mut self, batch: &Batch) -> Result<Vec<u8>, WireError> {
         let mut reader = Reader::new(&batch.body);
-        let mut touched = BTreeSet::new();
+        let mut updated = BTreeSet::new();
         let mut writer = Writer::default();
-        for record in 0..batch.records {
+        for record in 0..batch.record_count {
             reader.record = record;
-            let played =
-                catch_unwind(AssertUnwindSafe(|| self.record(&mut reader, batch.clock, &mut touched)));
-            match played {
+            let result =
+                catch_unwind(AssertUnwindSafe(|| self.handle_record(&mut reader, batch.clock, &mut updated)));
+            match result {
                 Ok(result) => result?,
                 Err(panic) => {
                     writer.text(40, 0, &panic_text(&*panic));
@@ -231,55 +238,57 @@
         }
         reader.finish()?;
         let mut actions = Vec::new();
-        for i in touched {
-            let Some(instance) = self.instances.get_mut(&i) else { continue };
+        for instance_id in updated {
+            let Some(instance) = self.instances.get_mut(&instance_id) else { continue };
             actions.clear();
-            let decided =
+            let result =
                 catch_unwind(AssertUnwindSafe(|| instance.dispatcher.decide(batch.clock, &mut actions)));
-            match decided {
-                Ok(()) => actions.iter().for_each(|action| write(&mut writer, i, action)),
-                Err(panic) => writer.text(40, i, &panic_text(&*panic)),
+            match result {
+                Ok(()) => actions.iter().for_each(|action| write_action(&mut writer, instance_id, action)),
+                Err(panic) => writer.text(40, instance_id, &panic_text(&*panic)),
             }
         }
         Ok(writer.reply())
     }
 }
 
+/// The message of a panic, for the reply.
 fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
     text.or_else(|| panic.downcast_ref::<&str>().map(|s| s.to_string()))
         .unwrap_or_else(|| "a panic without a text".into())
 }
 
-fn write(writer: &mut Writer, i: u32, action: &Action) {
+/// Encodes an action as a record of the reply.
+fn write_action(writer: &mut Writer, instance_id: u32, action: &Action) {
     match action {
         Action::Send { id, endpoint, timeout, .. } => {
-            let body = writer.record(10, i);
+            let body = writer.record(10, instance_id);
             body.put_u64(id.0);
             put_endpoint(body, endpoint.0);
             body.put_f64(*timeout);
         }
         Action::Reject(id) => {
-            let body = writer.record(20, i);
+            let body = writer.record(20, instance_id);
             body.put_u64(id.0);
             body.put_f64(0.0);
         }
         Action::CancelAttempt { id, attempt } => {
-            let body = writer.record(90, i);
+            let body = writer.record(90, instance_id);
             body.put_u64(id.0);
             body.put_u16(*attempt as u16);
         }
-        Action::Fail(id) => writer.record(30, i).put_u64(id.0),
+        Action::Fail(id) => writer.record(30, instance_id).put_u64(id.0),
         Action::SetTimer { token, at } => {
-            let body = writer.record(60, i);
+            let body = writer.record(60, instance_id);
             body.put_u32(*token);
             body.put_f64(*at);
         }
-        Action::Probe(endpoint) => put_endpoint(writer.record(70, i), endpoint.0),
-        Action::CloseIdle(endpoint) => put_endpoint(writer.record(100, i), endpoint.0),
-        Action::Subscribe => writer.record(110, i).put_u8(1),
-        // In the simulation nothing outlasts a dispatcher.
+        Action::Probe(endpoint) => put_endpoint(writer.record(70, instance_id), endpoint.0),
+        Action::CloseIdle(endpoint) => put_endpoint(writer.record(100, instance_id), endpoint.0),
+        Action::Subscribe => writer.record(110, instance_id).put_u8(1),
+        // The simulator does not keep a dispatcher's state beyond its end.
         Action::RecordOutage { .. } => {}
-        Action::Log(text) => writer.text(80, i, text),
+        Action::Log(text) => writer.text(80, instance_id, text),
     }
 }
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts dispatchers on the bench's wire: frames from standard input, one reply each on standard output.
+//! Adapter that runs dispatchers for the simulator: reads batches of events from standard input and writes one reply
+//! per batch to standard output.
 
 mod host;
 mod settings;
@@ -12,7 +13,7 @@
     let mut output = BufWriter::with_capacity(1 << 16, io::stdout().lock());
     let mut host = host::Host::default();
     while let Some(batch) = wire::read_batch(&mut input)? {
-        let reply = host.play(&batch)?;
+        let reply = host.handle_batch(&batch)?;
         output.write_all(&reply)?;
         output.flush()?;
     }
@@ -20,7 +21,7 @@
 }
 
 fn main() -> ExitCode {
-    // The host reports a panic on the wire; its usual text would only repeat it.
+    // The host reports panics in its replies; the default hook would print them a second time.
     std::panic::set_hook(Box::new(|_| {}));
     match run() {
         Ok(()) => ExitCode::SUCCESS,
