--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -8,7 +8,7 @@
 /// Which process holds the lock.
 #[derive(Clone, Copy, Debug, Hash, PartialEq, Eq)]
 enum Holder {
-    Nobody,
+    Unlocked,
     Sender,
     Receiver(usize),
 }
@@ -141,13 +141,13 @@
                     // A rejected receiver is answered where the packet is read.
                     sender::Action::Reject(_) => {}
                     sender::Action::HandOver => {
-                        self.holder = Holder::Nobody;
+                        self.holder = Holder::Unlocked;
                         if let Some(i) = self.handed_over_to {
                             self.send_to_receiver(i, Packet::State);
                         }
                     }
                     sender::Action::TryLock => {
-                        let acquired = matches!(self.holder, Holder::Nobody | Holder::Sender);
+                        let acquired = matches!(self.holder, Holder::Unlocked | Holder::Sender);
                         if acquired {
                             self.holder = Holder::Sender;
                         }
@@ -181,7 +181,7 @@
         self.receivers.iter_mut().for_each(|receiver| receiver.sender_end_open = false);
         (self.call_in_flight, self.calls_lock_held) = (false, false);
         if self.holder == Holder::Sender {
-            self.holder = Holder::Nobody;
+            self.holder = Holder::Unlocked;
         }
     }
 
@@ -217,7 +217,7 @@
                         self.receivers[i].receiver_end_open = false;
                     }
                     receiver::Action::TryLock => {
-                        let acquired = self.holder == Holder::Nobody || self.holder == Holder::Receiver(i);
+                        let acquired = self.holder == Holder::Unlocked || self.holder == Holder::Receiver(i);
                         if acquired {
                             self.holder = Holder::Receiver(i);
                         }
@@ -229,7 +229,7 @@
                     receiver::Action::CheckLink => {
                         next = Some(receiver::Event::LinkChecked(self.receivers[i].sender_end_open))
                     }
-                    receiver::Action::Unlock => self.holder = Holder::Nobody,
+                    receiver::Action::Unlock => self.holder = Holder::Unlocked,
                     receiver::Action::DiscardState => self.receivers[i].receiver_end_open = false,
                     receiver::Action::ScheduleRetry => {}
                     receiver::Action::TakeOver => self.send_to_sender(i, Packet::OwnershipAcquired),
@@ -439,7 +439,7 @@
                     if step == Step::KillAll || step == Step::KillReceiver(i) {
                         (world.receivers[i].alive, world.receivers[i].receiver_end_open) = (false, false);
                         if world.holder == Holder::Receiver(i) {
-                            world.holder = Holder::Nobody;
+                            world.holder = Holder::Unlocked;
                         }
                     }
                 }
