--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -1,8 +1,9 @@
-//! What operators ask of a journal without starting a dispatcher: `fawnspoke journal show|verify|dump|repair`.
+//! The operators' commands `fawnspoke journal show|verify|dump|repair`, which need no running dispatcher.
 //!
-//! All but [`repair`] only read, also beside a dispatcher that is running; `repair` writes to a new folder alone.
+//! All but [`repair`] only read, and can be used while a dispatcher is running; `repair` only writes to a new
+//! directory.
 
-use crate::compaction::{Limits, blocks};
+use crate::compaction::{Limits, round_up_to_block};
 use crate::files::{Disk, Files};
 use crate::format::{AttemptStart, Notice, Record, UnixMicros};
 use crate::index::JournaledMessage;
@@ -17,76 +18,79 @@
 use std::path::Path;
 use std::time::{Duration, UNIX_EPOCH};
 
-/// Begins each line about something that no crash leaves behind.
+/// Prefix of each output line that reports damage which a crash can't have caused.
 pub const DAMAGE_PREFIX: &str = "damaged: ";
-/// A segment may go while it is read: a dispatcher that runs wins room back. Then the folder is read again, so often.
-const TRIES: u32 = 5;
+/// How often a directory is read at most. A running dispatcher may remove a segment during the read by compaction; the
+/// read is repeated then.
+const MAX_READ_ATTEMPTS: u32 = 5;
 
 /// Why an operators' command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum InspectError {
     /// The journal can't be read.
-    #[error("{folder}: {error}")]
+    #[error("{directory}: {error}")]
     Open {
-        /// The folder.
-        folder: String,
-        /// What is wrong.
+        /// The journal's directory.
+        directory: String,
+        /// Why it can't be read.
         error: OpenError,
     },
     /// There is no journal.
     #[error("{0}: no journal there")]
-    Nothing(String),
-    /// It is of the format before: the dispatcher carries it over when it starts.
-    #[error("{0}: a journal of the format before; the dispatcher carries it over at its next start")]
-    Old(String),
-    /// The folder to write to is not empty.
-    #[error("{0}: not empty; a repaired journal is written to a new folder")]
-    Occupied(String),
-    /// What was asked for can't be written.
+    NoJournal(String),
+    /// The journal has the legacy format: a dispatcher migrates it when it starts.
+    #[error("{0}: a journal in the legacy format; the dispatcher migrates it at its next start")]
+    LegacyFormat(String),
+    /// The target directory is not empty.
+    #[error("{0}: not empty; a repaired journal is written to a new directory")]
+    TargetNotEmpty(String),
+    /// The output can't be written.
     #[error(transparent)]
     Write(#[from] io::Error),
 }
 
-/// A time of a record as people read it (RFC 3339, microseconds, UTC).
-fn when(at: UnixMicros) -> String {
-    // Times beyond the year 9999 are no times; they are told as they stand.
-    const MOST: UnixMicros = 253_402_300_799_000_000;
-    if at > MOST {
+/// Formats a timestamp for display (RFC 3339, microseconds, UTC).
+fn format_time(at: UnixMicros) -> String {
+    // Timestamps beyond the year 9999 are invalid and are shown as numbers.
+    const MAX_FORMATTABLE: UnixMicros = 253_402_300_799_000_000;
+    if at > MAX_FORMATTABLE {
         return at.to_string();
     }
     humantime::format_rfc3339_micros(UNIX_EPOCH + Duration::from_micros(at)).to_string()
 }
 
-fn is_gone(error: &OpenError) -> bool {
+fn is_not_found(error: &OpenError) -> bool {
     matches!(error, OpenError::Io(error) if error.kind() == io::ErrorKind::NotFound)
 }
 
-/// Reads a folder that a dispatcher may be writing to.
-fn read(folder: &Path, seen: &mut dyn FnMut(u64, u64, &Record)) -> Result<ScanResult, InspectError> {
-    let files = Disk::new(folder);
-    let told = || folder.display().to_string();
-    let failed = |error| InspectError::Open { folder: told(), error };
-    // The folder itself must be there: that error is final.
-    files.list().map_err(|error| failed(error.into()))?;
-    let mut tries = 1;
+/// Scans a directory that a running dispatcher may be writing to.
+fn scan_directory(
+    directory: &Path, on_record: &mut dyn FnMut(u64, u64, &Record),
+) -> Result<ScanResult, InspectError> {
+    let files = Disk::new(directory);
+    let directory_name = || directory.display().to_string();
+    let open_error = |error| InspectError::Open { directory: directory_name(), error };
+    // A missing directory is not worth another attempt.
+    files.list().map_err(|error| open_error(error.into()))?;
+    let mut attempts = 1;
     let scan = loop {
-        match scan_records(&files, 0, seen) {
-            Err(error) if is_gone(&error) && tries < TRIES => tries += 1,
-            other => break other.map_err(failed)?,
+        match scan_records(&files, 0, on_record) {
+            Err(error) if is_not_found(&error) && attempts < MAX_READ_ATTEMPTS => attempts += 1,
+            other => break other.map_err(open_error)?,
         }
     };
-    if scan.old.is_some() {
-        return Err(InspectError::Old(told()));
+    if scan.legacy.is_some() {
+        return Err(InspectError::LegacyFormat(directory_name()));
     }
     if scan.identity.is_none() && scan.recovery.damage.is_empty() {
-        return Err(InspectError::Nothing(told()));
+        return Err(InspectError::NoJournal(directory_name()));
     }
     Ok(scan)
 }
 
-/// What is owed to one destination.
+/// Totals of the open messages of one destination.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Owed {
+struct DestinationSummary {
     messages: u64,
     may_have_run: u64,
     notices: u64,
@@ -95,48 +99,48 @@
     first_deadline: UnixMicros,
 }
 
-fn by_destination(scan: &ScanResult) -> BTreeMap<u32, Owed> {
-    let mut all: BTreeMap<u32, Owed> = BTreeMap::new();
+fn summarize_by_destination(scan: &ScanResult) -> BTreeMap<u32, DestinationSummary> {
+    let mut summaries: BTreeMap<u32, DestinationSummary> = BTreeMap::new();
     for (_, journaled) in scan.index.iter() {
-        let at = all.entry(journaled.message.destination).or_insert(Owed {
+        let summary = summaries.entry(journaled.message.destination).or_insert(DestinationSummary {
             oldest: UnixMicros::MAX,
             first_deadline: UnixMicros::MAX,
-            ..Owed::default()
+            ..DestinationSummary::default()
         });
-        at.messages += u64::from(journaled.notice.is_none());
-        at.notices += u64::from(journaled.notice.is_some());
-        at.may_have_run += u64::from(journaled.may_have_run.or(journaled.in_flight).is_some());
-        at.bytes += journaled.size();
-        at.oldest = at.oldest.min(journaled.message.accepted_at);
-        at.first_deadline = at.first_deadline.min(journaled.message.deadline);
+        summary.messages += u64::from(journaled.notice.is_none());
+        summary.notices += u64::from(journaled.notice.is_some());
+        summary.may_have_run += u64::from(journaled.may_have_run.or(journaled.in_flight).is_some());
+        summary.bytes += journaled.max_size();
+        summary.oldest = summary.oldest.min(journaled.message.accepted_at);
+        summary.first_deadline = summary.first_deadline.min(journaled.message.deadline);
     }
-    all
+    summaries
 }
 
-/// Lines about damage, the torn tail and files that are not the journal's.
-fn problems(scan: &ScanResult) -> Vec<String> {
+/// A line for each damage, and one for an incomplete record at the end.
+fn describe_problems(scan: &ScanResult) -> Vec<String> {
     let mut lines: Vec<String> =
         scan.recovery.damage.iter().map(|damage| format!("{DAMAGE_PREFIX}{damage}")).collect();
     if scan.recovery.torn_bytes > 0 {
         lines.push(format!(
-            "torn: {} bytes of a last write that was cut short: it never happened",
+            "torn: {} bytes of an incomplete last write, which is ignored",
             scan.recovery.torn_bytes
         ));
     }
     lines
 }
 
-/// What is owed, to whom, since when, and what the segments hold. `now`: ages count from it.
+/// A report on the open messages by destination, and on the segments. `now` is the time that ages refer to.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read.
-pub fn show(folder: &Path, now: UnixMicros) -> Result<String, InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal.
+pub fn show(directory: &Path, now: UnixMicros) -> Result<String, InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     let mut text = String::new();
-    let owed = by_destination(&scan);
-    let sum = |of: fn(&Owed) -> u64| owed.values().map(of).sum::<u64>();
-    let bytes: u64 = scan.segments.values().map(|segment| blocks(segment.bytes_on_disk)).sum();
-    let live: u64 = scan.segments.keys().map(|segment| scan.index.weight(*segment)).sum();
+    let summaries = summarize_by_destination(&scan);
+    let sum = |field: fn(&DestinationSummary) -> u64| summaries.values().map(field).sum::<u64>();
+    let bytes: u64 = scan.segments.values().map(|segment| round_up_to_block(segment.bytes_on_disk)).sum();
+    let live: u64 = scan.segments.keys().map(|segment| scan.index.live_bytes(*segment)).sum();
     // Writing to a string does not fail.
     let _ = writeln!(
         text,
@@ -147,63 +151,63 @@
     let _ = writeln!(
         text,
         "owed: {} messages and {} notices at {} destinations; {} may have run",
-        sum(|owed| owed.messages),
-        sum(|owed| owed.notices),
-        owed.len(),
-        sum(|owed| owed.may_have_run)
+        sum(|summary| summary.messages),
+        sum(|summary| summary.notices),
+        summaries.len(),
+        sum(|summary| summary.may_have_run)
     );
-    if !owed.is_empty() {
+    if !summaries.is_empty() {
         let _ = writeln!(
             text,
-            "\ndestination  messages  notices  may have run       bytes  oldest taken                 age s  first deadline"
+            "\ndestination  messages  notices  may have run       bytes  oldest accepted              age s  first deadline"
         );
     }
-    for (destination, owed) in &owed {
-        let age = now.saturating_sub(owed.oldest) as f64 / 1e6;
+    for (destination, summary) in &summaries {
+        let age = now.saturating_sub(summary.oldest) as f64 / 1e6;
         let _ = writeln!(
             text,
             "{destination:>11}  {:>8}  {:>7}  {:>12}  {:>10}  {:<27}  {age:>8.1}  {}",
-            owed.messages,
-            owed.notices,
-            owed.may_have_run,
-            owed.bytes,
-            when(owed.oldest),
-            when(owed.first_deadline)
+            summary.messages,
+            summary.notices,
+            summary.may_have_run,
+            summary.bytes,
+            format_time(summary.oldest),
+            format_time(summary.first_deadline)
         );
     }
-    let out: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
-    if !out.is_empty() {
-        let _ = writeln!(text, "\nout or cold: {}", out.join(", "));
+    let outages: Vec<String> = scan.index.outages().iter().map(u32::to_string).collect();
+    if !outages.is_empty() {
+        let _ = writeln!(text, "\nout or cold: {}", outages.join(", "));
     }
-    let _ = writeln!(text, "\n         segment       bytes        live  share  records  begun");
+    let _ = writeln!(text, "\n         segment       bytes        live  share  records  created");
     for (number, segment) in &scan.segments {
-        let live = scan.index.weight(*number);
-        let share = live as f64 / segment.length.max(1) as f64;
+        let live = scan.index.live_bytes(*number);
+        let live_ratio = live as f64 / segment.length.max(1) as f64;
         let _ = writeln!(
             text,
-            "{number:016x}  {:>10}  {live:>10}  {share:>5.2}  {:>7}  {}",
+            "{number:016x}  {:>10}  {live:>10}  {live_ratio:>5.2}  {:>7}  {}",
             segment.bytes_on_disk,
             segment.records,
-            when(segment.created)
+            format_time(segment.created_at)
         );
     }
-    for line in problems(&scan) {
+    for line in describe_problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
-    if scan.foreign > 0 {
-        let _ = writeln!(text, "other files: {} bytes, which count against the budget", scan.foreign);
+    if scan.foreign_bytes > 0 {
+        let _ = writeln!(text, "other files: {} bytes, which count against the budget", scan.foreign_bytes);
     }
     Ok(text)
 }
 
-/// Whether the journal is sound, and a line for each thing that is not.
+/// Verifies the journal. Returns whether it is free of damage, and a text with a line for each problem.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read.
-pub fn verify(folder: &Path) -> Result<(bool, String), InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal.
+pub fn verify(directory: &Path) -> Result<(bool, String), InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     let mut text = String::new();
-    for line in problems(&scan) {
+    for line in describe_problems(&scan) {
         let _ = writeln!(text, "{line}");
     }
     let records: u64 = scan.segments.values().map(|segment| segment.records).sum();
@@ -218,11 +222,11 @@
     Ok((sound, text))
 }
 
-fn start(start: Option<AttemptStart>) -> Value {
-    start.map_or(Value::Null, |start| json!({"at": when(start.at), "zone": start.zone}))
+fn attempt_start_json(start: Option<AttemptStart>) -> Value {
+    start.map_or(Value::Null, |start| json!({"at": format_time(start.at), "zone": start.zone}))
 }
 
-fn notice(notice: Option<Notice>) -> Value {
+fn notice_json(notice: Option<Notice>) -> Value {
     match notice {
         None => Value::Null,
         Some(Notice::GivenUp) => json!({"outcome": "given_up"}),
@@ -232,16 +236,16 @@
     }
 }
 
-fn message(number: u64, journaled: &JournaledMessage, bodies: bool) -> Value {
+fn message_json(number: u64, journaled: &JournaledMessage, bodies: bool) -> Value {
     let message = &journaled.message;
     let mut value = json!({
         "number": number, "id": message.id, "class": message.class, "dest": message.destination,
-        "taken": when(message.accepted_at), "deadline": when(message.deadline), "key": message.key,
-        "attempts": journaled.attempts, "may_have_run": start(journaled.may_have_run), "out": start(journaled.in_flight),
-        "notice": notice(journaled.notice), "body_bytes": message.body.len(),
+        "taken": format_time(message.accepted_at), "deadline": format_time(message.deadline), "key": message.key,
+        "attempts": journaled.attempts, "may_have_run": attempt_start_json(journaled.may_have_run),
+        "out": attempt_start_json(journaled.in_flight), "notice": notice_json(journaled.notice), "body_bytes": message.body.len(),
     });
-    if let Some((name, share)) = &message.tenant {
-        (value["customer"], value["over_share"]) = (name.as_str().into(), share.exceeded.into());
+    if let Some((name, quota)) = &message.tenant {
+        (value["customer"], value["over_share"]) = (name.as_str().into(), quota.exceeded.into());
     }
     if bodies {
         value["body_base64"] = STANDARD.encode(&message.body).into();
@@ -249,9 +253,9 @@
     value
 }
 
-fn record(segment: u64, offset: u64, record: &Record, bodies: bool) -> Value {
+fn record_json(segment: u64, offset: u64, record: &Record, bodies: bool) -> Value {
     let mut value = match record {
-        Record::Taken {
+        Record::Accepted {
             number,
             id,
             class,
@@ -263,117 +267,122 @@
             body,
             progress,
         } => {
-            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class, "dest": destination,
-                "taken": when(*accepted_at), "deadline": when(*deadline), "key": key, "body_bytes": body.len()});
-            if let Some((name, share)) = tenant {
-                (value["customer"], value["over_share"]) = ((*name).into(), share.exceeded.into());
-                value["share_left"] = (f64::from(share.remaining_thousandths) / 1000.0).into();
+            let mut value = json!({"record": "taken", "number": number, "id": id, "class": class,
+                "dest": destination, "taken": format_time(*accepted_at), "deadline": format_time(*deadline),
+                "key": key, "body_bytes": body.len()});
+            if let Some((name, quota)) = tenant {
+                (value["customer"], value["over_share"]) = ((*name).into(), quota.exceeded.into());
+                value["share_left"] = (f64::from(quota.remaining_thousandths) / 1000.0).into();
             }
             if let Some(progress) = progress {
                 value["attempts"] = progress.attempts.into();
-                value["may_have_run"] = start(progress.may_have_run);
-                value["out"] = start(progress.in_flight);
-                value["notice"] = notice(progress.notice);
+                value["may_have_run"] = attempt_start_json(progress.may_have_run);
+                value["out"] = attempt_start_json(progress.in_flight);
+                value["notice"] = notice_json(progress.notice);
             }
             if bodies {
                 value["body_base64"] = STANDARD.encode(body).into();
             }
             value
         }
-        Record::Started { number, start: at } => {
-            json!({"record": "started", "number": number, "start": start(Some(*at))})
+        Record::AttemptStarted { number, start: attempt_start } => {
+            json!({"record": "started", "number": number, "start": attempt_start_json(Some(*attempt_start))})
         }
-        Record::Ended { number, may_have_run } => {
+        Record::AttemptEnded { number, may_have_run } => {
             json!({"record": "ended", "number": number, "may_have_run": may_have_run})
         }
-        Record::Owed { number, notice: told } => {
-            json!({"record": "owed", "number": number, "notice": notice(Some(*told))})
+        Record::NoticeDue { number, notice: due_notice } => {
+            json!({"record": "owed", "number": number, "notice": notice_json(Some(*due_notice))})
+        }
+        Record::Closed { number, base_segment } => {
+            json!({"record": "over", "number": number, "base": base_segment})
         }
-        Record::Over { number, base } => json!({"record": "over", "number": number, "base": base}),
         Record::Progress { number, progress } => json!({"record": "progress", "number": number,
-            "attempts": progress.attempts, "may_have_run": start(progress.may_have_run),
-            "out": start(progress.in_flight), "notice": notice(progress.notice)}),
+            "attempts": progress.attempts, "may_have_run": attempt_start_json(progress.may_have_run),
+            "out": attempt_start_json(progress.in_flight), "notice": notice_json(progress.notice)}),
         Record::Outage { destination, ongoing } => {
             json!({"record": "outage", "dest": destination, "out": ongoing})
         }
-        Record::Opening { sealed, outages, next, quota_levels } => {
-            let sealed: Vec<Value> = sealed.iter().map(|s| json!([s.segment, s.length])).collect();
-            let quota_levels = quota_levels
-                .iter()
-                .map(|l| json!([l.tenant, f64::from(l.remaining_thousandths) / 1000.0, when(l.at)]));
+        Record::SegmentOpened { sealed, outages, next_number, quota_levels } => {
+            let sealed: Vec<Value> =
+                sealed.iter().map(|segment| json!([segment.segment, segment.length])).collect();
+            let quota_levels = quota_levels.iter().map(|level| {
+                json!([level.tenant, f64::from(level.remaining_thousandths) / 1000.0, format_time(level.at)])
+            });
             let quota_levels: Vec<Value> = quota_levels.collect();
-            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next, "levels": quota_levels})
+            json!({"record": "opening", "sealed": sealed, "outages": outages, "next": next_number,
+                "levels": quota_levels})
         }
-        Record::Taken1 { .. } | Record::Opening1 { .. } => json!({"record": "of version 1"}),
-        Record::Removed { segment } => json!({"record": "removed", "removed": segment}),
+        Record::AcceptedV1 { .. } | Record::SegmentOpenedV1 { .. } => json!({"record": "of version 1"}),
+        Record::SegmentRemoved { segment } => json!({"record": "removed", "removed": segment}),
     };
     value["segment"] = segment.into();
     value["offset"] = offset.into();
     value
 }
 
-/// Writes what is owed as JSON, one message a line; bodies only where they are asked for, in base64.
+/// Writes the open messages as JSON, one per line. Bodies are only included on request, in base64.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read, or `out` can't be written.
-pub fn dump(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
-    let scan = read(folder, &mut |_, _, _| ())?;
+/// If the directory holds no readable journal, or `out` can't be written.
+pub fn dump(directory: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
+    let scan = scan_directory(directory, &mut |_, _, _| ())?;
     for (number, journaled) in scan.index.iter() {
-        writeln!(out, "{}", message(number, journaled, bodies))?;
+        writeln!(out, "{}", message_json(number, journaled, bodies))?;
     }
     Ok(())
 }
 
-/// Writes every sound record as JSON, one a line, with its segment and offset: what the journal went through.
+/// Writes every valid record as JSON with its segment and offset, one per line.
 ///
 /// # Errors
-/// As for [`dump`]. A segment that goes meanwhile, beside a dispatcher that runs, has the folder read again: its
-/// records stand twice then.
-pub fn dump_records(folder: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
+/// As for [`dump`]. If a running dispatcher removes a segment during the read, the directory is read again, and
+/// records that were already written appear twice.
+pub fn dump_records(directory: &Path, bodies: bool, out: &mut dyn Write) -> Result<(), InspectError> {
     let mut written = Ok(());
-    read(folder, &mut |segment, offset, seen| {
+    scan_directory(directory, &mut |segment, offset, record| {
         if written.is_ok() {
-            written = writeln!(out, "{}", record(segment, offset, seen, bodies));
+            written = writeln!(out, "{}", record_json(segment, offset, record, bodies));
         }
     })?;
     Ok(written?)
 }
 
-/// What a repair found and wrote.
+/// The result of a repair.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RepairReport {
-    /// Messages that stand in the new journal.
+    /// Number of messages in the new journal.
     pub messages: usize,
-    /// Those of them that count as ones that may have run since they were taken, because records are lost.
+    /// How many of them count as possibly run since they were accepted, because records are lost.
     pub assumed_run: usize,
-    /// What was wrong, a line each.
+    /// What was wrong, a line for each problem.
     pub problems: Vec<String>,
 }
 
-/// Writes all that can be read of a journal to a new folder, and never touches the old one. No dispatcher may run
-/// on it meanwhile.
+/// Writes all readable content of a journal to a new directory and leaves the old one unchanged. No dispatcher may be
+/// running on the old one.
 ///
 /// # Errors
-/// Where the folder holds no journal that can be read, or the new one is not empty or can't be written.
-pub fn repair(folder: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
+/// If the directory holds no readable journal, or if the new one is not empty or can't be written.
+pub fn repair(directory: &Path, to: &Path, now: UnixMicros) -> Result<RepairReport, InspectError> {
     let mut found = {
-        let files = Disk::new(folder);
-        let failed = |error| InspectError::Open { folder: folder.display().to_string(), error };
-        scan(&files, 0).map_err(failed)?
+        let files = Disk::new(directory);
+        let open_error = |error| InspectError::Open { directory: directory.display().to_string(), error };
+        scan(&files, 0).map_err(open_error)?
     };
-    if found.old.is_some() {
-        return Err(InspectError::Old(folder.display().to_string()));
+    if found.legacy.is_some() {
+        return Err(InspectError::LegacyFormat(directory.display().to_string()));
     }
     let Some(identity) = found.identity else {
-        return Err(InspectError::Nothing(folder.display().to_string()));
+        return Err(InspectError::NoJournal(directory.display().to_string()));
     };
     std::fs::create_dir_all(to)?;
     let files = Disk::new(to);
     if !files.list()?.is_empty() {
-        return Err(InspectError::Occupied(to.display().to_string()));
+        return Err(InspectError::TargetNotEmpty(to.display().to_string()));
     }
-    let assumed_run = found.index.assumed_run().len();
-    found.index.settle();
+    let assumed_run = found.index.take_assumed_run().len();
+    found.index.resolve_in_flight();
     let options = Options {
         limits: Limits::for_budget(u64::MAX),
         durability: Durability::Always,
@@ -381,12 +390,12 @@
         identity,
         remembered_outcomes: 0,
     };
-    let failed = |error| InspectError::Open { folder: to.display().to_string(), error };
-    let (mut journal, _) = Journal::recover(files, options).map_err(failed)?;
+    let open_error = |error| InspectError::Open { directory: to.display().to_string(), error };
+    let (mut journal, _) = Journal::recover(files, options).map_err(open_error)?;
     let messages = found
         .index
         .iter()
         .map(|(number, journaled)| (number, journaled.message.clone(), journaled.progress()));
-    journal.adopt(found.index.outages().iter().copied(), messages)?;
-    Ok(RepairReport { messages: found.index.len(), assumed_run, problems: problems(&found) })
+    journal.import(found.index.outages().iter().copied(), messages)?;
+    Ok(RepairReport { messages: found.index.len(), assumed_run, problems: describe_problems(&found) })
 }
