--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,5 +1,8 @@
-//! Stand-ins for clients and the front before the dispatchers: they hand messages in at their own times, wait
-//! 400 ms, and come again by habit.
+//! Simulated clients, and the load balancer in front of the dispatchers.
+//!
+//! The clients submit the messages of a script at their scripted times, wait a limited time for each response, and
+//! resubmit messages that were rejected or got no response. Each submission of a message has an id of its own. What they
+//! send and receive goes into the record that the auditor reads.
 
 use crate::http::Wire;
 use crate::ledger::Ledger;
@@ -15,21 +18,22 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// A message is handed in so often at most, whatever becomes of it.
-const HAND_INS_MOST: u32 = 6;
+/// Upper limit on the submissions of one message, whatever their results.
+const MAX_SUBMISSIONS: u32 = 6;
 
-/// A message of a client, through all its ids.
+/// A client's message with the state of all its submissions.
 #[derive(Clone)]
-struct Errand {
+struct ClientMessage {
     arrival: Arrival,
     rng: fastrand::Rng,
-    /// Hand-ins so far, and refusals after which it came again.
-    hand_ins: u32,
-    refusals: u32,
-    /// A dispatcher has read it at least once.
+    /// Submissions so far.
+    submissions: u32,
+    /// Rejections so far, by a response or by a notice.
+    rejections: u32,
+    /// At least one submission reached a dispatcher.
     reached: bool,
-    /// When it was handed in first.
-    since: Micros,
+    /// Time of the first submission.
+    first_submitted_at: Micros,
     body: Arc<Vec<u8>>,
 }
 
@@ -38,218 +42,236 @@
     scenario: Scenario,
     recorder: Recorder,
     ledger: Arc<Ledger>,
-    at: Vec<SocketAddr>,
-    /// Whom the front takes to be alive.
+    dispatcher_addresses: Vec<SocketAddr>,
+    /// The dispatchers that the load balancer considers alive.
     alive: Mutex<Vec<bool>>,
-    kept: Vec<Mutex<Vec<Wire>>>,
-    /// Taken on, and not yet known to be over: a notice may send its client once more.
-    taken: Mutex<HashMap<String, Errand>>,
-    /// Errands under way.
+    /// Idle keep-alive connections, by dispatcher.
+    idle_connections: Vec<Mutex<Vec<Wire>>>,
+    /// Accepted messages without a notice so far, by id: a notice may make the client resubmit.
+    accepted: Mutex<HashMap<String, ClientMessage>>,
+    /// Messages with a submission or a resubmission delay in progress.
     active: AtomicUsize,
-    /// Messages that could be handed in to nobody.
-    never: AtomicUsize,
+    /// Messages that no dispatcher ever received.
+    unreached: AtomicUsize,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-enum Heard {
-    Taken,
-    Refused(Option<Duration>),
+/// Result of one submission.
+enum SubmitResult {
+    Accepted,
+    /// Rejected, with the delay from `Retry-After` if the response had one.
+    Rejected(Option<Duration>),
     Failed,
-    /// It may have been taken, or not: handed in again under a new id.
-    Nothing,
-    /// No connection came up: it was surely not taken.
+    /// No response: the message may or may not have been accepted, so a resubmission gets a new id.
+    NoResponse,
+    /// The connection could not be established: the message was certainly not accepted.
     Unreached,
 }
 
 impl SimulatedClients {
-    /// Clients of dispatchers at these addresses.
+    /// Creates clients of the dispatchers at these addresses.
     pub fn new(
-        scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, at: Vec<SocketAddr>,
+        scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, dispatcher_addresses: Vec<SocketAddr>,
     ) -> Arc<SimulatedClients> {
-        let count = at.len();
+        let count = dispatcher_addresses.len();
         Arc::new(SimulatedClients {
             scenario,
             recorder,
             ledger,
-            at,
+            dispatcher_addresses,
             alive: Mutex::new(vec![true; count]),
-            kept: (0..count).map(|_| Mutex::default()).collect(),
-            taken: Mutex::default(),
+            idle_connections: (0..count).map(|_| Mutex::default()).collect(),
+            accepted: Mutex::default(),
             active: AtomicUsize::new(0),
-            never: AtomicUsize::new(0),
+            unreached: AtomicUsize::new(0),
         })
     }
 
-    /// What the front thinks of a dispatcher from now on.
+    /// Sets whether the load balancer considers a dispatcher alive, and drops the connections to one that is not.
     pub fn set_alive(&self, dispatcher: usize, alive: bool) {
         lock(&self.alive)[dispatcher] = alive;
         if !alive {
-            lock(&self.kept[dispatcher]).clear();
+            lock(&self.idle_connections[dispatcher]).clear();
         }
     }
 
-    /// Errands under way.
+    /// Number of messages with a submission or a resubmission delay in progress.
     pub fn active_submissions(&self) -> usize {
         self.active.load(Ordering::SeqCst)
     }
 
-    /// Messages that never found a dispatcher that would listen.
+    /// Number of messages that no dispatcher ever received.
     pub fn unreached_messages(&self) -> usize {
-        self.never.load(Ordering::SeqCst)
+        self.unreached.load(Ordering::SeqCst)
     }
 
-    /// Hands in all arrivals at their times, from `began` on.
-    pub async fn submit_arrivals(self: Arc<SimulatedClients>, arrivals: Vec<Arrival>, began: Micros) {
+    /// Submits all arrivals at their times, which count from `started_at`.
+    pub async fn submit_arrivals(self: Arc<SimulatedClients>, arrivals: Vec<Arrival>, started_at: Micros) {
         for arrival in arrivals {
-            tokio::time::sleep_until(self.recorder.instant(began + arrival.at).into()).await;
+            tokio::time::sleep_until(self.recorder.instant(started_at + arrival.at).into()).await;
             let mut rng = fastrand::Rng::with_seed(arrival.seed);
             let body = Arc::new((0..arrival.length).map(|_| rng.u8(..)).collect());
-            let since = self.recorder.now();
+            let first_submitted_at = self.recorder.now();
             self.spawn(
-                Errand { arrival, rng, hand_ins: 0, refusals: 0, reached: false, since, body },
+                ClientMessage {
+                    arrival,
+                    rng,
+                    submissions: 0,
+                    rejections: 0,
+                    reached: false,
+                    first_submitted_at,
+                    body,
+                },
                 Duration::ZERO,
             );
         }
     }
 
-    /// Hears what the platform was told: a message that is handed back may come again.
+    /// Handles the notices that the platform receives: a message that was handed back may be resubmitted.
     pub async fn handle_notices(self: Arc<SimulatedClients>, mut notices: mpsc::UnboundedReceiver<Notice>) {
         while let Some(notice) = notices.recv().await {
-            let Some(mut errand) = lock(&self.taken).remove(&notice.message) else { continue };
-            errand.reached = true;
-            if notice.outcome == Outcome::HandedBack && self.comes_again(&mut errand) {
-                let wait = notice.retry_in_ms.map(Duration::from_millis);
-                let wait = wait.unwrap_or_else(|| self.backoff(&mut errand));
-                // With a key that may be forgotten by then nobody comes again.
-                let class = &self.scenario.classes[errand.arrival.class];
-                let then = self.recorder.now() + wait.as_micros() as Micros;
-                if class.effect != Effect::Keyed || then < errand.since + (class.window_s * 1e6) as Micros {
-                    self.spawn(errand, wait);
+            let Some(mut message) = lock(&self.accepted).remove(&notice.message) else { continue };
+            message.reached = true;
+            if notice.outcome == Outcome::HandedBack && self.resubmits(&mut message) {
+                let delay = notice.retry_in_ms.map(Duration::from_millis);
+                let delay = delay.unwrap_or_else(|| self.backoff(&mut message));
+                // A keyed message is not resubmitted once its key may be forgotten: the repeat could take effect twice.
+                let class = &self.scenario.classes[message.arrival.class];
+                let resubmitted_at = self.recorder.now() + delay.as_micros() as Micros;
+                if class.effect != Effect::Keyed
+                    || resubmitted_at < message.first_submitted_at + (class.window_s * 1e6) as Micros
+                {
+                    self.spawn(message, delay);
                 }
             }
         }
     }
 
-    fn spawn(self: &Arc<SimulatedClients>, errand: Errand, after: Duration) {
+    fn spawn(self: &Arc<SimulatedClients>, message: ClientMessage, delay: Duration) {
         self.active.fetch_add(1, Ordering::SeqCst);
-        let crowd = self.clone();
+        let clients = self.clone();
         tokio::spawn(async move {
-            sleep(after).await;
-            crowd.run(errand).await;
-            crowd.active.fetch_sub(1, Ordering::SeqCst);
+            sleep(delay).await;
+            clients.run(message).await;
+            clients.active.fetch_sub(1, Ordering::SeqCst);
         });
     }
 
-    /// Whether a message that was turned away comes again: by habit, and once.
-    fn comes_again(&self, errand: &mut Errand) -> bool {
-        errand.refusals += 1;
-        errand.refusals == 1 && errand.rng.f64() < self.scenario.clients.retries
+    /// Whether the client resubmits a rejected message: after the first rejection only, with the scenario's probability.
+    fn resubmits(&self, message: &mut ClientMessage) -> bool {
+        message.rejections += 1;
+        message.rejections == 1 && message.rng.f64() < self.scenario.clients.retries
     }
 
-    fn backoff(&self, errand: &mut Errand) -> Duration {
-        let [least, most] = self.scenario.clients.backoff_ms;
-        Duration::from_millis(errand.rng.u64(least..=most))
+    fn backoff(&self, message: &mut ClientMessage) -> Duration {
+        let [min_ms, max_ms] = self.scenario.clients.backoff_ms;
+        Duration::from_millis(message.rng.u64(min_ms..=max_ms))
     }
 
-    fn choose(&self, errand: &mut Errand) -> usize {
+    /// Chooses a dispatcher at random among those considered alive, or among all if there are none.
+    fn choose_dispatcher(&self, message: &mut ClientMessage) -> usize {
         let alive = lock(&self.alive);
-        let up: Vec<usize> = (0..alive.len()).filter(|i| alive[*i]).collect();
-        match up.len() {
-            0 => errand.rng.usize(..alive.len()),
-            count => up[errand.rng.usize(..count)],
+        let candidates: Vec<usize> = (0..alive.len()).filter(|i| alive[*i]).collect();
+        match candidates.len() {
+            0 => message.rng.usize(..alive.len()),
+            count => candidates[message.rng.usize(..count)],
         }
     }
 
-    async fn run(self: &Arc<SimulatedClients>, mut errand: Errand) {
-        let class = &self.scenario.classes[errand.arrival.class];
-        let span = (class.deadline_s * 1e6) as Micros;
-        while errand.hand_ins < HAND_INS_MOST {
-            let deadline = errand.since + span;
-            // What has hardly any time left is not worth a try.
+    /// Submits a message until it is accepted, the client gives up or its deadline is near.
+    async fn run(self: &Arc<SimulatedClients>, mut message: ClientMessage) {
+        let class = &self.scenario.classes[message.arrival.class];
+        let time_limit = (class.deadline_s * 1e6) as Micros;
+        while message.submissions < MAX_SUBMISSIONS {
+            let deadline = message.first_submitted_at + time_limit;
+            // With less than 50 ms left, delivery within the deadline is unlikely.
             if self.recorder.now() + 50_000 > deadline {
                 break;
             }
-            let number = errand.hand_ins;
-            errand.hand_ins += 1;
+            let number = message.submissions;
+            message.submissions += 1;
             let id = match number {
-                0 => errand.arrival.id.clone(),
-                n => format!("{}-{n}", errand.arrival.id),
+                0 => message.arrival.id.clone(),
+                n => format!("{}-{n}", message.arrival.id),
             };
-            let dispatcher = self.choose(&mut errand);
-            // On the books first: its end may be known before its answer is read here.
-            lock(&self.taken).insert(id.clone(), errand.clone());
-            let heard = self.hand_in(&errand, &id, dispatcher, deadline).await;
-            errand.reached |= !matches!(heard, Heard::Unreached);
-            if !matches!(heard, Heard::Taken) {
-                lock(&self.taken).remove(&id);
+            let dispatcher = self.choose_dispatcher(&mut message);
+            // Inserted before the submission: the notice may arrive before the response is read here.
+            lock(&self.accepted).insert(id.clone(), message.clone());
+            let result = self.submit(&message, &id, dispatcher, deadline).await;
+            message.reached |= !matches!(result, SubmitResult::Unreached);
+            if !matches!(result, SubmitResult::Accepted) {
+                lock(&self.accepted).remove(&id);
             }
-            match heard {
-                Heard::Taken | Heard::Failed => return,
-                Heard::Refused(wait) => {
-                    if !self.comes_again(&mut errand) {
+            match result {
+                SubmitResult::Accepted | SubmitResult::Failed => return,
+                SubmitResult::Rejected(retry_after) => {
+                    if !self.resubmits(&mut message) {
                         return;
                     }
-                    let wait = wait.unwrap_or_else(|| self.backoff(&mut errand));
-                    sleep(wait).await;
+                    let delay = retry_after.unwrap_or_else(|| self.backoff(&mut message));
+                    sleep(delay).await;
                 }
-                Heard::Nothing if class.effect == Effect::Unsafe => return,
-                Heard::Nothing | Heard::Unreached => {
-                    let wait = self.backoff(&mut errand);
-                    sleep(wait).await;
+                SubmitResult::NoResponse if class.effect == Effect::Unsafe => return,
+                SubmitResult::NoResponse | SubmitResult::Unreached => {
+                    let delay = self.backoff(&mut message);
+                    sleep(delay).await;
                 }
             }
         }
-        if !errand.reached {
-            self.never.fetch_add(1, Ordering::SeqCst);
+        if !message.reached {
+            self.unreached.fetch_add(1, Ordering::SeqCst);
         }
     }
 
-    /// One hand-in under one id; once more on a new connection where the close of a kept one crossed it.
-    async fn hand_in(&self, errand: &Errand, id: &str, dispatcher: usize, deadline: Micros) -> Heard {
-        let arrival = &errand.arrival;
+    /// Submits a message once under one id. Repeats the request on a new connection if it failed on a reused one, which
+    /// the dispatcher may have closed at the same moment.
+    async fn submit(
+        &self, message: &ClientMessage, id: &str, dispatcher: usize, deadline: Micros,
+    ) -> SubmitResult {
+        let arrival = &message.arrival;
         let class = &self.scenario.classes[arrival.class];
         let dest = arrival.partner as u32 + 1;
-        let window = (class.window_s * 1e6) as Micros;
-        self.ledger.enter(id, dest, deadline, class.effect, window);
-        let patience = Duration::from_millis(self.scenario.clients.patience_ms);
+        let key_window = (class.window_s * 1e6) as Micros;
+        self.ledger.enter(id, dest, deadline, class.effect, key_window);
+        let response_timeout = Duration::from_millis(self.scenario.clients.patience_ms);
         let mut fresh = false;
         loop {
-            let kept = if fresh { None } else { self.reuse(dispatcher) };
-            fresh = kept.is_none();
-            let mut wire = match kept {
+            let reused = if fresh { None } else { self.take_idle_connection(dispatcher) };
+            fresh = reused.is_none();
+            let mut wire = match reused {
                 Some(wire) => wire,
-                None => match Wire::connect(self.at[dispatcher], patience).await {
+                None => match Wire::connect(self.dispatcher_addresses[dispatcher], response_timeout).await {
                     Ok(wire) => wire,
-                    Err(_) => return Heard::Unreached,
+                    Err(_) => return SubmitResult::Unreached,
                 },
             };
             let key = (class.effect == Effect::Keyed).then(|| format!("k{}", arrival.id));
-            let left = deadline.saturating_sub(self.recorder.now()) / 1000;
+            let remaining_ms = deadline.saturating_sub(self.recorder.now()) / 1000;
             let mut head = format!(
                 "POST /{name} HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {name}\r\n\
-                 Request-Timeout-Ms: {left}\r\nContent-Length: {length}\r\nX-Consignee: dest={dest}\r\n",
+                 Request-Timeout-Ms: {remaining_ms}\r\nContent-Length: {length}\r\nX-Consignee: dest={dest}\r\n",
                 name = class.name,
-                length = errand.body.len(),
+                length = message.body.len(),
             );
             if let Some(key) = &key {
                 head.push_str(&format!("Idempotency-Key: {key}\r\n"));
             }
-            if let Some(customer) = &self.scenario.partners[arrival.partner].customer {
-                head.push_str(&format!("Tenant: {customer}\r\n"));
+            if let Some(tenant) = &self.scenario.partners[arrival.partner].customer {
+                head.push_str(&format!("Tenant: {tenant}\r\n"));
             }
-            if errand.hand_ins > 1 {
+            if message.submissions > 1 {
                 head.push_str("Client-Retry: 1\r\n");
             }
             head.push_str("\r\n");
-            let mut bytes = head.into_bytes();
-            bytes.extend_from_slice(&errand.body);
-            if wire.write(&bytes).await.is_err() {
-                // Its last byte was never written: nothing was asked.
+            let mut request = head.into_bytes();
+            request.extend_from_slice(&message.body);
+            if wire.write(&request).await.is_err() {
+                // The last byte was not written, so the dispatcher can't have accepted the message.
                 match fresh {
-                    true => return Heard::Nothing,
+                    true => return SubmitResult::NoResponse,
                     false => {
                         fresh = true;
                         continue;
@@ -263,49 +285,51 @@
                 dest,
                 key,
                 order: None,
-                body: digest(&errand.body),
+                body: digest(&message.body),
                 deadline,
                 dispatcher,
                 fresh,
             });
-            let answer = match timeout(patience, wire.answer()).await {
-                Ok(Ok(answer)) => answer,
+            let response = match timeout(response_timeout, wire.answer()).await {
+                Ok(Ok(response)) => response,
                 Ok(Err(_)) => {
                     self.recorder.add(What::Dropped { id: id.into() });
                     if !fresh {
                         fresh = true;
                         continue;
                     }
-                    return Heard::Nothing;
+                    return SubmitResult::NoResponse;
                 }
                 Err(_) => {
                     self.recorder.add(What::Left { id: id.into() });
-                    return Heard::Nothing;
+                    return SubmitResult::NoResponse;
                 }
             };
-            self.recorder.add(What::Answered { id: id.into(), status: answer.status() });
-            if !answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
-                let mut kept = lock(&self.kept[dispatcher]);
-                if kept.len() < self.scenario.clients.connections {
-                    kept.push(wire);
+            self.recorder.add(What::Answered { id: id.into(), status: response.status() });
+            if !response.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
+                let mut idle = lock(&self.idle_connections[dispatcher]);
+                if idle.len() < self.scenario.clients.connections {
+                    idle.push(wire);
                 }
             }
-            return match answer.status() {
-                200 | 202 => Heard::Taken,
+            return match response.status() {
+                200 | 202 => SubmitResult::Accepted,
                 429 | 503 => {
-                    let wait = answer.header("retry-after").and_then(|seconds| seconds.parse::<f64>().ok());
-                    let wait = wait.filter(|seconds| (0.0..60.0).contains(seconds));
-                    Heard::Refused(wait.map(Duration::from_secs_f64))
+                    let retry_after =
+                        response.header("retry-after").and_then(|seconds| seconds.parse::<f64>().ok());
+                    let retry_after = retry_after.filter(|seconds| (0.0..60.0).contains(seconds));
+                    SubmitResult::Rejected(retry_after.map(Duration::from_secs_f64))
                 }
-                _ => Heard::Failed,
+                _ => SubmitResult::Failed,
             };
         }
     }
 
-    fn reuse(&self, dispatcher: usize) -> Option<Wire> {
-        let mut kept = lock(&self.kept[dispatcher]);
+    /// Takes an idle connection to a dispatcher that is still open.
+    fn take_idle_connection(&self, dispatcher: usize) -> Option<Wire> {
+        let mut idle = lock(&self.idle_connections[dispatcher]);
         loop {
-            let mut wire = kept.pop()?;
+            let mut wire = idle.pop()?;
             if !wire.spent() {
                 return Some(wire);
             }
--- a/crates/lab/src/loss.rs
+++ b/crates/lab/src/loss.rs
@@ -1,150 +1,172 @@
-//! What a fleet's counts say of the losses at each destination: room that lay unused while messages were held,
-//! refusals by what they meant, and how a return was found and filled.
+//! Computes the losses at each destination from a fleet's traffic counters: capacity that stayed unused while messages
+//! were pending, rejected calls by their cause, and how long the recovery from an outage took.
 
 use crate::fleet::Fleet;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Share of a limit from which on a place counts as in full use.
-const FULL_USE: f64 = 0.9;
-/// Spans in a row without a delivery that count as an outage.
-const OUT_LEAST: usize = 2;
+/// Share of the rate limit from which on a destination counts as fully used.
+const FULL_USE_SHARE: f64 = 0.9;
+/// Consecutive intervals without a delivery that count as an outage.
+const MIN_OUTAGE_INTERVALS: usize = 2;
 
-/// An outage and its end, in seconds of the logs' clock.
+/// An outage of a destination and its end, in seconds of the logs' clock.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Return {
-    /// When nothing was delivered any more.
-    pub out_s: f64,
-    /// When the first was delivered again; none where that is not in the logs.
-    pub found_s: Option<f64>,
-    /// When the limit was used again, or nothing more held than went out.
-    pub full_use_s: Option<f64>,
+pub struct Outage {
+    /// Start of the first interval without a delivery.
+    #[serde(rename = "out_s")]
+    pub started_s: f64,
+    /// Start of the first interval with a delivery again; none if the logs end before.
+    #[serde(rename = "found_s")]
+    pub recovered_s: Option<f64>,
+    /// Start of the first interval since then in which the rate limit was fully used, or no more messages were pending
+    /// than were sent.
+    #[serde(rename = "full_use_s")]
+    pub full_rate_s: Option<f64>,
 }
 
-/// What was lost at one destination, or at all.
+/// Losses at one destination, or at all of them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Loss {
-    /// Calls, and those of them that were turned away.
+pub struct Losses {
+    /// Calls, including rejected ones.
     pub calls: u64,
-    /// Turned away with nothing left of the limit.
-    pub refused_used: u64,
-    /// Turned away with nearly all of it left: shut, its queue full, cold or short of connections.
-    pub refused_shut: u64,
-    /// Turned away with something left, or without a report.
-    pub refused_other: u64,
-    /// Calls that the limit would have let through, and for which messages were held.
-    pub unused: f64,
-    /// What the told limit lets through in the seconds for which one is known.
-    pub limit: f64,
+    /// Calls that were rejected with nothing left of the rate limit.
+    #[serde(rename = "refused_used")]
+    pub rejected_exhausted: u64,
+    /// Calls that were rejected with nearly all of the rate limit left: the destination was unavailable, cold, out of
+    /// connections, or its queue was full.
+    #[serde(rename = "refused_shut")]
+    pub rejected_unavailable: u64,
+    /// Calls that were rejected with a part of the rate limit left, or without a rate limit report.
+    #[serde(rename = "refused_other")]
+    pub rejected_other: u64,
+    /// Calls that the rate limit would have permitted, and for which messages were pending.
+    #[serde(rename = "unused")]
+    pub unused_calls: f64,
+    /// Calls that the reported rate limit permits, over all intervals in which it is known.
+    #[serde(rename = "limit")]
+    pub permitted_calls: f64,
     /// Messages handed back or given up.
-    pub ended: u64,
+    #[serde(rename = "ended")]
+    pub undelivered: u64,
     /// Outages.
-    pub returns: Vec<Return>,
+    #[serde(rename = "returns")]
+    pub outages: Vec<Outage>,
 }
 
-/// The losses by destination, and of all under `all`. `every`: seconds of the fleet's spans.
-pub fn losses_by_destination(fleet: &Fleet, every: f64) -> BTreeMap<String, Loss> {
-    let dests: BTreeSet<&String> = fleet.spans.keys().map(|(_, dest)| dest).collect();
-    let mut found = BTreeMap::new();
-    let mut all = Loss::default();
-    for dest in dests {
-        let loss = of(fleet, dest, every);
-        all.calls += loss.calls;
-        all.refused_used += loss.refused_used;
-        all.refused_shut += loss.refused_shut;
-        all.refused_other += loss.refused_other;
-        all.unused += loss.unused;
-        all.limit += loss.limit;
-        all.ended += loss.ended;
-        found.insert(dest.clone(), loss);
+/// Computes the losses by destination, and their sum under the name `all`. `interval_s` is the length of the counters'
+/// intervals in seconds.
+pub fn losses_by_destination(fleet: &Fleet, interval_s: f64) -> BTreeMap<String, Losses> {
+    let destinations: BTreeSet<&String> = fleet.spans.keys().map(|(_, destination)| destination).collect();
+    let mut by_destination = BTreeMap::new();
+    let mut all = Losses::default();
+    for destination in destinations {
+        let losses = losses_at(fleet, destination, interval_s);
+        all.calls += losses.calls;
+        all.rejected_exhausted += losses.rejected_exhausted;
+        all.rejected_unavailable += losses.rejected_unavailable;
+        all.rejected_other += losses.rejected_other;
+        all.unused_calls += losses.unused_calls;
+        all.permitted_calls += losses.permitted_calls;
+        all.undelivered += losses.undelivered;
+        by_destination.insert(destination.clone(), losses);
     }
-    found.insert("all".into(), all);
-    found
+    by_destination.insert("all".into(), all);
+    by_destination
 }
 
-fn of(fleet: &Fleet, dest: &str, every: f64) -> Loss {
-    let mut loss = Loss::default();
-    // Told by answers alone: while none comes, the last one holds.
+/// Computes the losses at one destination.
+fn losses_at(fleet: &Fleet, destination: &str, interval_s: f64) -> Losses {
+    let mut losses = Losses::default();
+    // Only responses report the limit, so the last reported one applies to intervals without a report.
     let mut limit = 0.0;
-    let mut silent: Option<(f64, usize)> = None;
-    for ((span, _), figures) in fleet.spans.iter().filter(|((_, own), _)| own == dest) {
-        let at = *span as f64 * every;
-        let figure = |name: &str| figures.get(name).copied().unwrap_or(0);
-        let (calls, served, full) = (figure("calls"), figure("served"), figure("full"));
-        let (used, shut) = (figure("full_used"), figure("full_shut"));
-        loss.calls += calls;
-        loss.refused_used += used;
-        loss.refused_shut += shut;
-        loss.refused_other += full.saturating_sub(used + shut);
-        loss.ended += figure("back") + figure("given_up");
-        limit = Some(figure("limit") as f64).filter(|told| *told > 0.0).unwrap_or(limit);
-        let held =
-            fleet.held.get(&(*span, dest.to_string())).map_or(0.0, |held| held.0 as f64 / every.max(1.0));
-        let each = figure("messages").max(1) as f64 / calls.max(1) as f64;
-        loss.limit += limit * every;
-        loss.unused += (limit * every - calls as f64).min(held / each.max(1.0)).max(0.0);
-        // One that was out and is tried delivers nothing.
-        let failing = served == 0 && full + figure("lost") + figure("unconnected") > 0;
-        match (&mut silent, failing) {
-            (None, true) => silent = Some((at, 1)),
-            (Some((_, spans)), true) => *spans += 1,
-            (Some((out_s, spans)), false) if served > 0 => {
-                if *spans >= OUT_LEAST {
-                    let (found_s, full_use_s) = (Some(at), None);
-                    loss.returns.push(Return { out_s: *out_s, found_s, full_use_s });
+    let mut without_delivery: Option<(f64, usize)> = None;
+    for ((span, _), counters) in fleet.spans.iter().filter(|((_, of), _)| of == destination) {
+        let interval_start_s = *span as f64 * interval_s;
+        let counter = |name: &str| counters.get(name).copied().unwrap_or(0);
+        let (calls, served, rejected) = (counter("calls"), counter("served"), counter("full"));
+        let (exhausted, unavailable) = (counter("full_used"), counter("full_shut"));
+        losses.calls += calls;
+        losses.rejected_exhausted += exhausted;
+        losses.rejected_unavailable += unavailable;
+        losses.rejected_other += rejected.saturating_sub(exhausted + unavailable);
+        losses.undelivered += counter("back") + counter("given_up");
+        limit = Some(counter("limit") as f64).filter(|reported| *reported > 0.0).unwrap_or(limit);
+        let pending = fleet
+            .held
+            .get(&(*span, destination.to_string()))
+            .map_or(0.0, |pending| pending.0 as f64 / interval_s.max(1.0));
+        let messages_per_call = counter("messages").max(1) as f64 / calls.max(1) as f64;
+        losses.permitted_calls += limit * interval_s;
+        losses.unused_calls +=
+            (limit * interval_s - calls as f64).min(pending / messages_per_call.max(1.0)).max(0.0);
+        // A destination that is down serves no call, though trials are made.
+        let failing = served == 0 && rejected + counter("lost") + counter("unconnected") > 0;
+        match (&mut without_delivery, failing) {
+            (None, true) => without_delivery = Some((interval_start_s, 1)),
+            (Some((_, intervals)), true) => *intervals += 1,
+            (Some((started_s, intervals)), false) if served > 0 => {
+                if *intervals >= MIN_OUTAGE_INTERVALS {
+                    let (recovered_s, full_rate_s) = (Some(interval_start_s), None);
+                    losses.outages.push(Outage { started_s: *started_s, recovered_s, full_rate_s });
                 }
-                silent = None;
+                without_delivery = None;
             }
             _ => {}
         }
-        let busy = calls as f64 >= FULL_USE * limit * every || held / each.max(1.0) <= calls as f64;
-        if let Some(last) =
-            loss.returns.last_mut().filter(|last| last.full_use_s.is_none() && busy && served > 0)
+        let at_full_rate = calls as f64 >= FULL_USE_SHARE * limit * interval_s
+            || pending / messages_per_call.max(1.0) <= calls as f64;
+        if let Some(outage) = losses
+            .outages
+            .last_mut()
+            .filter(|outage| outage.full_rate_s.is_none() && at_full_rate && served > 0)
         {
-            last.full_use_s = Some(at);
+            outage.full_rate_s = Some(interval_start_s);
         }
     }
-    if let Some((out_s, _)) = silent.filter(|(_, spans)| *spans >= OUT_LEAST) {
-        loss.returns.push(Return { out_s, found_s: None, full_use_s: None });
+    if let Some((started_s, _)) = without_delivery.filter(|(_, intervals)| *intervals >= MIN_OUTAGE_INTERVALS)
+    {
+        losses.outages.push(Outage { started_s, recovered_s: None, full_rate_s: None });
     }
-    loss
+    losses
 }
 
-/// The table, of one folder or of two side by side (`before` first).
-pub fn format_losses(before: Option<&BTreeMap<String, Loss>>, after: &BTreeMap<String, Loss>) -> String {
-    let heads = ["calls", "unused", "used_up", "shut", "other", "ended", "found_s", "full_s"];
+/// Formats the losses as a table; with the losses of an earlier run, each cell shows `earlier > current`.
+pub fn format_losses(before: Option<&BTreeMap<String, Losses>>, after: &BTreeMap<String, Losses>) -> String {
+    let headings = ["calls", "unused", "used_up", "shut", "other", "ended", "found_s", "full_s"];
     let mut text = format!("{:>5}", "dest");
-    heads.iter().for_each(|head| text.push_str(&format!(" {head:>15}")));
+    headings.iter().for_each(|heading| text.push_str(&format!(" {heading:>15}")));
     text.push('\n');
-    let cells = |loss: &Loss| {
-        let gap = |to: &dyn Fn(&Return) -> Option<f64>| {
-            let gaps: Vec<f64> = loss.returns.iter().filter_map(to).collect();
-            if gaps.is_empty() {
+    let cells = |losses: &Losses| {
+        let mean_time = |time_of: &dyn Fn(&Outage) -> Option<f64>| {
+            let times: Vec<f64> = losses.outages.iter().filter_map(time_of).collect();
+            if times.is_empty() {
                 "-".into()
             } else {
-                format!("{:.0}", gaps.iter().sum::<f64>() / gaps.len() as f64)
+                format!("{:.0}", times.iter().sum::<f64>() / times.len() as f64)
             }
         };
         [
-            loss.calls.to_string(),
-            format!("{:.0}", loss.unused),
-            loss.refused_used.to_string(),
-            loss.refused_shut.to_string(),
-            loss.refused_other.to_string(),
-            loss.ended.to_string(),
-            gap(&|back| back.found_s.map(|found| found - back.out_s)),
-            gap(&|back| Some(back.full_use_s? - back.found_s?)),
+            losses.calls.to_string(),
+            format!("{:.0}", losses.unused_calls),
+            losses.rejected_exhausted.to_string(),
+            losses.rejected_unavailable.to_string(),
+            losses.rejected_other.to_string(),
+            losses.undelivered.to_string(),
+            mean_time(&|outage| outage.recovered_s.map(|recovered_s| recovered_s - outage.started_s)),
+            mean_time(&|outage| Some(outage.full_rate_s? - outage.recovered_s?)),
         ]
     };
-    let dests: BTreeSet<&String> =
+    let destinations: BTreeSet<&String> =
         after.keys().chain(before.iter().flat_map(|losses| losses.keys())).collect();
-    let none = Loss::default();
-    for dest in dests {
-        text.push_str(&format!("{dest:>5}"));
-        let new = cells(after.get(dest).unwrap_or(&none));
-        let old = before.map(|losses| cells(losses.get(dest).unwrap_or(&none)));
-        for (i, cell) in new.iter().enumerate() {
-            let cell = old.as_ref().map_or(cell.clone(), |old| format!("{} > {cell}", old[i]));
+    let no_losses = Losses::default();
+    for destination in destinations {
+        text.push_str(&format!("{destination:>5}"));
+        let new_cells = cells(after.get(destination).unwrap_or(&no_losses));
+        let old_cells = before.map(|losses| cells(losses.get(destination).unwrap_or(&no_losses)));
+        for (i, cell) in new_cells.iter().enumerate() {
+            let cell =
+                old_cells.as_ref().map_or(cell.clone(), |old_cells| format!("{} > {cell}", old_cells[i]));
             text.push_str(&format!(" {cell:>15}"));
         }
         text.push('\n');
@@ -159,13 +181,13 @@
     fn fleet() -> Fleet {
         let mut fleet = Fleet::default();
         for line in [
-            // Ten calls of a limit of 50 with 100 held: 40 unused.
+            // 10 calls with a limit of 50 and 100 messages pending: 40 calls unused.
             "0.5 counts 4:calls=10,messages=10,served=10,reports=1,limit=50,held=100",
-            // Out for two seconds: the limit is not told, and holds.
+            // An outage of two seconds: no limit is reported, so the last one applies.
             "1.5 counts 4:calls=20,messages=20,unconnected=20,held=100",
             "2.5 counts 4:calls=20,messages=20,full=20,full_shut=15,full_used=1,held=100",
             "3.5 counts 4:calls=20,messages=20,served=20,limit=50,held=100,back=3",
-            // Two messages a call: 30 held are 15 calls.
+            // Two messages per call: 30 pending messages are 15 calls, but only 4 more fit the limit.
             "4.5 counts 4:calls=46,messages=92,served=92,limit=50,held=30,given_up=1",
             "5.5 counts 7:calls=1,messages=1,full=1",
         ] {
@@ -175,20 +197,31 @@
     }
 
     #[test]
-    fn room_refusals_and_returns_are_told_by_destination() {
+    fn unused_calls_rejections_and_outages_are_counted_by_destination() {
         let losses = losses_by_destination(&fleet(), 1.0);
-        let four = &losses["4"];
-        assert_eq!((four.calls, four.refused_shut, four.refused_used, four.refused_other), (116, 15, 1, 4));
-        assert_eq!((four.unused, four.limit, four.ended), (40.0 + 30.0 + 30.0 + 30.0 + 4.0, 250.0, 4));
-        let back = Return { out_s: 1.0, found_s: Some(3.0), full_use_s: Some(4.0) };
-        assert_eq!(four.returns, [back]);
-        // One second without a delivery is no outage.
-        assert!(losses["7"].returns.is_empty());
-        assert_eq!((losses["all"].calls, losses["all"].refused_other), (117, 5));
+        let destination_4 = &losses["4"];
+        assert_eq!(
+            (
+                destination_4.calls,
+                destination_4.rejected_unavailable,
+                destination_4.rejected_exhausted,
+                destination_4.rejected_other
+            ),
+            (116, 15, 1, 4)
+        );
+        assert_eq!(
+            (destination_4.unused_calls, destination_4.permitted_calls, destination_4.undelivered),
+            (40.0 + 30.0 + 30.0 + 30.0 + 4.0, 250.0, 4)
+        );
+        let outage = Outage { started_s: 1.0, recovered_s: Some(3.0), full_rate_s: Some(4.0) };
+        assert_eq!(destination_4.outages, [outage]);
+        // One interval without a delivery is not an outage.
+        assert!(losses["7"].outages.is_empty());
+        assert_eq!((losses["all"].calls, losses["all"].rejected_other), (117, 5));
     }
 
     #[test]
-    fn two_folders_stand_side_by_side() {
+    fn table_shows_an_earlier_run_beside_the_current_one() {
         let after = losses_by_destination(&fleet(), 1.0);
         let mut before = after.clone();
         before.get_mut("4").unwrap().calls = 99;
--- a/crates/lab/src/measures.rs
+++ b/crates/lab/src/measures.rs
@@ -1,5 +1,10 @@
-//! Measures of a fleet of processes: how long until a duty is another one's after a fault, and what the fleet tries and
-//! asks while a place or discovery is out, beside the same processes without the fleet's file.
+//! Measurements of a fleet of dispatcher processes.
+//!
+//! - [`measure_duty_failover`]: the time until another member performs a duty after its holder fails.
+//! - [`measure_outage_cost`]: the calls at a destination and at discovery while each of them is down.
+//! - [`measure_idle_cost`]: processor time, network traffic and memory of members without traffic.
+//!
+//! The last two can also run the same processes without a fleet file, for comparison.
 
 use crate::members::{Members, Shape};
 use crate::stage::{Dispatcher, Endpoint, Platform, Reply, eventually};
@@ -14,49 +19,51 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A fault after which a duty has to be another one's.
+/// A fault of a duty's holder after which another member has to take over.
+///
+/// The printed measurement shows a variant's name in lower case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderFault {
     /// SIGKILL.
     Kill,
-    /// SIGSTOP, for longer than all else takes.
+    /// SIGSTOP until another member has taken over.
     Stall,
-    /// Cut off both ways.
+    /// A network partition in both directions.
     Cut,
-    /// SIGTERM: it gives the duty on by its word.
+    /// SIGTERM: the holder releases the duty by a message before it exits.
     Word,
 }
 
-/// The clock by which members write their acts.
-fn boot() -> f64 {
+/// Seconds of the boot-time clock, which members use for the times of their actions in the log.
+fn boot_time_s() -> f64 {
     let now = clock_gettime(ClockId::Boottime);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
-/// Times from a fault to the next holder's first act.
+/// Times from a fault of a duty's holder to the first action of the next holder.
 pub struct DutyFailover {
-    /// The term, in seconds.
-    pub term: f64,
-    /// The fault.
+    /// Lease term in seconds.
+    pub term_s: f64,
+    /// The injected fault.
     pub fault: HolderFault,
-    /// In milliseconds.
-    pub times: Histogram<u64>,
-    /// How often the holder was the leader too.
-    pub led: usize,
-    /// What is wrong with the histories.
+    /// Failover times in milliseconds.
+    pub times_ms: Histogram<u64>,
+    /// How often the failed holder was also the Raft leader.
+    pub leader_failures: usize,
+    /// Violations of the fleet's guarantees in the members' histories.
     pub violations: Vec<String>,
 }
 
 impl fmt::Display for DutyFailover {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (median, worst) = (self.times.value_at_quantile(0.5) as f64, self.times.max() as f64);
+        let (median, worst) = (self.times_ms.value_at_quantile(0.5) as f64, self.times_ms.max() as f64);
         write!(
             f,
-            "term {:>4} s  {:<6} {:>3} times, {:>2} of a leader  median {:>7.3} s  worst {:>7.3} s  {} breaks",
-            self.term,
+            "term {:>4} s  {:<6} {:>3} times, {:>2} of the leader  median {:>7.3} s  worst {:>7.3} s  {} violations",
+            self.term_s,
             format!("{:?}", self.fault).to_lowercase(),
-            self.times.len(),
-            self.led,
+            self.times_ms.len(),
+            self.leader_failures,
             median / 1000.0,
             worst / 1000.0,
             self.violations.len()
@@ -64,58 +71,60 @@
     }
 }
 
-fn fleet(program: &Path, folder: &Path, shape: &Shape) -> io::Result<(Members, Endpoint, Platform)> {
+/// Creates a fleet with one endpoint that accepts every call, without starting it.
+fn create_fleet(program: &Path, dir: &Path, shape: &Shape) -> io::Result<(Members, Endpoint, Platform)> {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let known = [endpoint.host("e", 7, "up")];
-    let members = Members::new(program, folder, shape, &[&platform], &known)?;
+    let members = Members::new(program, dir, shape, &[&platform], &known)?;
     Ok((members, endpoint, platform))
 }
 
-/// Measures one fault, so often, with five voters.
+/// Injects a fault into the keeper duty's holder, several times in a row, in a fleet of five voters.
 ///
 /// # Errors
-/// Those of folders and relays.
+/// Returns an error if the fleet's directories or relays can't be created, no member takes over the duty, or the failed
+/// member does not rejoin.
 ///
 /// # Panics
-/// Where a fleet does not come up, or nobody takes the duty, in 30 s.
+/// Panics if the fleet does not start, or has no keeper, within 30 s.
 pub fn measure_duty_failover(
-    program: &Path, folder: &Path, term: f64, fault: HolderFault, times: usize,
+    program: &Path, dir: &Path, term_s: f64, fault: HolderFault, repeats: usize,
 ) -> io::Result<DutyFailover> {
-    let settings = format!("term_s = {term}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
+    let settings = format!("term_s = {term_s}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
     let shape = Shape { voters: 5, observers: 0, settings };
-    let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
+    let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
     members.start();
     let mut measured = DutyFailover {
-        term,
+        term_s,
         fault,
-        times: Histogram::new(3).map_err(io::Error::other)?,
-        led: 0,
+        times_ms: Histogram::new(3).map_err(io::Error::other)?,
+        leader_failures: 0,
         violations: Vec::new(),
     };
-    for _ in 0..times {
-        let mut held = None;
+    for _ in 0..repeats {
+        let mut current = None;
         eventually("a keeper", || {
-            held = members.holder("keeper");
-            held.is_some()
+            current = members.holder("keeper");
+            current.is_some()
         });
-        let Some((holder, epoch)) = held else { continue };
-        measured.led += usize::from(members.leader(holder) == Some(holder));
-        let began = boot();
+        let Some((holder, epoch)) = current else { continue };
+        measured.leader_failures += usize::from(members.leader(holder) == Some(holder));
+        let failed_at = boot_time_s();
         match fault {
             HolderFault::Kill => members.dispatchers[holder].kill(),
             HolderFault::Stall => members.dispatchers[holder].signal("STOP"),
             HolderFault::Cut => members.cut_off(holder, (true, true)),
             HolderFault::Word => members.dispatchers[holder].signal("TERM"),
         }
-        let mut acted = None;
-        let until = Instant::now() + Duration::from_secs_f64(30.0 + 4.0 * term);
-        while acted.is_none() && Instant::now() < until {
-            acted = members.acted_after("keeper", epoch);
+        let mut first_action = None;
+        let until = Instant::now() + Duration::from_secs_f64(30.0 + 4.0 * term_s);
+        while first_action.is_none() && Instant::now() < until {
+            first_action = members.acted_after("keeper", epoch);
             sleep(Duration::from_millis(2));
         }
-        let at = acted.ok_or_else(|| io::Error::other("nobody took the duty"))?.0;
-        let took = ((at - began) * 1000.0).max(0.0) as u64;
-        measured.times.record(took).map_err(io::Error::other)?;
+        let acted_at = first_action.ok_or_else(|| io::Error::other("no member took over the duty"))?.0;
+        let failover_ms = ((acted_at - failed_at) * 1000.0).max(0.0) as u64;
+        measured.times_ms.record(failover_ms).map_err(io::Error::other)?;
         match fault {
             HolderFault::Kill => members.dispatchers[holder].start(),
             HolderFault::Stall => members.dispatchers[holder].signal("CONT"),
@@ -125,19 +134,21 @@
                 members.dispatchers[holder].start();
             }
         }
-        let back = || members.show(holder).is_some_and(|fleet| fleet["leader"].is_string());
-        let until = Instant::now() + Duration::from_secs_f64(20.0 + 4.0 * term);
-        while !back() {
+        let has_rejoined = || members.show(holder).is_some_and(|fleet| fleet["leader"].is_string());
+        let until = Instant::now() + Duration::from_secs_f64(20.0 + 4.0 * term_s);
+        while !has_rejoined() {
             if Instant::now() > until {
                 let log = members.dispatchers[holder].log();
-                let said: Vec<_> = log
+                let latest_lines: Vec<_> = log
                     .iter()
                     .rev()
                     .filter(|l| l.starts_with("fleet:") && !l.contains("acts"))
                     .take(20)
                     .collect();
-                let shown = members.show(holder).unwrap_or_default();
-                return Err(io::Error::other(format!("n{holder} does not return; {shown}\n{said:#?}")));
+                let status = members.show(holder).unwrap_or_default();
+                return Err(io::Error::other(format!(
+                    "n{holder} did not rejoin the fleet; {status}\n{latest_lines:#?}"
+                )));
             }
             sleep(Duration::from_millis(10));
         }
@@ -146,92 +157,93 @@
     Ok(measured)
 }
 
-/// What a fleet did while a place, or discovery, was out.
+/// Calls and resources of the dispatchers while a destination, and then discovery, was down.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutageCost {
-    /// Members, or dispatchers that are none.
+    /// Number of dispatchers.
     pub count: usize,
-    /// As a fleet.
-    pub fleet: bool,
-    /// Calls at the place while it broke each.
-    pub tries: usize,
-    /// Of these, by the one that tried most.
-    pub busiest: usize,
-    /// Watches that were asked for while discovery did not answer.
-    pub lists: usize,
-    /// Messages taken, and delivered in the end.
-    pub taken: usize,
-    /// See above.
+    /// Whether they formed a fleet.
+    pub as_fleet: bool,
+    /// Messages that arrived at the destination while it aborted each call.
+    pub attempts: usize,
+    /// Attempts of the dispatcher that made the most of them.
+    pub max_attempts: usize,
+    /// Watch requests to discovery while it did not respond.
+    pub discovery_calls: usize,
+    /// Accepted messages.
+    pub accepted: usize,
+    /// Accepted messages that were delivered in the end.
     pub delivered: usize,
-    /// Processor time of all, in seconds per second.
+    /// Processor time of all dispatchers, in seconds per second.
     pub cpu: f64,
-    /// Highest resident memory of one, in megabytes.
-    pub memory_mb: f64,
+    /// Resident memory of the dispatcher that used the most, in megabytes.
+    pub max_memory_mb: f64,
 }
 
 impl fmt::Display for OutageCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:>3} dispatchers {:<8} tries {:>5}, {:>4} by one  list calls {:>5}  taken {:>5}  delivered {:>5}  {:.3} of a core each  {:.1} MB \
+            "{:>3} dispatchers {:<8} attempts {:>5}, at most {:>4} by one  discovery calls {:>5}  accepted {:>5}  delivered {:>5}  {:.3} of a core each  {:.1} MB \
              at most",
             self.count,
-            if self.fleet { "a fleet" } else { "alone" },
-            self.tries,
-            self.busiest,
-            self.lists,
-            self.taken,
+            if self.as_fleet { "a fleet" } else { "alone" },
+            self.attempts,
+            self.max_attempts,
+            self.discovery_calls,
+            self.accepted,
             self.delivered,
             self.cpu / self.count as f64,
-            self.memory_mb
+            self.max_memory_mb
         )
     }
 }
 
-/// What members cost that do nothing, beside dispatchers that are none.
+/// Resources that dispatchers without traffic use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IdleCost {
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub count: usize,
-    /// Of these, voters; none where they are no fleet.
+    /// Number of voters among them; 0 if they are not a fleet.
     pub voters: usize,
-    /// From the start of the first to a fleet that is whole, in seconds.
-    pub whole_s: f64,
-    /// Processor time in seconds per second: of the leader or the first, of the mean voter, of the mean observer.
+    /// From the start of the first process until the fleet is complete, in seconds.
+    pub startup_s: f64,
+    /// Processor time in seconds per second: of the leader (or the first dispatcher), and the means of the voters and of
+    /// the observers.
     pub cpu: [f64; 3],
-    /// Bytes a second between members, for each member.
-    pub bytes: f64,
-    /// Highest resident memory of a voter, and of an observer, in megabytes.
-    pub memory_mb: [f64; 2],
+    /// Bytes per second between members, divided by the number of members.
+    pub bytes_per_s: f64,
+    /// Highest resident memory of a voter and of an observer, in megabytes.
+    pub max_memory_mb: [f64; 2],
 }
 
 impl fmt::Display for IdleCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [first, voter, observer] = self.cpu;
-        let [votes, follows] = self.memory_mb;
+        let [leader, voter, observer] = self.cpu;
+        let [voter_mb, observer_mb] = self.max_memory_mb;
         write!(
             f,
-            "{:>3} dispatchers, {} vote  whole after {:>5.1} s  of a core: leader {first:.4}, voter {voter:.4}, observer \
-             {observer:.4}  {:>7.0} bytes/s each  voter {votes:.1} MB, observer {follows:.1} MB",
-            self.count, self.voters, self.whole_s, self.bytes
+            "{:>3} dispatchers, {} voters  complete after {:>5.1} s  of a core: leader {leader:.4}, voter {voter:.4}, observer \
+             {observer:.4}  {:>7.0} bytes/s each  voter {voter_mb:.1} MB, observer {observer_mb:.1} MB",
+            self.count, self.voters, self.startup_s, self.bytes_per_s
         )
     }
 }
 
-/// Measures what members cost at rest, for so many seconds, at the term of the file's default.
+/// Measures for `duration_s` seconds what dispatchers without traffic use, with the default lease term.
 ///
 /// # Errors
-/// Those of folders and relays.
+/// Returns an error if the fleet's directories or relays can't be created.
 ///
 /// # Panics
-/// Where a fleet does not come up in 30 s.
+/// Panics if the fleet does not start within 30 s.
 pub fn measure_idle_cost(
-    program: &Path, folder: &Path, count: usize, as_fleet: bool, span: f64,
+    program: &Path, dir: &Path, count: usize, as_fleet: bool, duration_s: f64,
 ) -> io::Result<IdleCost> {
     let voters = 5.min(count);
     let shape = Shape { voters, observers: count - voters, settings: "disk_mb = 1".into() };
-    let (mut members, _endpoint, _platform) = fleet(program, folder, &shape)?;
-    let began = Instant::now();
+    let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
+    let started_at = Instant::now();
     match as_fleet {
         true => members.start(),
         false => {
@@ -239,51 +251,52 @@
             members.dispatchers.iter_mut().for_each(Dispatcher::start);
         }
     }
-    let whole_s = began.elapsed().as_secs_f64();
+    let startup_s = started_at.elapsed().as_secs_f64();
     sleep(Duration::from_secs(3));
     let leader = if as_fleet { members.leader(0).unwrap_or(0) } else { 0 };
-    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
-    let (before, carried, began) =
-        (ids.iter().map(|id| cpu(*id)).collect::<Vec<_>>(), members.carried(), Instant::now());
-    sleep(Duration::from_secs_f64(span));
-    let spent = began.elapsed().as_secs_f64();
-    let used: Vec<f64> = ids.iter().zip(before).map(|(id, before)| (cpu(*id) - before) / spent).collect();
+    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
+    let (cpu_before, bytes_before, measured_from) =
+        (pids.iter().map(|pid| cpu_seconds(*pid)).collect::<Vec<_>>(), members.carried(), Instant::now());
+    sleep(Duration::from_secs_f64(duration_s));
+    let elapsed_s = measured_from.elapsed().as_secs_f64();
+    let cpu: Vec<f64> =
+        pids.iter().zip(cpu_before).map(|(pid, before)| (cpu_seconds(*pid) - before) / elapsed_s).collect();
     let mean = |of: &[f64]| if of.is_empty() { 0.0 } else { of.iter().sum::<f64>() / of.len() as f64 };
-    let memory = |of: &[u32]| {
-        of.iter().filter_map(|id| crate::process::resident_kb(*id)).max().unwrap_or(0) as f64 / 1024.0
+    let max_memory = |of: &[u32]| {
+        of.iter().filter_map(|pid| crate::process::resident_kb(*pid)).max().unwrap_or(0) as f64 / 1024.0
     };
     Ok(IdleCost {
         count,
         voters: if as_fleet { voters } else { 0 },
-        whole_s,
-        cpu: [used.get(leader).copied().unwrap_or(0.0), mean(&used[..voters]), mean(&used[voters..])],
-        bytes: (members.carried() - carried) as f64 / spent / count as f64,
-        memory_mb: [memory(&ids[..voters]), memory(&ids[voters..])],
+        startup_s,
+        cpu: [cpu.get(leader).copied().unwrap_or(0.0), mean(&cpu[..voters]), mean(&cpu[voters..])],
+        bytes_per_s: (members.carried() - bytes_before) as f64 / elapsed_s / count as f64,
+        max_memory_mb: [max_memory(&pids[..voters]), max_memory(&pids[voters..])],
     })
 }
 
-/// Seconds of processor time of a process so far.
-fn cpu(id: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
-    let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-    let ticks = rest.split_whitespace().skip(11).take(2).filter_map(|text| text.parse::<f64>().ok());
+/// Processor time that a process has used so far, in seconds (proc(5), utime and stime).
+fn cpu_seconds(pid: u32) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
+    let fields = stat.rsplit_once(')').map_or("", |(_, fields)| fields);
+    let ticks = fields.split_whitespace().skip(11).take(2).filter_map(|text| text.parse::<f64>().ok());
     ticks.sum::<f64>() / 100.0
 }
 
-/// Plays a place that breaks each call for a while and then discovery that does not answer for as long, with messages
-/// handed in at each dispatcher.
+/// Counts the calls of the dispatchers during two outages of `outage_s` seconds each, while messages are submitted to
+/// each dispatcher: first a destination aborts each call, then discovery does not respond.
 ///
 /// # Errors
-/// Those of folders and relays.
+/// Returns an error if the fleet's directories or relays can't be created.
 ///
 /// # Panics
-/// Where a fleet does not come up, or messages are not delivered, in 30 s.
+/// Panics if the fleet does not start within 30 s.
 pub fn measure_outage_cost(
-    program: &Path, folder: &Path, count: usize, as_fleet: bool, out_s: f64, a_second: f64,
+    program: &Path, dir: &Path, count: usize, as_fleet: bool, outage_s: f64, messages_per_s: f64,
 ) -> io::Result<OutageCost> {
-    let out = Arc::new(AtomicBool::new(false));
-    let asked = out.clone();
-    let endpoint = Endpoint::start(move |_, _| match asked.load(Ordering::SeqCst) {
+    let outage = Arc::new(AtomicBool::new(false));
+    let endpoint_outage = outage.clone();
+    let endpoint = Endpoint::start(move |_, _| match endpoint_outage.load(Ordering::SeqCst) {
         true => Reply::Break,
         false => Reply::status(200),
     });
@@ -295,7 +308,7 @@
         observers: count - 5.min(count | 1),
         settings: "disk_mb = 1".into(),
     };
-    let mut members = Members::new(program, folder, &shape, &[&platform], &known)?;
+    let mut members = Members::new(program, dir, &shape, &[&platform], &known)?;
     for dispatcher in &mut members.dispatchers {
         dispatcher.config["settings"]["balancers"] = count.into();
         if !as_fleet {
@@ -306,65 +319,66 @@
         true => members.start(),
         false => members.dispatchers.iter_mut().for_each(Dispatcher::start),
     }
-    let mut taken = BTreeSet::new();
+    let mut accepted = BTreeSet::new();
     let mut number = 0;
-    let mut hand_in = |members: &Members, span: f64| {
-        let (began, every) = (Instant::now(), 1.0 / a_second);
-        let mut at = 0.0;
-        while at < span {
+    let mut submit_for = |members: &Members, duration_s: f64| {
+        let (started_at, interval_s) = (Instant::now(), 1.0 / messages_per_s);
+        let mut next_s = 0.0;
+        while next_s < duration_s {
             for (i, dispatcher) in members.dispatchers.iter().enumerate() {
                 let id = format!("m{i}-{number}");
                 if dispatcher.hand_in("keyed", &id, 7) == 202 {
-                    taken.insert(id);
+                    accepted.insert(id);
                 }
             }
             number += 1;
-            at += every;
-            sleep(Duration::from_secs_f64((at - began.elapsed().as_secs_f64()).max(0.0)));
+            next_s += interval_s;
+            sleep(Duration::from_secs_f64((next_s - started_at.elapsed().as_secs_f64()).max(0.0)));
         }
     };
-    hand_in(&members, 3.0);
-    let ids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
-    let (before_cpu, began) = (ids.iter().map(|id| cpu(*id)).sum::<f64>(), Instant::now());
-    out.store(true, Ordering::SeqCst);
-    let before = endpoint.seen().len();
-    hand_in(&members, out_s);
-    let tried = endpoint.ids().split_off(before);
-    let tries = tried.len();
-    let of = |i: usize| tried.iter().filter(|id| id.starts_with(&format!("m{i}-"))).count();
-    let busiest = (0..count).map(of).max().unwrap_or(0);
-    out.store(false, Ordering::SeqCst);
-    let back = endpoint.seen().len();
-    hand_in(&members, 3.0);
-    let asked_before = platform.watched_from().len();
+    submit_for(&members, 3.0);
+    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
+    let (cpu_before, measured_from) = (pids.iter().map(|pid| cpu_seconds(*pid)).sum::<f64>(), Instant::now());
+    outage.store(true, Ordering::SeqCst);
+    let before_outage = endpoint.seen().len();
+    submit_for(&members, outage_s);
+    let attempted = endpoint.ids().split_off(before_outage);
+    let attempts = attempted.len();
+    let attempts_by = |i: usize| attempted.iter().filter(|id| id.starts_with(&format!("m{i}-"))).count();
+    let max_attempts = (0..count).map(attempts_by).max().unwrap_or(0);
+    outage.store(false, Ordering::SeqCst);
+    let after_outage = endpoint.seen().len();
+    submit_for(&members, 3.0);
+    let watches_before = platform.watched_from().len();
     platform.set(|mood| mood.silent = true);
-    sleep(Duration::from_secs_f64(out_s));
-    let lists = platform.watched_from().len() - asked_before;
+    sleep(Duration::from_secs_f64(outage_s));
+    let discovery_calls = platform.watched_from().len() - watches_before;
     platform.set(|mood| mood.silent = false);
-    let spent = ids.iter().map(|id| cpu(*id)).sum::<f64>() - before_cpu;
-    let cpu = spent / began.elapsed().as_secs_f64();
-    // What was broken off is no delivery.
-    let delivered = || {
+    let cpu_used = pids.iter().map(|pid| cpu_seconds(*pid)).sum::<f64>() - cpu_before;
+    let cpu = cpu_used / measured_from.elapsed().as_secs_f64();
+    // Calls that the endpoint aborted during the outage are not deliveries.
+    let count_delivered = || {
         let ids = endpoint.ids();
-        let served = ids[..before].iter().chain(&ids[back..]).filter(|id| taken.contains(*id));
+        let served =
+            ids[..before_outage].iter().chain(&ids[after_outage..]).filter(|id| accepted.contains(*id));
         served.collect::<BTreeSet<_>>().len()
     };
     let until = Instant::now() + Duration::from_secs(20);
-    while delivered() < taken.len() && Instant::now() < until {
+    while count_delivered() < accepted.len() && Instant::now() < until {
         sleep(Duration::from_millis(50));
     }
-    let memory =
-        ids.iter().filter_map(|id| crate::process::resident_kb(*id)).max().unwrap_or(0) as f64 / 1024.0;
-    let (taken_in, delivered) = (taken.len(), delivered());
+    let max_memory_mb =
+        pids.iter().filter_map(|pid| crate::process::resident_kb(*pid)).max().unwrap_or(0) as f64 / 1024.0;
+    let (accepted_count, delivered) = (accepted.len(), count_delivered());
     Ok(OutageCost {
         count,
-        fleet: as_fleet,
-        tries,
-        busiest,
-        lists,
-        taken: taken_in,
+        as_fleet,
+        attempts,
+        max_attempts,
+        discovery_calls,
+        accepted: accepted_count,
         delivered,
         cpu,
-        memory_mb: memory,
+        max_memory_mb,
     })
 }
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A plain reverse proxy without a journal or a decision: what the dispatcher's throughput is compared with.
+//! A plain reverse proxy without a journal or delivery decisions: the baseline for the dispatcher's throughput.
 
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Bytes, Incoming};
@@ -15,72 +15,74 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{LocalSet, spawn_local};
 
-type Link = SendRequest<Full<Bytes>>;
-type Kept = Rc<RefCell<Vec<Link>>>;
-type Failure = Box<dyn std::error::Error>;
+type Connection = SendRequest<Full<Bytes>>;
+type IdleConnections = Rc<RefCell<Vec<Connection>>>;
+type ProxyError = Box<dyn std::error::Error>;
 
-async fn connect(to: SocketAddr) -> Result<Link, Failure> {
-    let stream = TcpStream::connect(to).await?;
+async fn connect(target: SocketAddr) -> Result<Connection, ProxyError> {
+    let stream = TcpStream::connect(target).await?;
     stream.set_nodelay(true)?;
-    let (link, connection) = handshake(TokioIo::new(stream)).await?;
+    let (sender, driver) = handshake(TokioIo::new(stream)).await?;
     spawn_local(async {
-        // Its end shows at the sender.
-        let _ = connection.await;
+        // An error closes the connection, which the sender reports.
+        let _ = driver.await;
     });
-    Ok(link)
+    Ok(sender)
 }
 
+/// Forwards a request over an idle connection or a new one.
 async fn forward(
-    kept: &Kept, to: SocketAddr, request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Failure> {
+    idle: &IdleConnections, target: SocketAddr, request: Request<Incoming>,
+) -> Result<Response<Full<Bytes>>, ProxyError> {
     let (mut head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
     head.uri = "/receive".parse()?;
-    let link = std::iter::from_fn(|| kept.borrow_mut().pop()).find(|link| !link.is_closed());
-    let mut link = match link {
-        Some(link) => link,
-        None => connect(to).await?,
+    let connection =
+        std::iter::from_fn(|| idle.borrow_mut().pop()).find(|connection| !connection.is_closed());
+    let mut connection = match connection {
+        Some(connection) => connection,
+        None => connect(target).await?,
     };
-    link.ready().await?;
-    let answer = link.send_request(Request::from_parts(head, Full::new(body))).await?;
-    let (head, body) = answer.into_parts();
+    connection.ready().await?;
+    let response = connection.send_request(Request::from_parts(head, Full::new(body))).await?;
+    let (head, body) = response.into_parts();
     let body = body.collect().await?.to_bytes();
-    kept.borrow_mut().push(link);
+    idle.borrow_mut().push(connection);
     Ok(Response::from_parts(head, Full::new(body)))
 }
 
-/// Listens and forwards each request to the other address, until the process ends.
+/// Listens on `listen` and forwards each request to `target` until the process ends. Responds with 502 if that fails.
 ///
 /// # Errors
-/// Those of listening.
-pub async fn serve(listen: SocketAddr, to: SocketAddr) -> io::Result<()> {
+/// Returns an error if listening or accepting a connection fails.
+pub async fn serve(listen: SocketAddr, target: SocketAddr) -> io::Result<()> {
     let listener = TcpListener::bind(listen).await?;
-    println!("proxy listens at {}", listener.local_addr()?);
-    let kept = Kept::default();
+    println!("proxy is listening on {}", listener.local_addr()?);
+    let idle = IdleConnections::default();
     LocalSet::new()
         .run_until(async move {
             loop {
                 let (stream, _) = listener.accept().await?;
                 stream.set_nodelay(true)?;
-                let kept = kept.clone();
+                let idle = idle.clone();
                 let service = service_fn(move |request: Request<Incoming>| {
-                    let kept = kept.clone();
+                    let idle = idle.clone();
                     async move {
-                        let ready = request.uri().path() == "/health/ready";
-                        let answer = match ready {
+                        let is_readiness_check = request.uri().path() == "/health/ready";
+                        let response = match is_readiness_check {
                             true => Ok(Response::new(Full::default())),
-                            false => forward(&kept, to, request).await,
+                            false => forward(&idle, target, request).await,
                         };
-                        let answer = answer.unwrap_or_else(|_| {
-                            let mut answer = Response::new(Full::default());
-                            *answer.status_mut() = StatusCode::BAD_GATEWAY;
-                            answer
+                        let response = response.unwrap_or_else(|_| {
+                            let mut response = Response::new(Full::default());
+                            *response.status_mut() = StatusCode::BAD_GATEWAY;
+                            response
                         });
-                        Ok::<_, Infallible>(answer)
+                        Ok::<_, Infallible>(response)
                     }
                 });
                 spawn_local(async move {
-                    // A client that breaks off is its own affair.
+                    // Fails if the client aborts its connection, which affects no other request.
                     let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
                 });
             }
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -1,19 +1,20 @@
-//! What came of a run, as text.
+//! Formats the results of a run as text.
 
 use crate::auditor::{Tally, Verdict};
 use std::fmt::Write;
 
-/// Breaches that are printed; the rest is counted.
-const PRINTED: usize = 20;
+/// Maximum number of rule violations that are printed; the others are only counted.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
-fn quantile(sorted: &[u64], share: f64) -> f64 {
+/// Quantile of sorted times in microseconds, in milliseconds.
+fn quantile_ms(sorted: &[u64], quantile: f64) -> f64 {
     let Some(last) = sorted.len().checked_sub(1) else { return 0.0 };
-    sorted[(share * last as f64).round() as usize] as f64 / 1000.0
+    sorted[(quantile * last as f64).round() as usize] as f64 / 1000.0
 }
 
-/// The counts by class, with latencies in milliseconds.
+/// Formats the message counts of each class and of all classes as a table, with latencies in milliseconds.
 pub fn format_classes(verdict: &Verdict) -> String {
-    let heads = [
+    let headings = [
         "class",
         "messages",
         "taken",
@@ -29,10 +30,10 @@
         "p99 ms",
         "p99.9 ms",
     ];
-    let mut rows = vec![heads.map(String::from).to_vec()];
+    let mut rows = vec![headings.map(String::from).to_vec()];
     let mut all = Tally::default();
     for (name, tally) in &verdict.classes {
-        rows.push(row(name, tally));
+        rows.push(format_row(name, tally));
         all.messages += tally.messages;
         all.taken += tally.taken;
         all.delivered += tally.delivered;
@@ -46,9 +47,9 @@
         all.doubled_by_clients += tally.doubled_by_clients;
         all.latencies.extend(&tally.latencies);
     }
-    rows.push(row("all", &all));
+    rows.push(format_row("all", &all));
     let widths: Vec<usize> =
-        (0..heads.len()).map(|i| rows.iter().map(|row| row[i].len()).max().unwrap_or(0)).collect();
+        (0..headings.len()).map(|i| rows.iter().map(|row| row[i].len()).max().unwrap_or(0)).collect();
     let mut text = String::new();
     for row in rows {
         let cells: Vec<_> = row
@@ -66,19 +67,23 @@
     }
     if all.doubled_by_clients > 0 {
         let count = all.doubled_by_clients;
-        // Writing to a string cannot fail.
-        let _ = writeln!(text, "{count} took effect under two ids: their clients had handed them in twice");
+        // Writing to a string can't fail.
+        let _ = writeln!(
+            text,
+            "{count} messages took effect under two ids: their clients had submitted them twice"
+        );
     }
     for (name, Tally { found, untried, .. }) in verdict.classes.iter().filter(|(_, tally)| tally.found > 0) {
         let _ = writeln!(
             text,
-            "restarts found {found} of {name} untried with time left; never called: {untried}"
+            "{name}: restarts recovered {found} messages without an attempt and with time left; {untried} of them were never sent"
         );
     }
     text
 }
 
-fn row(name: &str, tally: &Tally) -> Vec<String> {
+/// Cells of one row of the class table.
+fn format_row(name: &str, tally: &Tally) -> Vec<String> {
     let mut sorted = tally.latencies.clone();
     sorted.sort_unstable();
     let counts = [
@@ -93,11 +98,11 @@
         tally.lost,
         tally.doubled,
     ];
-    let quantiles = [0.5, 0.99, 0.999].map(|share| format!("{:.1}", quantile(&sorted, share)));
+    let quantiles = [0.5, 0.99, 0.999].map(|quantile| format!("{:.1}", quantile_ms(&sorted, quantile)));
     std::iter::once(name.to_string()).chain(counts.map(|n| n.to_string())).chain(quantiles).collect()
 }
 
-/// The auditor's word: clean, or each rule that was broken with its first breaches.
+/// Formats the auditor's verdict: clean, or each violated rule with its count, and the first violations.
 pub fn format_verdict(verdict: &Verdict) -> String {
     if verdict.clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
@@ -106,12 +111,12 @@
     for (rule, count) in &verdict.counts {
         let _ = writeln!(text, "  {rule}: {count}");
     }
-    for breach in verdict.breaches.iter().take(PRINTED) {
-        let _ = writeln!(text, "{breach}");
+    for violation in verdict.breaches.iter().take(MAX_PRINTED_VIOLATIONS) {
+        let _ = writeln!(text, "{violation}");
     }
-    let left = verdict.counts.values().sum::<u64>() as usize;
-    if left > PRINTED {
-        let _ = writeln!(text, "... and {} more", left - PRINTED);
+    let total = verdict.counts.values().sum::<u64>() as usize;
+    if total > MAX_PRINTED_VIOLATIONS {
+        let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_VIOLATIONS);
     }
     text
 }
