--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -5,10 +5,10 @@
 //! measured with a closed loop that limits the messages in flight so that none is rejected: the result is the highest
 //! sustained rate. Latencies are measured with an open loop at half that rate.
 
-use crate::door::{ResponseTimes, measure_latency};
-use crate::platform::{Host, Platform};
-use crate::process::{Process, Program, resident_kb, serves};
-use crate::record::{Listed, Recorder, Sig};
+use crate::control_latency::{ResponseTimes, measure_latency};
+use crate::platform::{EndpointEntry, Platform};
+use crate::process::{Process, Program, is_serving, resident_kb};
+use crate::record::{EndpointState, ProcessSignal, Recorder};
 use hdrhistogram::Histogram;
 use rustix::process::Pid;
 use rustix::thread::{CpuSet, sched_getaffinity, sched_setaffinity};
@@ -387,14 +387,14 @@
 /// Returns an error if one of them does not start, or if the load fails.
 pub fn run(program: &Path, dir: &Path, settings: &BenchSettings) -> io::Result<BenchResults> {
     // The platform runs on this runtime's threads while the current thread waits for the load.
-    let runtime = crate::stage::handle();
+    let runtime = crate::blocking::runtime_handle();
     let subject_cores = available_cores().into_iter().take(1).collect::<Vec<_>>();
     let recorder = Recorder::new(1_000_000);
     let start = |index: usize, path: &Path, arguments, listen: SocketAddr, config: &serde_json::Value| {
         let program = Program { path: path.to_path_buf(), arguments };
         let log = dir.join(format!("bench-{index}.log"));
         let process = Process::new(index, program, listen, dir, log, recorder.clone())?;
-        process.configure(config)?;
+        process.write_config(config)?;
         Ok::<_, io::Error>(process)
     };
     let free_address = || std::net::TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?.local_addr();
@@ -403,28 +403,28 @@
     let arguments = vec!["lab".into(), "proxy".into(), listen.to_string(), endpoint.to_string()];
     let proxy = start(0, program, arguments, listen, &json!({}))?;
     runtime.block_on(proxy.start(endpoint))?;
-    let pid = proxy.id().ok_or(io::ErrorKind::NotFound)?;
+    let pid = proxy.pid().ok_or(io::ErrorKind::NotFound)?;
     pin_to_cores(Some(pid), &subject_cores);
     let (proxy_results, _) = measure_subject(pid, listen, listener, settings, None)?;
     stop(runtime, &proxy);
 
     let (listener, endpoint) = bind_endpoint()?;
     let (listen, control) = (free_address()?, free_address()?);
-    let host = Host {
+    let host = EndpointEntry {
         name: "bench".into(),
-        dial: vec![endpoint, endpoint],
-        site: "lab".into(),
-        class: "one".into(),
-        block: 1,
-        state: Listed::Up,
-        share: 1e9,
+        addresses: vec![endpoint, endpoint],
+        zone: "lab".into(),
+        destination_kind: "one".into(),
+        destination: 1,
+        state: EndpointState::Up,
+        rate_limit_per_s: 1e9,
     };
     let (platform, mut notices) = Platform::new(vec![host], recorder.clone());
-    let discovery = runtime.block_on(platform.agent(1, SocketAddr::from(([127, 0, 0, 1], 0))))?;
+    let discovery = runtime.block_on(platform.start_agent(1, SocketAddr::from(([127, 0, 0, 1], 0))))?;
     let config = json!({
         "name": "bench", "listen": listen.to_string(), "control": control.to_string(), "discovery": discovery.to_string(), "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 256, "sockets": 4096, "disk_mb": 16384},
-        "known": platform.known(1),
+        "known": platform.known_list(1),
         "settings": {
             "balancers": 1, "discovery": "automatic", "tick": settings.tick_ms / 1000.0, "weights": "off", "zone": 0,
             "zones": ["lab"], "kinds": ["one"],
@@ -441,7 +441,7 @@
     let dispatcher_program = settings.program.as_deref().unwrap_or(program);
     let dispatcher = start(1, dispatcher_program, Vec::new(), listen, &config)?;
     runtime.block_on(dispatcher.start(discovery))?;
-    let pid = dispatcher.id().ok_or(io::ErrorKind::NotFound)?;
+    let pid = dispatcher.pid().ok_or(io::ErrorKind::NotFound)?;
     // Pins all its threads: the control port's thread shares the core.
     for thread in std::fs::read_dir(format!("/proc/{pid}/task"))?.flatten() {
         pin_to_cores(thread.file_name().to_str().and_then(|id| id.parse().ok()), &subject_cores);
@@ -451,7 +451,7 @@
     let (dispatcher_results, listener) = measure_subject(pid, listen, listener, settings, Some(&journal))?;
     // Older versions of the program have no control port.
     let mut control_port = None;
-    if crate::stage::handle().block_on(serves(control)) {
+    if crate::blocking::runtime_handle().block_on(is_serving(control)) {
         let (without, load_result) =
             measure_latency(control, 0, || run_load(listen, listener, settings, None));
         let (with_stalled, load_result) = measure_latency(control, STALLED_CONNECTIONS, || {
@@ -475,8 +475,8 @@
 
 /// Kills a process and waits for its exit.
 fn stop(runtime: &tokio::runtime::Handle, process: &Process) {
-    process.signal(Sig::Kill);
-    runtime.block_on(process.ended(Duration::from_secs(10)));
+    process.signal(ProcessSignal::Kill);
+    runtime.block_on(process.wait_for_exit(Duration::from_secs(10)));
 }
 
 /// Formats the results as a table.
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -4,10 +4,10 @@
 //! resubmit messages that were rejected or got no response. Each submission of a message has an id of its own. What they
 //! send and receive goes into the record that the auditor reads.
 
-use crate::http::Wire;
-use crate::ledger::Ledger;
+use crate::http::HttpConnection;
+use crate::message_registry::MessageRegistry;
 use crate::platform::Notice;
-use crate::record::{Effect, Micros, Outcome, Recorder, What, digest};
+use crate::record::{Effect, Event, Micros, Outcome, Recorder, digest};
 use crate::scenario::Scenario;
 use crate::script::Arrival;
 use std::collections::HashMap;
@@ -41,12 +41,12 @@
 pub struct SimulatedClients {
     scenario: Scenario,
     recorder: Recorder,
-    ledger: Arc<Ledger>,
+    ledger: Arc<MessageRegistry>,
     dispatcher_addresses: Vec<SocketAddr>,
     /// The dispatchers that the load balancer considers alive.
     alive: Mutex<Vec<bool>>,
     /// Idle keep-alive connections, by dispatcher.
-    idle_connections: Vec<Mutex<Vec<Wire>>>,
+    idle_connections: Vec<Mutex<Vec<HttpConnection>>>,
     /// Accepted messages without a notice so far, by id: a notice may make the client resubmit.
     accepted: Mutex<HashMap<String, ClientMessage>>,
     /// Messages with a submission or a resubmission delay in progress.
@@ -74,7 +74,8 @@
 impl SimulatedClients {
     /// Creates clients of the dispatchers at these addresses.
     pub fn new(
-        scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, dispatcher_addresses: Vec<SocketAddr>,
+        scenario: Scenario, recorder: Recorder, ledger: Arc<MessageRegistry>,
+        dispatcher_addresses: Vec<SocketAddr>,
     ) -> Arc<SimulatedClients> {
         let count = dispatcher_addresses.len();
         Arc::new(SimulatedClients {
@@ -113,7 +114,7 @@
         for arrival in arrivals {
             tokio::time::sleep_until(self.recorder.instant(started_at + arrival.at).into()).await;
             let mut rng = fastrand::Rng::with_seed(arrival.seed);
-            let body = Arc::new((0..arrival.length).map(|_| rng.u8(..)).collect());
+            let body = Arc::new((0..arrival.body_bytes).map(|_| rng.u8(..)).collect());
             let first_submitted_at = self.recorder.now();
             self.spawn(
                 ClientMessage {
@@ -142,7 +143,7 @@
                 let class = &self.scenario.classes[message.arrival.class];
                 let resubmitted_at = self.recorder.now() + delay.as_micros() as Micros;
                 if class.effect != Effect::Keyed
-                    || resubmitted_at < message.first_submitted_at + (class.window_s * 1e6) as Micros
+                    || resubmitted_at < message.first_submitted_at + (class.key_window_s * 1e6) as Micros
                 {
                     self.spawn(message, delay);
                 }
@@ -163,7 +164,7 @@
     /// Whether the client resubmits a rejected message: after the first rejection only, with the scenario's probability.
     fn resubmits(&self, message: &mut ClientMessage) -> bool {
         message.rejections += 1;
-        message.rejections == 1 && message.rng.f64() < self.scenario.clients.retries
+        message.rejections == 1 && message.rng.f64() < self.scenario.clients.retry_probability
     }
 
     fn backoff(&self, message: &mut ClientMessage) -> Duration {
@@ -234,19 +235,23 @@
         let arrival = &message.arrival;
         let class = &self.scenario.classes[arrival.class];
         let dest = arrival.partner as u32 + 1;
-        let key_window = (class.window_s * 1e6) as Micros;
-        self.ledger.enter(id, dest, deadline, class.effect, key_window);
-        let response_timeout = Duration::from_millis(self.scenario.clients.patience_ms);
+        let key_window = (class.key_window_s * 1e6) as Micros;
+        self.ledger.register(id, dest, deadline, class.effect, key_window);
+        let response_timeout = Duration::from_millis(self.scenario.clients.response_timeout_ms);
         let mut fresh = false;
         loop {
             let reused = if fresh { None } else { self.take_idle_connection(dispatcher) };
             fresh = reused.is_none();
             let mut wire = match reused {
                 Some(wire) => wire,
-                None => match Wire::connect(self.dispatcher_addresses[dispatcher], response_timeout).await {
-                    Ok(wire) => wire,
-                    Err(_) => return SubmitResult::Unreached,
-                },
+                None => {
+                    match HttpConnection::connect(self.dispatcher_addresses[dispatcher], response_timeout)
+                        .await
+                    {
+                        Ok(wire) => wire,
+                        Err(_) => return SubmitResult::Unreached,
+                    }
+                }
             };
             let key = (class.effect == Effect::Keyed).then(|| format!("k{}", arrival.id));
             let remaining_ms = deadline.saturating_sub(self.recorder.now()) / 1000;
@@ -259,7 +264,7 @@
             if let Some(key) = &key {
                 head.push_str(&format!("Idempotency-Key: {key}\r\n"));
             }
-            if let Some(tenant) = &self.scenario.partners[arrival.partner].customer {
+            if let Some(tenant) = &self.scenario.partners[arrival.partner].tenant {
                 head.push_str(&format!("Tenant: {tenant}\r\n"));
             }
             if message.submissions > 1 {
@@ -278,22 +283,22 @@
                     }
                 }
             }
-            self.recorder.add(What::Asked {
+            self.recorder.add(Event::Submitted {
                 id: id.into(),
                 origin: arrival.id.clone(),
                 class: class.name.clone(),
-                dest,
+                destination: dest,
                 key,
                 order: None,
-                body: digest(&message.body),
+                body_digest: digest(&message.body),
                 deadline,
                 dispatcher,
-                fresh,
+                new_connection: fresh,
             });
-            let response = match timeout(response_timeout, wire.answer()).await {
+            let response = match timeout(response_timeout, wire.read_response()).await {
                 Ok(Ok(response)) => response,
                 Ok(Err(_)) => {
-                    self.recorder.add(What::Dropped { id: id.into() });
+                    self.recorder.add(Event::ConnectionLost { id: id.into() });
                     if !fresh {
                         fresh = true;
                         continue;
@@ -301,14 +306,14 @@
                     return SubmitResult::NoResponse;
                 }
                 Err(_) => {
-                    self.recorder.add(What::Left { id: id.into() });
+                    self.recorder.add(Event::ClientTimedOut { id: id.into() });
                     return SubmitResult::NoResponse;
                 }
             };
-            self.recorder.add(What::Answered { id: id.into(), status: response.status() });
+            self.recorder.add(Event::Answered { id: id.into(), status: response.status() });
             if !response.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
                 let mut idle = lock(&self.idle_connections[dispatcher]);
-                if idle.len() < self.scenario.clients.connections {
+                if idle.len() < self.scenario.clients.max_connections {
                     idle.push(wire);
                 }
             }
@@ -326,11 +331,11 @@
     }
 
     /// Takes an idle connection to a dispatcher that is still open.
-    fn take_idle_connection(&self, dispatcher: usize) -> Option<Wire> {
+    fn take_idle_connection(&self, dispatcher: usize) -> Option<HttpConnection> {
         let mut idle = lock(&self.idle_connections[dispatcher]);
         loop {
             let mut wire = idle.pop()?;
-            if !wire.spent() {
+            if !wire.is_stale() {
                 return Some(wire);
             }
         }
--- a/crates/lab/src/measures.rs
+++ b/crates/lab/src/fleet_measurements.rs
@@ -6,8 +6,8 @@
 //!
 //! The last two can also run the same processes without a fleet file, for comparison.
 
-use crate::members::{Members, Shape};
-use crate::stage::{Dispatcher, Endpoint, Platform, Reply, eventually};
+use crate::blocking::{Dispatcher, Endpoint, Platform, Reply, eventually};
+use crate::test_fleet::{FleetShape, TestFleet};
 use hdrhistogram::Histogram;
 use rustix::time::{ClockId, clock_gettime};
 use std::collections::BTreeSet;
@@ -72,10 +72,12 @@
 }
 
 /// Creates a fleet with one endpoint that accepts every call, without starting it.
-fn create_fleet(program: &Path, dir: &Path, shape: &Shape) -> io::Result<(Members, Endpoint, Platform)> {
+fn create_fleet(
+    program: &Path, dir: &Path, shape: &FleetShape,
+) -> io::Result<(TestFleet, Endpoint, Platform)> {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let known = [endpoint.host("e", 7, "up")];
-    let members = Members::new(program, dir, shape, &[&platform], &known)?;
+    let known = [endpoint.list_entry("e", 7, "up")];
+    let members = TestFleet::new(program, dir, shape, &[&platform], &known)?;
     Ok((members, endpoint, platform))
 }
 
@@ -91,7 +93,7 @@
     program: &Path, dir: &Path, term_s: f64, fault: HolderFault, repeats: usize,
 ) -> io::Result<DutyFailover> {
     let settings = format!("term_s = {term_s}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
-    let shape = Shape { voters: 5, observers: 0, settings };
+    let shape = FleetShape { voters: 5, observers: 0, extra_config: settings };
     let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
     members.start();
     let mut measured = DutyFailover {
@@ -104,7 +106,7 @@
     for _ in 0..repeats {
         let mut current = None;
         eventually("a keeper", || {
-            current = members.holder("keeper");
+            current = members.duty_holder("keeper");
             current.is_some()
         });
         let Some((holder, epoch)) = current else { continue };
@@ -113,13 +115,13 @@
         match fault {
             HolderFault::Kill => members.dispatchers[holder].kill(),
             HolderFault::Stall => members.dispatchers[holder].signal("STOP"),
-            HolderFault::Cut => members.cut_off(holder, (true, true)),
+            HolderFault::Cut => members.partition(holder, (true, true)),
             HolderFault::Word => members.dispatchers[holder].signal("TERM"),
         }
         let mut first_action = None;
         let until = Instant::now() + Duration::from_secs_f64(30.0 + 4.0 * term_s);
         while first_action.is_none() && Instant::now() < until {
-            first_action = members.acted_after("keeper", epoch);
+            first_action = members.first_action_after("keeper", epoch);
             sleep(Duration::from_millis(2));
         }
         let acted_at = first_action.ok_or_else(|| io::Error::other("no member took over the duty"))?.0;
@@ -128,13 +130,13 @@
         match fault {
             HolderFault::Kill => members.dispatchers[holder].start(),
             HolderFault::Stall => members.dispatchers[holder].signal("CONT"),
-            HolderFault::Cut => members.cut_off(holder, (false, false)),
+            HolderFault::Cut => members.partition(holder, (false, false)),
             HolderFault::Word => {
                 members.dispatchers[holder].wait();
                 members.dispatchers[holder].start();
             }
         }
-        let has_rejoined = || members.show(holder).is_some_and(|fleet| fleet["leader"].is_string());
+        let has_rejoined = || members.status(holder).is_some_and(|fleet| fleet["leader"].is_string());
         let until = Instant::now() + Duration::from_secs_f64(20.0 + 4.0 * term_s);
         while !has_rejoined() {
             if Instant::now() > until {
@@ -145,7 +147,7 @@
                     .filter(|l| l.starts_with("fleet:") && !l.contains("acts"))
                     .take(20)
                     .collect();
-                let status = members.show(holder).unwrap_or_default();
+                let status = members.status(holder).unwrap_or_default();
                 return Err(io::Error::other(format!(
                     "n{holder} did not rejoin the fleet; {status}\n{latest_lines:#?}"
                 )));
@@ -153,7 +155,7 @@
             sleep(Duration::from_millis(10));
         }
     }
-    measured.violations = members.faults();
+    measured.violations = members.violations();
     Ok(measured)
 }
 
@@ -241,22 +243,25 @@
     program: &Path, dir: &Path, count: usize, as_fleet: bool, duration_s: f64,
 ) -> io::Result<IdleCost> {
     let voters = 5.min(count);
-    let shape = Shape { voters, observers: count - voters, settings: "disk_mb = 1".into() };
+    let shape = FleetShape { voters, observers: count - voters, extra_config: "disk_mb = 1".into() };
     let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
     let started_at = Instant::now();
     match as_fleet {
         true => members.start(),
         false => {
-            members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.before.clear());
+            members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.shell_prelude.clear());
             members.dispatchers.iter_mut().for_each(Dispatcher::start);
         }
     }
     let startup_s = started_at.elapsed().as_secs_f64();
     sleep(Duration::from_secs(3));
     let leader = if as_fleet { members.leader(0).unwrap_or(0) } else { 0 };
-    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
-    let (cpu_before, bytes_before, measured_from) =
-        (pids.iter().map(|pid| cpu_seconds(*pid)).collect::<Vec<_>>(), members.carried(), Instant::now());
+    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::process_id).collect();
+    let (cpu_before, bytes_before, measured_from) = (
+        pids.iter().map(|pid| cpu_seconds(*pid)).collect::<Vec<_>>(),
+        members.relayed_bytes(),
+        Instant::now(),
+    );
     sleep(Duration::from_secs_f64(duration_s));
     let elapsed_s = measured_from.elapsed().as_secs_f64();
     let cpu: Vec<f64> =
@@ -270,7 +275,7 @@
         voters: if as_fleet { voters } else { 0 },
         startup_s,
         cpu: [cpu.get(leader).copied().unwrap_or(0.0), mean(&cpu[..voters]), mean(&cpu[voters..])],
-        bytes_per_s: (members.carried() - bytes_before) as f64 / elapsed_s / count as f64,
+        bytes_per_s: (members.relayed_bytes() - bytes_before) as f64 / elapsed_s / count as f64,
         max_memory_mb: [max_memory(&pids[..voters]), max_memory(&pids[voters..])],
     })
 }
@@ -297,22 +302,22 @@
     let outage = Arc::new(AtomicBool::new(false));
     let endpoint_outage = outage.clone();
     let endpoint = Endpoint::start(move |_, _| match endpoint_outage.load(Ordering::SeqCst) {
-        true => Reply::Break,
+        true => Reply::Disconnect,
         false => Reply::status(200),
     });
     let platform = Platform::start();
     platform.set(|mood| mood.heartbeats = true);
-    let known = [endpoint.host("e", 7, "up")];
-    let shape = Shape {
+    let known = [endpoint.list_entry("e", 7, "up")];
+    let shape = FleetShape {
         voters: 5.min(count | 1),
         observers: count - 5.min(count | 1),
-        settings: "disk_mb = 1".into(),
+        extra_config: "disk_mb = 1".into(),
     };
-    let mut members = Members::new(program, dir, &shape, &[&platform], &known)?;
+    let mut members = TestFleet::new(program, dir, &shape, &[&platform], &known)?;
     for dispatcher in &mut members.dispatchers {
         dispatcher.config["settings"]["balancers"] = count.into();
         if !as_fleet {
-            dispatcher.before.clear();
+            dispatcher.shell_prelude.clear();
         }
     }
     match as_fleet {
@@ -321,13 +326,13 @@
     }
     let mut accepted = BTreeSet::new();
     let mut number = 0;
-    let mut submit_for = |members: &Members, duration_s: f64| {
+    let mut submit_for = |members: &TestFleet, duration_s: f64| {
         let (started_at, interval_s) = (Instant::now(), 1.0 / messages_per_s);
         let mut next_s = 0.0;
         while next_s < duration_s {
             for (i, dispatcher) in members.dispatchers.iter().enumerate() {
                 let id = format!("m{i}-{number}");
-                if dispatcher.hand_in("keyed", &id, 7) == 202 {
+                if dispatcher.submit("keyed", &id, 7) == 202 {
                     accepted.insert(id);
                 }
             }
@@ -337,28 +342,28 @@
         }
     };
     submit_for(&members, 3.0);
-    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::id).collect();
+    let pids: Vec<u32> = members.dispatchers.iter().filter_map(Dispatcher::process_id).collect();
     let (cpu_before, measured_from) = (pids.iter().map(|pid| cpu_seconds(*pid)).sum::<f64>(), Instant::now());
     outage.store(true, Ordering::SeqCst);
-    let before_outage = endpoint.seen().len();
+    let before_outage = endpoint.requests().len();
     submit_for(&members, outage_s);
-    let attempted = endpoint.ids().split_off(before_outage);
+    let attempted = endpoint.message_ids().split_off(before_outage);
     let attempts = attempted.len();
     let attempts_by = |i: usize| attempted.iter().filter(|id| id.starts_with(&format!("m{i}-"))).count();
     let max_attempts = (0..count).map(attempts_by).max().unwrap_or(0);
     outage.store(false, Ordering::SeqCst);
-    let after_outage = endpoint.seen().len();
+    let after_outage = endpoint.requests().len();
     submit_for(&members, 3.0);
-    let watches_before = platform.watched_from().len();
+    let watches_before = platform.watch_paths().len();
     platform.set(|mood| mood.silent = true);
     sleep(Duration::from_secs_f64(outage_s));
-    let discovery_calls = platform.watched_from().len() - watches_before;
+    let discovery_calls = platform.watch_paths().len() - watches_before;
     platform.set(|mood| mood.silent = false);
     let cpu_used = pids.iter().map(|pid| cpu_seconds(*pid)).sum::<f64>() - cpu_before;
     let cpu = cpu_used / measured_from.elapsed().as_secs_f64();
     // Calls that the endpoint aborted during the outage are not deliveries.
     let count_delivered = || {
-        let ids = endpoint.ids();
+        let ids = endpoint.message_ids();
         let served =
             ids[..before_outage].iter().chain(&ids[after_outage..]).filter(|id| accepted.contains(*id));
         served.collect::<BTreeSet<_>>().len()
--- a/crates/lab/src/loss.rs
+++ b/crates/lab/src/loss.rs
@@ -1,7 +1,7 @@
 //! Computes the losses at each destination from a fleet's traffic counters: capacity that stayed unused while messages
 //! were pending, rejected calls by their cause, and how long the recovery from an outage took.
 
-use crate::fleet::Fleet;
+use crate::fleet_counters::FleetCounters;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,8 +56,9 @@
 
 /// Computes the losses by destination, and their sum under the name `all`. `interval_s` is the length of the counters'
 /// intervals in seconds.
-pub fn losses_by_destination(fleet: &Fleet, interval_s: f64) -> BTreeMap<String, Losses> {
-    let destinations: BTreeSet<&String> = fleet.spans.keys().map(|(_, destination)| destination).collect();
+pub fn losses_by_destination(fleet: &FleetCounters, interval_s: f64) -> BTreeMap<String, Losses> {
+    let destinations: BTreeSet<&String> =
+        fleet.intervals.keys().map(|(_, destination)| destination).collect();
     let mut by_destination = BTreeMap::new();
     let mut all = Losses::default();
     for destination in destinations {
@@ -76,12 +77,12 @@
 }
 
 /// Computes the losses at one destination.
-fn losses_at(fleet: &Fleet, destination: &str, interval_s: f64) -> Losses {
+fn losses_at(fleet: &FleetCounters, destination: &str, interval_s: f64) -> Losses {
     let mut losses = Losses::default();
     // Only responses report the limit, so the last reported one applies to intervals without a report.
     let mut limit = 0.0;
     let mut without_delivery: Option<(f64, usize)> = None;
-    for ((span, _), counters) in fleet.spans.iter().filter(|((_, of), _)| of == destination) {
+    for ((span, _), counters) in fleet.intervals.iter().filter(|((_, of), _)| of == destination) {
         let interval_start_s = *span as f64 * interval_s;
         let counter = |name: &str| counters.get(name).copied().unwrap_or(0);
         let (calls, served, rejected) = (counter("calls"), counter("served"), counter("full"));
@@ -93,7 +94,7 @@
         losses.undelivered += counter("back") + counter("given_up");
         limit = Some(counter("limit") as f64).filter(|reported| *reported > 0.0).unwrap_or(limit);
         let pending = fleet
-            .held
+            .pending
             .get(&(*span, destination.to_string()))
             .map_or(0.0, |pending| pending.0 as f64 / interval_s.max(1.0));
         let messages_per_call = counter("messages").max(1) as f64 / calls.max(1) as f64;
@@ -178,8 +179,8 @@
 mod tests {
     use super::*;
 
-    fn fleet() -> Fleet {
-        let mut fleet = Fleet::default();
+    fn fleet() -> FleetCounters {
+        let mut fleet = FleetCounters::default();
         for line in [
             // 10 calls with a limit of 50 and 100 messages pending: 40 calls unused.
             "0.5 counts 4:calls=10,messages=10,served=10,reports=1,limit=50,held=100",
@@ -191,7 +192,7 @@
             "4.5 counts 4:calls=46,messages=92,served=92,limit=50,held=30,given_up=1",
             "5.5 counts 7:calls=1,messages=1,full=1",
         ] {
-            fleet.take(0, line, 1.0);
+            fleet.add_line(0, line, 1.0);
         }
         fleet
     }
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/summary.rs
@@ -1,6 +1,6 @@
 //! Formats the results of a run as text.
 
-use crate::auditor::{Tally, Verdict};
+use crate::auditor::{ClassCounts, Verdict};
 use std::fmt::Write;
 
 /// Maximum number of rule violations that are printed; the others are only counted.
@@ -31,20 +31,20 @@
         "p99.9 ms",
     ];
     let mut rows = vec![headings.map(String::from).to_vec()];
-    let mut all = Tally::default();
+    let mut all = ClassCounts::default();
     for (name, tally) in &verdict.classes {
         rows.push(format_row(name, tally));
         all.messages += tally.messages;
-        all.taken += tally.taken;
+        all.accepted += tally.accepted;
         all.delivered += tally.delivered;
-        all.in_aim += tally.in_aim;
+        all.within_target += tally.within_target;
         all.given_up += tally.given_up;
         all.handed_back += tally.handed_back;
-        all.refused += tally.refused;
-        all.unheard += tally.unheard;
+        all.rejected += tally.rejected;
+        all.unanswered += tally.unanswered;
         all.lost += tally.lost;
-        all.doubled += tally.doubled;
-        all.doubled_by_clients += tally.doubled_by_clients;
+        all.duplicated += tally.duplicated;
+        all.duplicated_by_clients += tally.duplicated_by_clients;
         all.latencies.extend(&tally.latencies);
     }
     rows.push(format_row("all", &all));
@@ -65,38 +65,40 @@
         text.push_str(cells.join("  ").trim_end());
         text.push('\n');
     }
-    if all.doubled_by_clients > 0 {
-        let count = all.doubled_by_clients;
+    if all.duplicated_by_clients > 0 {
+        let count = all.duplicated_by_clients;
         // Writing to a string can't fail.
         let _ = writeln!(
             text,
             "{count} messages took effect under two ids: their clients had submitted them twice"
         );
     }
-    for (name, Tally { found, untried, .. }) in verdict.classes.iter().filter(|(_, tally)| tally.found > 0) {
+    for (name, ClassCounts { recovered, never_called, .. }) in
+        verdict.classes.iter().filter(|(_, tally)| tally.recovered > 0)
+    {
         let _ = writeln!(
             text,
-            "{name}: restarts recovered {found} messages without an attempt and with time left; {untried} of them were never sent"
+            "{name}: restarts recovered {recovered} messages without an attempt and with time left; {never_called} of them were never sent"
         );
     }
     text
 }
 
 /// Cells of one row of the class table.
-fn format_row(name: &str, tally: &Tally) -> Vec<String> {
+fn format_row(name: &str, tally: &ClassCounts) -> Vec<String> {
     let mut sorted = tally.latencies.clone();
     sorted.sort_unstable();
     let counts = [
         tally.messages,
-        tally.taken,
+        tally.accepted,
         tally.delivered,
-        tally.in_aim,
+        tally.within_target,
         tally.given_up,
         tally.handed_back,
-        tally.refused,
-        tally.unheard,
+        tally.rejected,
+        tally.unanswered,
         tally.lost,
-        tally.doubled,
+        tally.duplicated,
     ];
     let quantiles = [0.5, 0.99, 0.999].map(|quantile| format!("{:.1}", quantile_ms(&sorted, quantile)));
     std::iter::once(name.to_string()).chain(counts.map(|n| n.to_string())).chain(quantiles).collect()
@@ -104,17 +106,17 @@
 
 /// Formats the auditor's verdict: clean, or each violated rule with its count, and the first violations.
 pub fn format_verdict(verdict: &Verdict) -> String {
-    if verdict.clean() {
+    if verdict.is_clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
     }
     let mut text = String::from("verdict: BROKEN\n");
-    for (rule, count) in &verdict.counts {
+    for (rule, count) in &verdict.breach_counts {
         let _ = writeln!(text, "  {rule}: {count}");
     }
     for violation in verdict.breaches.iter().take(MAX_PRINTED_VIOLATIONS) {
         let _ = writeln!(text, "{violation}");
     }
-    let total = verdict.counts.values().sum::<u64>() as usize;
+    let total = verdict.breach_counts.values().sum::<u64>() as usize;
     if total > MAX_PRINTED_VIOLATIONS {
         let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_VIOLATIONS);
     }
