--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -1,9 +1,9 @@
 //! Benchmark of the throughput and latency of a dispatcher on one core, compared with a plain proxy on the same core
 //! in the same run.
 //!
-//! The process under test runs on a core of its own; the load generator and the endpoint share the others. Throughput is
-//! measured with a closed loop that limits the messages in flight so that none is rejected: the result is the highest
-//! sustained rate. Latencies are measured with an open loop at half that rate.
+//! The process under test runs on a core of its own; the load generator and the endpoint share the others. Throughput
+//! is measured with a closed loop that limits the messages in flight so that none is rejected: the result is the
+//! highest sustained rate. Latencies are measured with an open loop at half that rate.
 
 use crate::control_latency::{ResponseTimes, measure_latency};
 use crate::platform::{EndpointEntry, Platform};
@@ -410,7 +410,7 @@
 
     let (listener, endpoint) = bind_endpoint()?;
     let (listen, control) = (free_address()?, free_address()?);
-    let host = EndpointEntry {
+    let endpoint_entry = EndpointEntry {
         name: "bench".into(),
         addresses: vec![endpoint, endpoint],
         zone: "lab".into(),
@@ -419,7 +419,7 @@
         state: EndpointState::Up,
         rate_limit_per_s: 1e9,
     };
-    let (platform, mut notices) = Platform::new(vec![host], recorder.clone());
+    let (platform, mut notices) = Platform::new(vec![endpoint_entry], recorder.clone());
     let discovery = runtime.block_on(platform.start_agent(1, SocketAddr::from(([127, 0, 0, 1], 0))))?;
     let config = json!({
         "name": "bench", "listen": listen.to_string(), "control": control.to_string(), "discovery": discovery.to_string(), "seed": "1",
@@ -514,7 +514,10 @@
     );
     text.push_str(&format!("ratio {rate:.2} by rate, {cpu:.2} by CPU\n"));
     if let Some((without, with_stalled)) = control_port {
-        text.push_str(&format!("control port under full load: {without}\nwith {STALLED_CONNECTIONS} stalled connections: {with_stalled}\n"));
+        text.push_str(&format!(
+            "control port under full load: {without}\n\
+             with {STALLED_CONNECTIONS} stalled connections: {with_stalled}\n"
+        ));
     }
     text
 }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,8 +1,8 @@
 //! Simulated clients, and the load balancer in front of the dispatchers.
 //!
 //! The clients submit the messages of a script at their scripted times, wait a limited time for each response, and
-//! resubmit messages that were rejected or got no response. Each submission of a message has an id of its own. What they
-//! send and receive goes into the record that the auditor reads.
+//! resubmit messages that were rejected or got no response. Each submission of a message has an id of its own. Requests
+//! and responses are recorded for the auditor.
 
 use crate::http::HttpConnection;
 use crate::message_registry::MessageRegistry;
@@ -41,7 +41,7 @@
 pub struct SimulatedClients {
     scenario: Scenario,
     recorder: Recorder,
-    ledger: Arc<MessageRegistry>,
+    registry: Arc<MessageRegistry>,
     dispatcher_addresses: Vec<SocketAddr>,
     /// The dispatchers that the load balancer considers alive.
     alive: Mutex<Vec<bool>>,
@@ -74,14 +74,14 @@
 impl SimulatedClients {
     /// Creates clients of the dispatchers at these addresses.
     pub fn new(
-        scenario: Scenario, recorder: Recorder, ledger: Arc<MessageRegistry>,
+        scenario: Scenario, recorder: Recorder, registry: Arc<MessageRegistry>,
         dispatcher_addresses: Vec<SocketAddr>,
     ) -> Arc<SimulatedClients> {
         let count = dispatcher_addresses.len();
         Arc::new(SimulatedClients {
             scenario,
             recorder,
-            ledger,
+            registry,
             dispatcher_addresses,
             alive: Mutex::new(vec![true; count]),
             idle_connections: (0..count).map(|_| Mutex::default()).collect(),
@@ -161,7 +161,8 @@
         });
     }
 
-    /// Whether the client resubmits a rejected message: after the first rejection only, with the scenario's probability.
+    /// Whether the client resubmits a rejected message: only after the first rejection, with the scenario's
+    /// probability.
     fn resubmits(&self, message: &mut ClientMessage) -> bool {
         message.rejections += 1;
         message.rejections == 1 && message.rng.f64() < self.scenario.clients.retry_probability
@@ -188,7 +189,7 @@
         let time_limit = (class.deadline_s * 1e6) as Micros;
         while message.submissions < MAX_SUBMISSIONS {
             let deadline = message.first_submitted_at + time_limit;
-            // With less than 50 ms left, delivery within the deadline is unlikely.
+            // With less than 50 ms left, a submission is not worth an attempt.
             if self.recorder.now() + 50_000 > deadline {
                 break;
             }
@@ -234,21 +235,21 @@
     ) -> SubmitResult {
         let arrival = &message.arrival;
         let class = &self.scenario.classes[arrival.class];
-        let dest = arrival.partner as u32 + 1;
+        let destination = arrival.partner as u32 + 1;
         let key_window = (class.key_window_s * 1e6) as Micros;
-        self.ledger.register(id, dest, deadline, class.effect, key_window);
+        self.registry.register(id, destination, deadline, class.effect, key_window);
         let response_timeout = Duration::from_millis(self.scenario.clients.response_timeout_ms);
-        let mut fresh = false;
+        let mut new_connection = false;
         loop {
-            let reused = if fresh { None } else { self.take_idle_connection(dispatcher) };
-            fresh = reused.is_none();
-            let mut wire = match reused {
-                Some(wire) => wire,
+            let reused = if new_connection { None } else { self.take_idle_connection(dispatcher) };
+            new_connection = reused.is_none();
+            let mut connection = match reused {
+                Some(connection) => connection,
                 None => {
                     match HttpConnection::connect(self.dispatcher_addresses[dispatcher], response_timeout)
                         .await
                     {
-                        Ok(wire) => wire,
+                        Ok(connection) => connection,
                         Err(_) => return SubmitResult::Unreached,
                     }
                 }
@@ -257,7 +258,7 @@
             let remaining_ms = deadline.saturating_sub(self.recorder.now()) / 1000;
             let mut head = format!(
                 "POST /{name} HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {name}\r\n\
-                 Request-Timeout-Ms: {remaining_ms}\r\nContent-Length: {length}\r\nX-Consignee: dest={dest}\r\n",
+                 Request-Timeout-Ms: {remaining_ms}\r\nContent-Length: {length}\r\nX-Consignee: dest={destination}\r\n",
                 name = class.name,
                 length = message.body.len(),
             );
@@ -273,12 +274,12 @@
             head.push_str("\r\n");
             let mut request = head.into_bytes();
             request.extend_from_slice(&message.body);
-            if wire.write(&request).await.is_err() {
+            if connection.write(&request).await.is_err() {
                 // The last byte was not written, so the dispatcher can't have accepted the message.
-                match fresh {
+                match new_connection {
                     true => return SubmitResult::NoResponse,
                     false => {
-                        fresh = true;
+                        new_connection = true;
                         continue;
                     }
                 }
@@ -287,20 +288,20 @@
                 id: id.into(),
                 origin: arrival.id.clone(),
                 class: class.name.clone(),
-                destination: dest,
+                destination,
                 key,
                 order: None,
                 body_digest: digest(&message.body),
                 deadline,
                 dispatcher,
-                new_connection: fresh,
+                new_connection,
             });
-            let response = match timeout(response_timeout, wire.read_response()).await {
+            let response = match timeout(response_timeout, connection.read_response()).await {
                 Ok(Ok(response)) => response,
                 Ok(Err(_)) => {
                     self.recorder.add(Event::ConnectionLost { id: id.into() });
-                    if !fresh {
-                        fresh = true;
+                    if !new_connection {
+                        new_connection = true;
                         continue;
                     }
                     return SubmitResult::NoResponse;
@@ -314,7 +315,7 @@
             if !response.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
                 let mut idle = lock(&self.idle_connections[dispatcher]);
                 if idle.len() < self.scenario.clients.max_connections {
-                    idle.push(wire);
+                    idle.push(connection);
                 }
             }
             return match response.status() {
@@ -334,9 +335,9 @@
     fn take_idle_connection(&self, dispatcher: usize) -> Option<HttpConnection> {
         let mut idle = lock(&self.idle_connections[dispatcher]);
         loop {
-            let mut wire = idle.pop()?;
-            if !wire.is_stale() {
-                return Some(wire);
+            let mut connection = idle.pop()?;
+            if !connection.is_stale() {
+                return Some(connection);
             }
         }
     }
--- a/crates/lab/src/control_latency.rs
+++ b/crates/lab/src/control_latency.rs
@@ -1,5 +1,5 @@
-//! Measures how fast a dispatcher's control port responds while the dispatcher is under full load, with or without stalled
-//! connections at the same time.
+//! Measures how fast a dispatcher's control port responds while the dispatcher is under full load, with or without
+//! stalled connections at the same time.
 
 use fawnspoke_control::client::send_request;
 use fawnspoke_control::protocol::Request;
--- a/crates/lab/src/fleet_measurements.rs
+++ b/crates/lab/src/fleet_measurements.rs
@@ -186,8 +186,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{:>3} dispatchers {:<8} attempts {:>5}, at most {:>4} by one  discovery calls {:>5}  accepted {:>5}  delivered {:>5}  {:.3} of a core each  {:.1} MB \
-             at most",
+            "{:>3} dispatchers {:<8} attempts {:>5}, at most {:>4} by one  discovery calls {:>5}  accepted {:>5}  \
+             delivered {:>5}  {:.3} of a core each  {:.1} MB at most",
             self.count,
             if self.as_fleet { "a fleet" } else { "alone" },
             self.attempts,
@@ -210,8 +210,8 @@
     pub voters: usize,
     /// From the start of the first process until the fleet is complete, in seconds.
     pub startup_s: f64,
-    /// Processor time in seconds per second: of the leader (or the first dispatcher), and the means of the voters and of
-    /// the observers.
+    /// Processor time in seconds per second: of the leader (or the first dispatcher), and the means of the voters and
+    /// of the observers.
     pub cpu: [f64; 3],
     /// Bytes per second between members, divided by the number of members.
     pub bytes_per_s: f64,
@@ -225,8 +225,8 @@
         let [voter_mb, observer_mb] = self.max_memory_mb;
         write!(
             f,
-            "{:>3} dispatchers, {} voters  complete after {:>5.1} s  of a core: leader {leader:.4}, voter {voter:.4}, observer \
-             {observer:.4}  {:>7.0} bytes/s each  voter {voter_mb:.1} MB, observer {observer_mb:.1} MB",
+            "{:>3} dispatchers, {} voters  complete after {:>5.1} s  of a core: leader {leader:.4}, voter {voter:.4}, \
+             observer {observer:.4}  {:>7.0} bytes/s each  voter {voter_mb:.1} MB, observer {observer_mb:.1} MB",
             self.count, self.voters, self.startup_s, self.bytes_per_s
         )
     }
@@ -306,7 +306,7 @@
         false => Reply::status(200),
     });
     let platform = Platform::start();
-    platform.set(|mood| mood.heartbeats = true);
+    platform.set(|behavior| behavior.heartbeats = true);
     let known = [endpoint.list_entry("e", 7, "up")];
     let shape = FleetShape {
         voters: 5.min(count | 1),
@@ -355,10 +355,10 @@
     let after_outage = endpoint.requests().len();
     submit_for(&members, 3.0);
     let watches_before = platform.watch_paths().len();
-    platform.set(|mood| mood.silent = true);
+    platform.set(|behavior| behavior.silent = true);
     sleep(Duration::from_secs_f64(outage_s));
     let discovery_calls = platform.watch_paths().len() - watches_before;
-    platform.set(|mood| mood.silent = false);
+    platform.set(|behavior| behavior.silent = false);
     let cpu_used = pids.iter().map(|pid| cpu_seconds(*pid)).sum::<f64>() - cpu_before;
     let cpu = cpu_used / measured_from.elapsed().as_secs_f64();
     // Calls that the endpoint aborted during the outage are not deliveries.
--- a/crates/lab/src/loss.rs
+++ b/crates/lab/src/loss.rs
@@ -82,8 +82,8 @@
     // Only responses report the limit, so the last reported one applies to intervals without a report.
     let mut limit = 0.0;
     let mut without_delivery: Option<(f64, usize)> = None;
-    for ((span, _), counters) in fleet.intervals.iter().filter(|((_, of), _)| of == destination) {
-        let interval_start_s = *span as f64 * interval_s;
+    for ((interval, _), counters) in fleet.intervals.iter().filter(|((_, of), _)| of == destination) {
+        let interval_start_s = *interval as f64 * interval_s;
         let counter = |name: &str| counters.get(name).copied().unwrap_or(0);
         let (calls, served, rejected) = (counter("calls"), counter("served"), counter("full"));
         let (exhausted, unavailable) = (counter("full_used"), counter("full_shut"));
@@ -95,7 +95,7 @@
         limit = Some(counter("limit") as f64).filter(|reported| *reported > 0.0).unwrap_or(limit);
         let pending = fleet
             .pending
-            .get(&(*span, destination.to_string()))
+            .get(&(*interval, destination.to_string()))
             .map_or(0.0, |pending| pending.0 as f64 / interval_s.max(1.0));
         let messages_per_call = counter("messages").max(1) as f64 / calls.max(1) as f64;
         losses.permitted_calls += limit * interval_s;
@@ -179,8 +179,8 @@
 mod tests {
     use super::*;
 
-    fn fleet() -> FleetCounters {
-        let mut fleet = FleetCounters::default();
+    fn sample_counters() -> FleetCounters {
+        let mut counters = FleetCounters::default();
         for line in [
             // 10 calls with a limit of 50 and 100 messages pending: 40 calls unused.
             "0.5 counts 4:calls=10,messages=10,served=10,reports=1,limit=50,held=100",
@@ -192,14 +192,14 @@
             "4.5 counts 4:calls=46,messages=92,served=92,limit=50,held=30,given_up=1",
             "5.5 counts 7:calls=1,messages=1,full=1",
         ] {
-            fleet.add_line(0, line, 1.0);
+            counters.add_line(0, line, 1.0);
         }
-        fleet
+        counters
     }
 
     #[test]
     fn unused_calls_rejections_and_outages_are_counted_by_destination() {
-        let losses = losses_by_destination(&fleet(), 1.0);
+        let losses = losses_by_destination(&sample_counters(), 1.0);
         let destination_4 = &losses["4"];
         assert_eq!(
             (
@@ -223,7 +223,7 @@
 
     #[test]
     fn table_shows_an_earlier_run_beside_the_current_one() {
-        let after = losses_by_destination(&fleet(), 1.0);
+        let after = losses_by_destination(&sample_counters(), 1.0);
         let mut before = after.clone();
         before.get_mut("4").unwrap().calls = 99;
         let table = format_losses(Some(&before), &after);
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -3,8 +3,8 @@
 use crate::auditor::{ClassCounts, Verdict};
 use std::fmt::Write;
 
-/// Maximum number of rule violations that are printed; the others are only counted.
-const MAX_PRINTED_VIOLATIONS: usize = 20;
+/// Maximum number of rule breaches that are printed; the others are only counted.
+const MAX_PRINTED_BREACHES: usize = 20;
 
 /// Quantile of sorted times in microseconds, in milliseconds.
 fn quantile_ms(sorted: &[u64], quantile: f64) -> f64 {
@@ -32,20 +32,20 @@
     ];
     let mut rows = vec![headings.map(String::from).to_vec()];
     let mut all = ClassCounts::default();
-    for (name, tally) in &verdict.classes {
-        rows.push(format_row(name, tally));
-        all.messages += tally.messages;
-        all.accepted += tally.accepted;
-        all.delivered += tally.delivered;
-        all.within_target += tally.within_target;
-        all.given_up += tally.given_up;
-        all.handed_back += tally.handed_back;
-        all.rejected += tally.rejected;
-        all.unanswered += tally.unanswered;
-        all.lost += tally.lost;
-        all.duplicated += tally.duplicated;
-        all.duplicated_by_clients += tally.duplicated_by_clients;
-        all.latencies.extend(&tally.latencies);
+    for (name, class_counts) in &verdict.classes {
+        rows.push(format_row(name, class_counts));
+        all.messages += class_counts.messages;
+        all.accepted += class_counts.accepted;
+        all.delivered += class_counts.delivered;
+        all.within_target += class_counts.within_target;
+        all.given_up += class_counts.given_up;
+        all.handed_back += class_counts.handed_back;
+        all.rejected += class_counts.rejected;
+        all.unanswered += class_counts.unanswered;
+        all.lost += class_counts.lost;
+        all.duplicated += class_counts.duplicated;
+        all.duplicated_by_clients += class_counts.duplicated_by_clients;
+        all.latencies.extend(&class_counts.latencies);
     }
     rows.push(format_row("all", &all));
     let widths: Vec<usize> =
@@ -74,37 +74,38 @@
         );
     }
     for (name, ClassCounts { recovered, never_called, .. }) in
-        verdict.classes.iter().filter(|(_, tally)| tally.recovered > 0)
+        verdict.classes.iter().filter(|(_, class_counts)| class_counts.recovered > 0)
     {
         let _ = writeln!(
             text,
-            "{name}: restarts recovered {recovered} messages without an attempt and with time left; {never_called} of them were never sent"
+            "{name}: restarts recovered {recovered} messages without an attempt and with time left; \
+             {never_called} of them were never sent"
         );
     }
     text
 }
 
 /// Cells of one row of the class table.
-fn format_row(name: &str, tally: &ClassCounts) -> Vec<String> {
-    let mut sorted = tally.latencies.clone();
+fn format_row(name: &str, class_counts: &ClassCounts) -> Vec<String> {
+    let mut sorted = class_counts.latencies.clone();
     sorted.sort_unstable();
     let counts = [
-        tally.messages,
-        tally.accepted,
-        tally.delivered,
-        tally.within_target,
-        tally.given_up,
-        tally.handed_back,
-        tally.rejected,
-        tally.unanswered,
-        tally.lost,
-        tally.duplicated,
+        class_counts.messages,
+        class_counts.accepted,
+        class_counts.delivered,
+        class_counts.within_target,
+        class_counts.given_up,
+        class_counts.handed_back,
+        class_counts.rejected,
+        class_counts.unanswered,
+        class_counts.lost,
+        class_counts.duplicated,
     ];
     let quantiles = [0.5, 0.99, 0.999].map(|quantile| format!("{:.1}", quantile_ms(&sorted, quantile)));
     std::iter::once(name.to_string()).chain(counts.map(|n| n.to_string())).chain(quantiles).collect()
 }
 
-/// Formats the auditor's verdict: clean, or each violated rule with its count, and the first violations.
+/// Formats the auditor's verdict: clean, or each broken rule with its count, and the first breaches.
 pub fn format_verdict(verdict: &Verdict) -> String {
     if verdict.is_clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
@@ -113,12 +114,12 @@
     for (rule, count) in &verdict.breach_counts {
         let _ = writeln!(text, "  {rule}: {count}");
     }
-    for violation in verdict.breaches.iter().take(MAX_PRINTED_VIOLATIONS) {
-        let _ = writeln!(text, "{violation}");
+    for breach in verdict.breaches.iter().take(MAX_PRINTED_BREACHES) {
+        let _ = writeln!(text, "{breach}");
     }
     let total = verdict.breach_counts.values().sum::<u64>() as usize;
-    if total > MAX_PRINTED_VIOLATIONS {
-        let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_VIOLATIONS);
+    if total > MAX_PRINTED_BREACHES {
+        let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_BREACHES);
     }
     text
 }
