--- a/crates/lab/src/auditor.rs
+++ b/crates/lab/src/auditor.rs
@@ -1,9 +1,9 @@
 //! Judges a record by the six rules.
 //!
-//! It goes by what the stand-ins saw alone and shares no code with the dispatcher: what a client was answered,
-//! what an endpoint received and did, what the platform told and was told. Figures come from the record's first
-//! entry. Where a record leaves a doubt (an answer on its way while the other side closed), the doubt is the
-//! dispatcher's for as long as [`Rules::slack`].
+//! The auditor relies only on what the stand-ins observed and shares no code with the dispatcher: the responses that
+//! clients got, what endpoints received and did, what the platform sent and received. The parameters of the rules come
+//! from the record's first entry. Where a record is ambiguous (a response in flight while the other side closed), the
+//! dispatcher gets the benefit of the doubt for as long as [`Rules::tolerance`].
 
 use crate::record::{
     CallEnd, Effect, EndpointState, Entry, Event, MessageResult, Micros, Outcome, ProcessSignal, Rules,
@@ -11,41 +11,42 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt;
 
-/// Calls of one window that are let through on top of the budget of a cold place: chance, and calls on their way.
-const COLD_SLACK: f64 = 3.0;
-/// An answer that was written this long after another call had begun was not crossed by it.
-const CROSSING: Micros = 10_000;
-/// A message that a restart found untried had time left if it had so much at readiness.
-const TIME_LEFT: Micros = 500_000;
-/// So many of them say something; of fewer over half may be chance.
-const FOUND_LEAST: u64 = 10;
-/// Breaches that are kept; more are counted.
-const BREACHES_KEPT: usize = 200;
-
-/// The rules, and what every record must keep on top of them.
+/// Calls of one window that are tolerated beyond the budget of a cold destination, for random variation and calls that
+/// were already in flight.
+const COLD_CALL_TOLERANCE: f64 = 3.0;
+/// A response written this long after another call had begun does not count as in flight at that time.
+const RESPONSE_IN_FLIGHT: Micros = 10_000;
+/// A recovered message that was never called had time left if its deadline was this long after readiness.
+const MIN_TIME_LEFT: Micros = 500_000;
+/// With fewer recovered messages than this, a majority that was never called may be chance.
+const MIN_RECOVERED: u64 = 10;
+/// Breaches that are kept with their text; further ones are only counted.
+const MAX_BREACHES_KEPT: usize = 200;
+
+/// The six rules, and what every record must satisfy besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rule {
-    /// What was taken on gets its end in time.
+    /// Each accepted message is delivered or ended in time.
     Lost,
-    /// One final answer, and nothing is sent after it.
+    /// Each message gets one final answer, and is not sent after it.
     SingleAnswer,
-    /// Nothing takes effect twice.
+    /// No message takes effect twice.
     Duplicate,
-    /// Never two attempts of one message at once.
+    /// No message has two attempts in flight at once.
     ConcurrentAttempts,
-    /// Nothing new goes to an endpoint that drains or is gone.
+    /// An endpoint that is draining or removed gets no new calls.
     Drain,
-    /// A destination that comes back cold is not pushed over.
+    /// A destination that recovers cold is not overloaded.
     ColdStart,
-    /// Order, where a class asks for it.
+    /// Messages with the same order key are delivered in order, where their class asks for it.
     Order,
-    /// A told wait is kept.
+    /// A Retry-After is honoured.
     RetryAfter,
     /// A message goes to its own destination, unchanged.
     Altered,
-    /// No process ends that was not told to.
+    /// No process ends without having been told to.
     Crash,
-    /// What a restart finds taken on and untried is still tried.
+    /// Accepted messages that a restart recovers before their first attempt are still attempted.
     NeverCalled,
 }
 
@@ -67,16 +68,16 @@
     }
 }
 
-/// One breach.
+/// One breach of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     /// The rule.
     pub rule: Rule,
-    /// The message, or what else broke it.
+    /// The message, destination, endpoint or dispatcher concerned.
     pub subject: String,
     /// What happened, with times in seconds of the run.
     pub text: String,
-    /// When, on the record's clock.
+    /// When it happened, on the record's clock.
     pub at: Micros,
 }
 
@@ -86,58 +87,58 @@
     }
 }
 
-/// Counts of one class. A message that is handed in again under a new id counts once.
+/// Counts for one class. A message that is submitted again under a new id counts once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClassCounts {
-    /// Messages that clients had.
+    /// Messages that clients submitted.
     pub messages: u64,
-    /// Taken on under at least one id.
+    /// Accepted under at least one id.
     pub accepted: u64,
-    /// Delivered, and their clients had heard that they were taken on.
+    /// Delivered under an id whose acceptance the client had read.
     pub delivered: u64,
-    /// Those of them within the aim.
+    /// Delivered messages that met the target latency.
     pub within_target: u64,
-    /// Ended by a notice that promises nothing, and not delivered.
+    /// Ended by a given-up notice and not delivered.
     pub given_up: u64,
-    /// Ended by a notice that coming again is harmless, and not delivered.
+    /// Ended by a handed-back notice and not delivered.
     pub handed_back: u64,
-    /// Turned away each time.
+    /// Rejected at each submission.
     pub rejected: u64,
-    /// No answer was heard, or another than taken or refused.
+    /// The client read no response, or one that neither accepts nor rejects.
     pub unanswered: u64,
-    /// Lost: the rule is broken.
+    /// Lost, in breach of the rule.
     pub lost: u64,
-    /// Took effect twice though its class forbids it, by the dispatchers' doing.
+    /// Took effect twice because of the dispatchers, though the class forbids it.
     pub duplicated: u64,
-    /// Took effect under two ids, since its client had handed it in twice: no rule is broken.
+    /// Took effect under two ids because the client submitted the message twice: no breach.
     pub duplicated_by_clients: u64,
-    /// Hand-ins that a later process found taken on and never called, with time left once it was ready.
+    /// Accepted submissions that a restarted process recovered without a call so far, with time left once it was ready.
     pub recovered: u64,
-    /// Those of them that never were called.
+    /// Recovered submissions that were never called.
     pub never_called: u64,
-    /// Time from the first hand-in to the delivery of each delivered message, in microseconds.
+    /// Time from the first submission to the delivery of each delivered message, in microseconds.
     pub latencies: Vec<Micros>,
 }
 
-/// What a record amounts to.
+/// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// The breaches, by time; at most so many are kept.
+    /// The breaches by time, up to a maximum number.
     pub breaches: Vec<Breach>,
-    /// How many there were of each rule.
+    /// The number of breaches of each rule.
     pub breach_counts: BTreeMap<Rule, u64>,
     /// Counts by class.
     pub classes: BTreeMap<String, ClassCounts>,
-    /// Calls that endpoints got, and probes.
+    /// Calls that endpoints received.
     pub calls: u64,
-    /// Probes that endpoints got.
+    /// Probes that endpoints received.
     pub probes: u64,
     /// Messages whose end was not yet due when the record ended.
     pub open: u64,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Whether there was no breach.
     pub fn is_clean(&self) -> bool {
         self.breach_counts.is_empty()
     }
@@ -148,91 +149,93 @@
 }
 
 struct Message {
-    asked: Micros,
+    submitted_at: Micros,
     origin: String,
     class: usize,
-    dest: u32,
+    destination: u32,
     key: Option<String>,
-    body: u64,
+    body_digest: u64,
     deadline: Micros,
     dispatcher: usize,
-    fresh: bool,
-    status: Option<(Micros, u16)>,
-    left: bool,
-    order: Option<String>,
-    /// Its calls, by their numbers, and those of them that surely never ran.
+    new_connection: bool,
+    response: Option<(Micros, u16)>,
+    client_timed_out: bool,
+    order_key: Option<String>,
+    /// Its calls, by number, and those of them that certainly did not run it.
     calls: Vec<u64>,
-    never: Vec<u64>,
-    /// An endpoint has told that nothing more is owed.
-    over: Option<Micros>,
-    /// First call that may have run: when its last byte came.
-    may_have_run: Option<Micros>,
-    delivered: Option<Micros>,
+    not_run_calls: Vec<u64>,
+    /// When an endpoint reported that it had expired.
+    expired_at: Option<Micros>,
+    /// When the last byte of the first call that may have run it arrived.
+    may_have_run_at: Option<Micros>,
+    delivered_at: Option<Micros>,
     notices: Vec<(Micros, Outcome, u16)>,
-    effects: u32,
-    doubled: bool,
+    effect_count: u32,
+    duplicated: bool,
 }
 
 impl Message {
-    fn taken(&self) -> bool {
-        matches!(self.status, Some((_, 200 | 202)))
+    fn is_accepted(&self) -> bool {
+        matches!(self.response, Some((_, 200 | 202)))
     }
 
-    /// When the dispatcher was done with it.
-    fn ended(&self) -> Option<Micros> {
-        let noticed = self.notices.first().map(|(at, ..)| *at);
-        self.delivered.into_iter().chain(noticed).chain(self.over).min()
+    /// When the message was delivered, given up, handed back or expired.
+    fn ended_at(&self) -> Option<Micros> {
+        let first_notice = self.notices.first().map(|(at, ..)| *at);
+        self.delivered_at.into_iter().chain(first_notice).chain(self.expired_at).min()
     }
 }
 
 struct Call {
-    at: Micros,
+    arrived_at: Micros,
     endpoint: String,
     dispatcher: usize,
-    dest: u32,
+    destination: u32,
     ids: Vec<String>,
-    ended: Option<Micros>,
+    ended_at: Option<Micros>,
 }
 
-/// The life of one dispatcher's processes.
+/// The history of one dispatcher's processes.
 #[derive(Default)]
-struct Lives {
-    /// From a signal that ends it until it is ready again.
+struct ProcessHistory {
+    /// Times without service: from a signal that stops the process until it is ready or continues.
     restarts: Vec<(Micros, Option<Micros>)>,
     kills: Vec<Micros>,
-    started: Vec<Micros>,
-    ready: Vec<Micros>,
+    starts: Vec<Micros>,
+    readiness: Vec<Micros>,
 }
 
 struct Outage {
-    from: Micros,
-    back: Option<Micros>,
-    refusing: bool,
-    informed: HashSet<usize>,
-    /// Arrivals since it came back: when, and from whom.
+    started_at: Micros,
+    recovered_at: Option<Micros>,
+    refuses_connections: bool,
+    /// The dispatchers that have observed the outage.
+    informed_dispatchers: HashSet<usize>,
+    /// Calls and probes since the recovery: when, and from which dispatcher.
     arrivals: Vec<(Micros, usize)>,
-    judged: bool,
+    breach_reported: bool,
 }
 
 #[derive(Default)]
 struct Audit {
     rules: Rules,
     messages: HashMap<String, Message>,
-    /// Ids in the order of the record.
-    order: Vec<String>,
+    /// Message ids in the order of the record.
+    message_ids: Vec<String>,
     calls: HashMap<u64, Call>,
-    lives: BTreeMap<usize, Lives>,
-    /// When a dispatcher was told that an endpoint drains or is gone.
-    drains: HashMap<(usize, String), Micros>,
-    /// Changes that must be told to all by some time, where the platform spoke all the while.
-    pending: Vec<(Micros, String, EndpointState)>,
+    processes: BTreeMap<usize, ProcessHistory>,
+    /// When a dispatcher was informed that an endpoint is draining or removed.
+    informed_of_drain: HashMap<(usize, String), Micros>,
+    /// Changes of the list, which all dispatchers have to know after some time unless the platform was silent.
+    list_changes: Vec<(Micros, String, EndpointState)>,
     silent: bool,
     silences: Vec<(Micros, Option<Micros>)>,
-    waits: HashMap<(usize, u32), Vec<(Micros, Micros)>>,
+    /// The Retry-After periods by dispatcher and destination: sent at, valid until.
+    retry_afters: HashMap<(usize, u32), Vec<(Micros, Micros)>>,
     outages: HashMap<u32, Vec<Outage>>,
-    /// For order: ids taken by a dispatcher under a key of order.
-    lines: HashMap<(usize, String), Vec<String>>,
-    done: Micros,
+    /// The per-key queues: ids submitted to a dispatcher under an order key.
+    key_queues: HashMap<(usize, String), Vec<String>>,
+    record_end: Micros,
     verdict: Verdict,
 }
 
@@ -240,434 +243,469 @@
 pub fn audit(entries: &[Entry]) -> Verdict {
     let mut audit = Audit::default();
     for entry in entries {
-        audit.done = audit.done.max(entry.at);
-        audit.hear(entry.at, &entry.event);
+        audit.record_end = audit.record_end.max(entry.at);
+        audit.apply(entry.at, &entry.event);
     }
     audit.finish();
     audit.verdict
 }
 
 impl Audit {
-    fn breach(&mut self, rule: Rule, subject: impl Into<String>, at: Micros, text: String) {
+    fn report(&mut self, rule: Rule, subject: impl Into<String>, at: Micros, text: String) {
         *self.verdict.breach_counts.entry(rule).or_default() += 1;
-        if self.verdict.breaches.len() < BREACHES_KEPT {
+        if self.verdict.breaches.len() < MAX_BREACHES_KEPT {
             self.verdict.breaches.push(Breach { rule, subject: subject.into(), text, at });
         }
     }
 
-    fn effect(&self, message: &Message) -> (Effect, Micros) {
+    fn effect_of(&self, message: &Message) -> (Effect, Micros) {
         let class = self.rules.classes.get(message.class);
         class.map_or((Effect::Unsafe, 0), |class| (class.effect, class.key_window))
     }
 
-    fn hear(&mut self, at: Micros, what: &Event) {
-        match what {
+    fn apply(&mut self, at: Micros, event: &Event) {
+        match event {
             Event::Rules(rules) => self.rules = rules.clone(),
-            Event::Submitted { .. } => self.asked(at, what),
-            Event::Answered { id, status } => self.answered(at, id, *status),
+            Event::Submitted { .. } => self.on_submitted(at, event),
+            Event::Answered { id, status } => self.on_answered(at, id, *status),
             Event::ClientTimedOut { id } => {
                 if let Some(message) = self.messages.get_mut(id) {
-                    message.left = true;
+                    message.client_timed_out = true;
                 }
             }
-            Event::ConnectionLost { id } => self.dropped(at, id),
-            Event::Call { call, endpoint, destination: dest, dispatcher, first_byte_at: first, items } => {
+            Event::ConnectionLost { id } => self.on_connection_lost(at, id),
+            Event::Call { call, endpoint, destination, dispatcher, first_byte_at, items } => {
                 self.verdict.calls += 1;
-                self.drained(*dispatcher, endpoint, *first);
-                self.waited(at, *dispatcher, *dest);
-                self.arrived(at, *dispatcher, *dest);
+                self.check_drain(*dispatcher, endpoint, *first_byte_at);
+                self.check_retry_after(at, *dispatcher, *destination);
+                self.check_cold_start(at, *dispatcher, *destination);
                 for item in items {
-                    self.called(at, *call, endpoint, *dest, item);
+                    self.on_message_called(at, *call, endpoint, *destination, item);
                 }
                 let ids = items.iter().map(|item| item.id.clone()).collect();
-                let (endpoint, dispatcher, dest) = (endpoint.clone(), *dispatcher, *dest);
-                self.calls.insert(*call, Call { at, endpoint, dispatcher, dest, ids, ended: None });
+                let (endpoint, dispatcher, destination) = (endpoint.clone(), *dispatcher, *destination);
+                self.calls.insert(
+                    *call,
+                    Call { arrived_at: at, endpoint, dispatcher, destination, ids, ended_at: None },
+                );
             }
-            Event::Probe { endpoint, destination: dest, dispatcher, healthy: well } => {
+            Event::Probe { endpoint, destination, dispatcher, healthy } => {
                 self.verdict.probes += 1;
-                self.drained(*dispatcher, endpoint, at);
-                self.waited(at, *dispatcher, *dest);
-                self.arrived(at, *dispatcher, *dest);
-                if !well {
-                    self.informed(at, *dispatcher, *dest);
+                self.check_drain(*dispatcher, endpoint, at);
+                self.check_retry_after(at, *dispatcher, *destination);
+                self.check_cold_start(at, *dispatcher, *destination);
+                if !healthy {
+                    self.mark_informed(at, *dispatcher, *destination);
                 }
             }
-            Event::MessageProcessed { call, id, took_effect: effect } => self.ran(at, *call, id, *effect),
-            Event::CallEnded { call, end: how, results: fates, retry_after: wait } => {
-                self.ended(at, *call, *how, fates, *wait)
+            Event::MessageProcessed { call, id, took_effect } => {
+                self.on_processed(at, *call, id, *took_effect)
             }
-            Event::OutageStarted { destination: dest, refuses_connections: refusing } => {
+            Event::CallEnded { call, end, results, retry_after } => {
+                self.on_call_ended(at, *call, *end, results, *retry_after)
+            }
+            Event::OutageStarted { destination, refuses_connections } => {
                 let outage = Outage {
-                    from: at,
-                    back: None,
-                    refusing: *refusing,
-                    informed: HashSet::new(),
+                    started_at: at,
+                    recovered_at: None,
+                    refuses_connections: *refuses_connections,
+                    informed_dispatchers: HashSet::new(),
                     arrivals: Vec::new(),
-                    judged: false,
+                    breach_reported: false,
                 };
-                self.outages.entry(*dest).or_default().push(outage);
+                self.outages.entry(*destination).or_default().push(outage);
             }
-            Event::OutageEnded { destination: dest } => {
-                let outage = self.outages.get_mut(dest).and_then(|all| all.last_mut());
-                let Some(outage) = outage.filter(|outage| outage.back.is_none()) else { return };
-                outage.back = Some(at);
-                if outage.refusing {
-                    // No endpoint sees a refused connection. Who held messages for it meanwhile has tried.
-                    let (from, slack) = (outage.from, self.rules.tolerance);
-                    let held = self.messages.values().filter(|m| {
-                        m.dest == *dest
-                            && m.taken()
-                            && m.asked + slack < at
-                            && m.ended().is_none_or(|end| end > from)
+            Event::OutageEnded { destination } => {
+                let outage = self.outages.get_mut(destination).and_then(|all| all.last_mut());
+                let Some(outage) = outage.filter(|outage| outage.recovered_at.is_none()) else { return };
+                outage.recovered_at = Some(at);
+                if outage.refuses_connections {
+                    // No endpoint observes a refused connection. A dispatcher that had messages pending for the
+                    // destination in the meantime has tried to connect.
+                    let (started_at, tolerance) = (outage.started_at, self.rules.tolerance);
+                    let pending = self.messages.values().filter(|message| {
+                        message.destination == *destination
+                            && message.is_accepted()
+                            && message.submitted_at + tolerance < at
+                            && message.ended_at().is_none_or(|end| end > started_at)
                     });
-                    outage.informed.extend(held.map(|m| m.dispatcher));
+                    outage.informed_dispatchers.extend(pending.map(|message| message.dispatcher));
                 }
             }
             Event::EndpointChanged { endpoint, state } => {
-                self.pending.push((at, endpoint.clone(), *state));
+                self.list_changes.push((at, endpoint.clone(), *state));
             }
             Event::ChangeDelivered { dispatcher, endpoint, state } => {
-                self.told(at, *dispatcher, endpoint, *state)
+                self.on_change_delivered(at, *dispatcher, endpoint, *state)
             }
-            Event::PlatformSilent { silent: on } => {
-                self.silent = *on;
-                match on {
+            Event::PlatformSilent { silent } => {
+                self.silent = *silent;
+                match silent {
                     true => self.silences.push((at, None)),
-                    false => self.silences.iter_mut().for_each(|s| s.1 = s.1.or(Some(at))),
+                    false => self.silences.iter_mut().for_each(|silence| silence.1 = silence.1.or(Some(at))),
                 }
             }
-            Event::Notice { id, outcome, status, .. } => self.noticed(at, id, *outcome, *status),
+            Event::Notice { id, outcome, status, .. } => self.on_notice(at, id, *outcome, *status),
             Event::ProcessStarted { dispatcher } => {
-                self.lives.entry(*dispatcher).or_default().started.push(at)
+                self.processes.entry(*dispatcher).or_default().starts.push(at)
             }
             Event::ProcessReady { dispatcher } => {
-                let lives = self.lives.entry(*dispatcher).or_default();
-                lives.ready.push(at);
-                lives.restarts.iter_mut().for_each(|restart| restart.1 = restart.1.or(Some(at)));
+                let history = self.processes.entry(*dispatcher).or_default();
+                history.readiness.push(at);
+                history.restarts.iter_mut().for_each(|restart| restart.1 = restart.1.or(Some(at)));
             }
             Event::SignalSent { dispatcher, signal } => {
-                let lives = self.lives.entry(*dispatcher).or_default();
+                let history = self.processes.entry(*dispatcher).or_default();
                 match signal {
-                    // The process that is told to stop and then killed is one restart.
+                    // A process that is told to stop and then killed counts as one restart.
                     ProcessSignal::Kill | ProcessSignal::Term => {
-                        if lives.restarts.last().is_none_or(|last| last.1.is_some()) {
-                            lives.restarts.push((at, None));
+                        if history.restarts.last().is_none_or(|last| last.1.is_some()) {
+                            history.restarts.push((at, None));
                         }
                         if *signal == ProcessSignal::Kill {
-                            lives.kills.push(at);
+                            history.kills.push(at);
                         }
                     }
-                    // A process that stands still is late with all that it owes.
-                    ProcessSignal::Stop => lives.restarts.push((at, None)),
+                    // A suspended process is late with everything that is due.
+                    ProcessSignal::Stop => history.restarts.push((at, None)),
                     ProcessSignal::Cont => {
-                        if let Some(last) = lives.restarts.last_mut() {
+                        if let Some(last) = history.restarts.last_mut() {
                             last.1 = last.1.or(Some(at));
                         }
                     }
                     ProcessSignal::Hup => {}
                 }
             }
-            Event::ProcessExited { dispatcher, expected: asked } => {
-                if !asked {
-                    let text = "its process ended and nobody had told it to".to_string();
-                    self.breach(Rule::Crash, format!("dispatcher {dispatcher}"), at, text);
+            Event::ProcessExited { dispatcher, expected } => {
+                if !expected {
+                    let text = "its process ended without having been told to".to_string();
+                    self.report(Rule::Crash, format!("dispatcher {dispatcher}"), at, text);
                 }
             }
             Event::RunEnded => {}
         }
     }
 
-    fn asked(&mut self, at: Micros, what: &Event) {
+    fn on_submitted(&mut self, at: Micros, event: &Event) {
         let Event::Submitted {
             id,
             origin,
             class,
-            destination: dest,
+            destination,
             key,
             order,
-            body_digest: body,
+            body_digest,
             deadline,
             dispatcher,
-            new_connection: fresh,
-        } = what
+            new_connection,
+        } = event
         else {
             return;
         };
-        let class = self.rules.classes.iter().position(|c| c.name == *class).unwrap_or(usize::MAX);
+        let class = self.rules.classes.iter().position(|known| known.name == *class).unwrap_or(usize::MAX);
         if let Some(message) = self.messages.get_mut(id) {
-            // Once more on a new connection: the old one was closed just then.
-            (message.asked, message.fresh) = (at, *fresh);
+            // The client submits again on a new connection because the kept one was closed at that moment.
+            (message.submitted_at, message.new_connection) = (at, *new_connection);
             return;
         }
-        let order = order.clone().filter(|_| self.rules.classes.get(class).is_some_and(|c| c.ordered));
-        if let Some(order) = &order {
-            self.lines.entry((*dispatcher, order.clone())).or_default().push(id.clone());
+        let order_key =
+            order.clone().filter(|_| self.rules.classes.get(class).is_some_and(|class| class.ordered));
+        if let Some(order_key) = &order_key {
+            self.key_queues.entry((*dispatcher, order_key.clone())).or_default().push(id.clone());
         }
         let message = Message {
-            asked: at,
+            submitted_at: at,
             origin: origin.clone(),
             class,
-            dest: *dest,
+            destination: *destination,
             key: key.clone(),
-            body: *body,
+            body_digest: *body_digest,
             deadline: *deadline,
             dispatcher: *dispatcher,
-            fresh: *fresh,
-            status: None,
-            left: false,
-            order,
+            new_connection: *new_connection,
+            response: None,
+            client_timed_out: false,
+            order_key,
             calls: Vec::new(),
-            never: Vec::new(),
-            over: None,
-            may_have_run: None,
-            delivered: None,
+            not_run_calls: Vec::new(),
+            expired_at: None,
+            may_have_run_at: None,
+            delivered_at: None,
             notices: Vec::new(),
-            effects: 0,
-            doubled: false,
+            effect_count: 0,
+            duplicated: false,
         };
         self.messages.insert(id.clone(), message);
-        self.order.push(id.clone());
+        self.message_ids.push(id.clone());
     }
 
-    fn answered(&mut self, at: Micros, id: &str, status: u16) {
+    fn on_answered(&mut self, at: Micros, id: &str, status: u16) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        message.status = Some((at, status));
-        let refused = matches!(status, 429 | 503);
-        if refused && let Some(call) = message.calls.first() {
+        message.response = Some((at, status));
+        let rejected = matches!(status, 429 | 503);
+        if rejected && let Some(call) = message.calls.first() {
             let call = *call;
-            let text = format!("refused with {status}, but call {call} had gone out with it");
-            self.breach(Rule::SingleAnswer, id, at, text);
+            let text = format!("rejected with {status}, but call {call} had already been made");
+            self.report(Rule::SingleAnswer, id, at, text);
         }
     }
 
-    fn dropped(&mut self, at: Micros, id: &str) {
-        let slack = self.rules.tolerance * 2;
+    fn on_connection_lost(&mut self, at: Micros, id: &str) {
+        let tolerance = self.rules.tolerance * 2;
         let Some(message) = self.messages.get(id) else { return };
-        let (asked, dispatcher, fresh) = (message.asked, message.dispatcher, message.fresh);
-        let killed = self.lives.get(&dispatcher).is_some_and(|lives| {
-            lives.kills.iter().any(|kill| *kill + slack >= asked && *kill <= at + slack)
+        let (submitted_at, dispatcher, new_connection) =
+            (message.submitted_at, message.dispatcher, message.new_connection);
+        let killed = self.processes.get(&dispatcher).is_some_and(|history| {
+            history.kills.iter().any(|kill| *kill + tolerance >= submitted_at && *kill <= at + tolerance)
         });
-        // On a kept connection the close may have crossed the request; its client sends it once more.
-        if fresh && !killed {
+        // A kept connection may be closed while the request is in flight; the client then sends it again.
+        if new_connection && !killed {
             let text = format!(
-                "asked at {:.3} on a new connection, which dispatcher {dispatcher} ended with no answer",
-                seconds(asked)
+                "submitted at {:.3} on a new connection, which dispatcher {dispatcher} closed without a response",
+                seconds(submitted_at)
             );
-            self.breach(Rule::Lost, id, at, text);
+            self.report(Rule::Lost, id, at, text);
         }
     }
 
-    fn drained(&mut self, dispatcher: usize, endpoint: &str, first: Micros) {
-        let limit = self.rules.drain_grace + self.rules.tolerance;
-        let told = self.drains.get(&(dispatcher, endpoint.to_string())).copied();
-        // Told by the clock alone, unless the platform was silent meanwhile.
-        let by_clock =
-            self.pending.iter().rev().find(|(_, changed, _)| changed == endpoint).and_then(|change| {
+    fn check_drain(&mut self, dispatcher: usize, endpoint: &str, first_byte_at: Micros) {
+        let grace = self.rules.drain_grace + self.rules.tolerance;
+        let informed_at = self.informed_of_drain.get(&(dispatcher, endpoint.to_string())).copied();
+        // The dispatcher has to know of a change after the maximum delay, unless the platform was silent in between.
+        let known_by =
+            self.list_changes.iter().rev().find(|(_, changed, _)| changed == endpoint).and_then(|change| {
                 let due = change.0 + self.rules.max_update_delay;
                 let silent =
                     self.silences.iter().any(|(from, to)| *from < due && to.is_none_or(|to| to > change.0));
                 (change.2 != EndpointState::Up && !silent).then_some(due)
             });
-        let Some(told) = told.into_iter().chain(by_clock).min() else { return };
-        if first > told + limit {
+        let Some(informed_at) = informed_at.into_iter().chain(known_by).min() else { return };
+        if first_byte_at > informed_at + grace {
             let text = format!(
-                "dispatcher {dispatcher} was told at {:.3} that it drains or is gone, and sent to it at {:.3}",
-                seconds(told),
-                seconds(first)
+                "dispatcher {dispatcher} was informed at {:.3} that the endpoint is draining or removed, and called it at {:.3}",
+                seconds(informed_at),
+                seconds(first_byte_at)
             );
-            self.breach(Rule::Drain, endpoint, first, text);
+            self.report(Rule::Drain, endpoint, first_byte_at, text);
         }
     }
 
-    fn told(&mut self, at: Micros, dispatcher: usize, endpoint: &str, state: EndpointState) {
+    fn on_change_delivered(&mut self, at: Micros, dispatcher: usize, endpoint: &str, state: EndpointState) {
         let key = (dispatcher, endpoint.to_string());
         match state {
             EndpointState::Up => {
-                self.drains.remove(&key);
-                // Listed anew: what was said of it before holds no longer.
-                self.pending.retain(|(changed, name, _)| name != endpoint || *changed > at);
+                self.informed_of_drain.remove(&key);
+                // The endpoint is listed again: earlier changes of it no longer apply.
+                self.list_changes.retain(|(changed_at, name, _)| name != endpoint || *changed_at > at);
             }
             EndpointState::Draining | EndpointState::Removed => {
-                self.drains.entry(key).or_insert(at);
+                self.informed_of_drain.entry(key).or_insert(at);
             }
         }
     }
 
-    fn waited(&mut self, at: Micros, dispatcher: usize, dest: u32) {
-        let started =
-            self.lives.get(&dispatcher).and_then(|lives| lives.started.last()).copied().unwrap_or(0);
+    fn check_retry_after(&mut self, at: Micros, dispatcher: usize, destination: u32) {
+        let process_start =
+            self.processes.get(&dispatcher).and_then(|history| history.starts.last()).copied().unwrap_or(0);
         let grace = self.rules.retry_after_grace + self.rules.tolerance;
-        let Some(waits) = self.waits.get_mut(&(dispatcher, dest)) else { return };
-        waits.retain(|(told, until)| *until > at && *told >= started);
-        let Some((told, until)) = waits.iter().find(|(told, _)| at > *told + grace).copied() else { return };
+        let Some(periods) = self.retry_afters.get_mut(&(dispatcher, destination)) else { return };
+        periods.retain(|(sent_at, valid_until)| *valid_until > at && *sent_at >= process_start);
+        let Some((sent_at, until)) = periods.iter().find(|(sent, _)| at > *sent + grace).copied() else {
+            return;
+        };
         let text = format!(
-            "dispatcher {dispatcher} was told at {:.3} to wait until {:.3}, and called at {:.3}",
-            seconds(told),
+            "dispatcher {dispatcher} received a Retry-After at {:.3} that lasts to {:.3}, and called at {:.3}",
+            seconds(sent_at),
             seconds(until),
             seconds(at)
         );
-        self.breach(Rule::RetryAfter, format!("destination {dest}"), at, text);
+        self.report(Rule::RetryAfter, format!("destination {destination}"), at, text);
     }
 
-    /// A call or probe that pushes a place that may be cold.
-    fn arrived(&mut self, at: Micros, dispatcher: usize, dest: u32) {
+    /// Counts a call or probe towards the load of a destination that may be cold, and reports an overload that
+    /// dispatchers with knowledge of the outage caused.
+    fn check_cold_start(&mut self, at: Micros, dispatcher: usize, destination: u32) {
         let rules = &self.rules;
-        let Some(capacity) = rules.capacities.iter().find(|p| p.destination == dest).map(|p| p.capacity)
+        let Some(capacity) = rules
+            .capacities
+            .iter()
+            .find(|known| known.destination == destination)
+            .map(|known| known.capacity)
         else {
             return;
         };
-        let Some(outage) = self.outages.get_mut(&dest).and_then(|all| all.last_mut()) else { return };
-        let Some(back) = outage.back else { return };
-        if at > back + rules.warm_up || outage.judged {
+        let Some(outage) = self.outages.get_mut(&destination).and_then(|all| all.last_mut()) else { return };
+        let Some(recovered_at) = outage.recovered_at else { return };
+        if at > recovered_at + rules.warm_up || outage.breach_reported {
             return;
         }
         outage.arrivals.push((at, dispatcher));
-        // Over the window that ends now, or the first one where less time has passed.
-        let from = at.saturating_sub(rules.overload_time).max(back);
-        let present = |at: Micros| {
-            let warm = (at - back) as f64 / rules.warm_up as f64;
-            capacity * (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warm.min(1.0))
+        // The window that ends now, or the one that starts at the recovery where less time has passed.
+        let window_start = at.saturating_sub(rules.overload_time).max(recovered_at);
+        let capacity_at = |at: Micros| {
+            let warmth = (at - recovered_at) as f64 / rules.warm_up as f64;
+            capacity * (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * warmth.min(1.0))
         };
-        let mean = (present(from) + present(from + rules.overload_time)) / 2.0;
-        let budget = rules.overload_multiple * mean * seconds(rules.overload_time) + COLD_SLACK;
-        let window = || outage.arrivals.iter().filter(|(at, _)| *at >= from);
-        let pushed = window().count();
-        let informed = window().filter(|(_, from)| outage.informed.contains(from)).count();
-        if pushed as f64 > budget && 3 * informed >= 2 * pushed {
-            outage.judged = true;
+        let mean_capacity =
+            (capacity_at(window_start) + capacity_at(window_start + rules.overload_time)) / 2.0;
+        let budget =
+            rules.overload_multiple * mean_capacity * seconds(rules.overload_time) + COLD_CALL_TOLERANCE;
+        let arrivals_in_window = || outage.arrivals.iter().filter(|(at, _)| *at >= window_start);
+        let call_count = arrivals_in_window().count();
+        let informed_count = arrivals_in_window()
+            .filter(|(_, dispatcher)| outage.informed_dispatchers.contains(dispatcher))
+            .count();
+        if call_count as f64 > budget && 3 * informed_count >= 2 * call_count {
+            outage.breach_reported = true;
             let text = format!(
-                "back at {:.3}, it got {pushed} calls from {:.3} to {:.3}, {informed} of them from dispatchers \
-                 that had seen it fail; its budget there is {budget:.1}",
-                seconds(back),
-                seconds(from),
+                "recovered at {:.3}, it got {call_count} calls from {:.3} to {:.3}, {informed_count} of them from dispatchers \
+                 that had observed its outage; the budget for this window is {budget:.1}",
+                seconds(recovered_at),
+                seconds(window_start),
                 seconds(at)
             );
-            self.breach(Rule::ColdStart, format!("destination {dest}"), at, text);
+            self.report(Rule::ColdStart, format!("destination {destination}"), at, text);
         }
     }
 
-    fn informed(&mut self, at: Micros, dispatcher: usize, dest: u32) {
-        if let Some(outage) = self.outages.get_mut(&dest).and_then(|all| all.last_mut())
-            && outage.back.is_none()
-            && at >= outage.from
+    fn mark_informed(&mut self, at: Micros, dispatcher: usize, destination: u32) {
+        if let Some(outage) = self.outages.get_mut(&destination).and_then(|all| all.last_mut())
+            && outage.recovered_at.is_none()
+            && at >= outage.started_at
         {
-            outage.informed.insert(dispatcher);
+            outage.informed_dispatchers.insert(dispatcher);
         }
     }
 
-    fn called(&mut self, at: Micros, call: u64, endpoint: &str, dest: u32, item: &crate::record::Item) {
+    fn on_message_called(
+        &mut self, at: Micros, call: u64, endpoint: &str, destination: u32, item: &crate::record::Item,
+    ) {
         let Some(message) = self.messages.get(&item.id) else {
-            let text = format!("call {call} to {endpoint} holds an id that no client had handed in");
-            return self.breach(Rule::Altered, &item.id, at, text);
+            let text = format!("call {call} to {endpoint} contains an id that no client had submitted");
+            return self.report(Rule::Altered, &item.id, at, text);
         };
-        let (effect, window) = self.effect(message);
-        let slack = self.rules.tolerance;
-        let mut found = Vec::new();
-        if dest != message.dest {
-            let text =
-                format!("for destination {}, sent to {endpoint} of {dest} in call {call}", message.dest);
-            found.push((Rule::Altered, text));
+        let (effect, key_window) = self.effect_of(message);
+        let tolerance = self.rules.tolerance;
+        let mut breaches = Vec::new();
+        if destination != message.destination {
+            let text = format!(
+                "for destination {}, sent to {endpoint} of {destination} in call {call}",
+                message.destination
+            );
+            breaches.push((Rule::Altered, text));
         }
-        if item.key != message.key || item.body_digest != message.body {
-            found.push((Rule::Altered, format!("its key or body was changed in call {call} to {endpoint}")));
+        if item.key != message.key || item.body_digest != message.body_digest {
+            breaches
+                .push((Rule::Altered, format!("its key or body was changed in call {call} to {endpoint}")));
         }
-        if let Some((when, status @ (429 | 503))) = message.status {
-            let text = format!("refused with {status} at {:.3}, but sent in call {call}", seconds(when));
-            found.push((Rule::SingleAnswer, text));
+        if let Some((answered_at, status @ (429 | 503))) = message.response {
+            let text =
+                format!("rejected with {status} at {:.3}, but sent in call {call}", seconds(answered_at));
+            breaches.push((Rule::SingleAnswer, text));
         }
-        if let Some((when, outcome, _)) =
-            message.notices.iter().find(|(when, _, status)| *status == 204 && at > *when + slack)
+        if let Some((noticed_at, outcome, _)) = message
+            .notices
+            .iter()
+            .find(|(noticed_at, _, status)| *status == 204 && at > *noticed_at + tolerance)
         {
-            let text = format!("ended by {outcome:?} at {:.3}, but sent in call {call}", seconds(*when));
-            found.push((Rule::SingleAnswer, text));
+            let text =
+                format!("ended by {outcome:?} at {:.3}, but sent in call {call}", seconds(*noticed_at));
+            breaches.push((Rule::SingleAnswer, text));
         }
-        if let Some(first) = message.may_have_run {
+        if let Some(may_have_run_at) = message.may_have_run_at {
             match effect {
                 Effect::Unsafe => {
                     let text = format!(
-                        "not to be repeated, it may have run at {:.3}, and went out again in call {call} to {endpoint}",
-                        seconds(first)
+                        "must not be repeated and may have run at {:.3}, but was sent again in call {call} to {endpoint}",
+                        seconds(may_have_run_at)
                     );
-                    found.push((Rule::Duplicate, text));
+                    breaches.push((Rule::Duplicate, text));
                 }
-                Effect::Keyed if at > first + window + slack => {
+                Effect::Keyed if at > may_have_run_at + key_window + tolerance => {
                     let text = format!(
-                        "its key is remembered for {:.1} s from {:.3}, and it went out again in call {call} to {endpoint}",
-                        seconds(window),
-                        seconds(first)
+                        "its key is remembered for {:.1} s from {:.3}, and it was sent again in call {call} to {endpoint}",
+                        seconds(key_window),
+                        seconds(may_have_run_at)
                     );
-                    found.push((Rule::Duplicate, text));
+                    breaches.push((Rule::Duplicate, text));
                 }
                 Effect::Keyed | Effect::Safe => {}
             }
         }
-        let doubled = found.iter().any(|(rule, _)| *rule == Rule::Duplicate);
-        for (rule, text) in found {
-            self.breach(rule, &item.id, at, text);
+        let duplicated = breaches.iter().any(|(rule, _)| *rule == Rule::Duplicate);
+        for (rule, text) in breaches {
+            self.report(rule, &item.id, at, text);
         }
-        self.in_turn(at, call, &item.id);
+        self.check_order(at, call, &item.id);
         if let Some(message) = self.messages.get_mut(&item.id) {
             message.calls.push(call);
-            message.doubled |= doubled;
-            // Until its end shows that it never ran.
-            message.may_have_run = message.may_have_run.or(Some(at));
+            message.duplicated |= duplicated;
+            // Assumed until the end of the call shows that the message never ran.
+            message.may_have_run_at = message.may_have_run_at.or(Some(at));
         }
     }
 
-    /// Order: no call while one that was taken earlier under the same key is not over.
-    fn in_turn(&mut self, at: Micros, call: u64, id: &str) {
+    /// Reports a call that is made while an earlier accepted message with the same order key is still pending.
+    fn check_order(&mut self, at: Micros, call: u64, id: &str) {
         let Some(message) = self.messages.get(id) else { return };
-        let Some(order) = message.order.clone() else { return };
-        let line = self.lines.get(&(message.dispatcher, order)).map_or(&[][..], |line| &line[..]);
-        let before = line.iter().take_while(|other| *other != id);
-        let before =
-            before.filter(|other| self.messages[*other].taken() && self.messages[*other].ended().is_none());
-        let before = before.last();
-        if let Some(before) = before.cloned() {
-            let text =
-                format!("sent in call {call} while {before}, taken earlier under its key, was not over");
-            self.breach(Rule::Order, id, at, text);
+        let Some(order_key) = message.order_key.clone() else { return };
+        let queue = self.key_queues.get(&(message.dispatcher, order_key)).map_or(&[][..], |queue| &queue[..]);
+        let predecessor = queue.iter().take_while(|earlier| *earlier != id);
+        let predecessor = predecessor.filter(|earlier| {
+            self.messages[*earlier].is_accepted() && self.messages[*earlier].ended_at().is_none()
+        });
+        let predecessor = predecessor.last();
+        if let Some(predecessor) = predecessor.cloned() {
+            let text = format!(
+                "sent in call {call} while {predecessor}, accepted earlier with the same order key, was still pending"
+            );
+            self.report(Rule::Order, id, at, text);
         }
     }
 
-    fn ran(&mut self, at: Micros, call: u64, id: &str, effect: bool) {
+    fn on_processed(&mut self, at: Micros, call: u64, id: &str, took_effect: bool) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        message.effects += u32::from(effect);
-        let (count, doubled) = (message.effects, message.doubled);
-        let (class, _) =
-            self.rules.classes.get(message.class).map_or((Effect::Unsafe, 0), |c| (c.effect, c.key_window));
-        if effect && count > 1 && class != Effect::Safe && !doubled {
-            message.doubled = true;
+        message.effect_count += u32::from(took_effect);
+        let (count, already_reported) = (message.effect_count, message.duplicated);
+        let (class_effect, _) = self
+            .rules
+            .classes
+            .get(message.class)
+            .map_or((Effect::Unsafe, 0), |class| (class.effect, class.key_window));
+        if took_effect && count > 1 && class_effect != Effect::Safe && !already_reported {
+            message.duplicated = true;
             let text = format!("took effect {count} times, the last time in call {call}");
-            self.breach(Rule::Duplicate, id, at, text);
+            self.report(Rule::Duplicate, id, at, text);
         }
     }
 
-    fn ended(
-        &mut self, at: Micros, number: u64, how: CallEnd, fates: &[MessageResult], wait: Option<Micros>,
+    fn on_call_ended(
+        &mut self, at: Micros, call_number: u64, end: CallEnd, results: &[MessageResult],
+        retry_after: Option<Micros>,
     ) {
-        let Some(call) = self.calls.get_mut(&number) else { return };
-        if call.ended.is_some() {
+        let Some(call) = self.calls.get_mut(&call_number) else { return };
+        if call.ended_at.is_some() {
             return;
         }
-        call.ended = Some(at);
-        let (begun, dispatcher, dest, ids) = (call.at, call.dispatcher, call.dest, call.ids.clone());
-        if let Some(wait) = wait {
-            self.waits.entry((dispatcher, dest)).or_default().push((at, at + wait));
+        call.ended_at = Some(at);
+        let (arrived_at, dispatcher, destination, ids) =
+            (call.arrived_at, call.dispatcher, call.destination, call.ids.clone());
+        if let Some(retry_after) = retry_after {
+            self.retry_afters.entry((dispatcher, destination)).or_default().push((at, at + retry_after));
         }
-        let failed = !matches!(how, CallEnd::Answered(200) | CallEnd::Truncated(200) | CallEnd::Closed);
+        let failed = !matches!(end, CallEnd::Answered(200) | CallEnd::Truncated(200) | CallEnd::Closed);
         if failed {
-            self.informed(at, dispatcher, dest);
+            self.mark_informed(at, dispatcher, destination);
         }
-        // Given up for want of an answer.
-        if how == CallEnd::Closed && at > begun + self.rules.tolerance {
-            self.informed(at, dispatcher, dest);
+        // The dispatcher timed out while it waited for the response.
+        if end == CallEnd::Closed && at > arrived_at + self.rules.tolerance {
+            self.mark_informed(at, dispatcher, destination);
         }
-        for (i, id) in ids.iter().enumerate() {
-            let fate = match (how, fates.get(i)) {
-                (CallEnd::Answered(200), Some(fate)) if ids.len() > 1 => *fate,
+        for (index, id) in ids.iter().enumerate() {
+            let result = match (end, results.get(index)) {
+                (CallEnd::Answered(200), Some(result)) if ids.len() > 1 => *result,
                 (CallEnd::Answered(200), None) if ids.len() > 1 => MessageResult::Failed,
-                // A first line with 200 is true of the one message that it answers.
+                // A status line with 200 is conclusive for a call with a single message.
                 (CallEnd::Answered(200) | CallEnd::Truncated(200), _) if ids.len() == 1 => {
                     MessageResult::Delivered
                 }
@@ -676,199 +714,225 @@
                 (CallEnd::Answered(410), _) => MessageResult::Expired,
                 _ => MessageResult::Failed,
             };
-            self.settle(at, number, id, fate);
-            self.crossed(at, number, id, how);
+            self.apply_result(at, call_number, id, result);
+            self.check_concurrency(at, call_number, id, end);
         }
     }
 
-    fn settle(&mut self, at: Micros, number: u64, id: &str, fate: MessageResult) {
+    fn apply_result(&mut self, at: Micros, call_number: u64, id: &str, result: MessageResult) {
         let calls = &self.calls;
         let Some(message) = self.messages.get_mut(id) else { return };
-        match fate {
-            MessageResult::Delivered => message.delivered = message.delivered.or(Some(at)),
-            // Nothing is owed any more.
+        match result {
+            MessageResult::Delivered => message.delivered_at = message.delivered_at.or(Some(at)),
+            // The message is over: no notice is due.
             MessageResult::Expired => {
-                message.over = message.over.or(Some(at));
-                message.never.push(number);
+                message.expired_at = message.expired_at.or(Some(at));
+                message.not_run_calls.push(call_number);
             }
             MessageResult::Failed => {}
             MessageResult::Rejected | MessageResult::AttemptsExhausted => {
-                // It never ran: what may have run is the first of the others.
-                message.never.push(number);
-                let others = message.calls.iter().filter(|other| !message.never.contains(other));
-                message.may_have_run = others.filter_map(|other| calls.get(other)).map(|call| call.at).min();
+                // This call did not run it; the earliest of the other calls may have.
+                message.not_run_calls.push(call_number);
+                let others = message.calls.iter().filter(|other| !message.not_run_calls.contains(other));
+                message.may_have_run_at =
+                    others.filter_map(|other| calls.get(other)).map(|call| call.arrived_at).min();
             }
         }
     }
 
-    /// Whether another call of the message had begun well before this one ended.
-    fn crossed(&mut self, at: Micros, number: u64, id: &str, how: CallEnd) {
+    /// Reports another call of the message that began well before this one ended.
+    fn check_concurrency(&mut self, at: Micros, call_number: u64, id: &str, end: CallEnd) {
         let Some(message) = self.messages.get(id) else { return };
-        // The dispatcher's own close takes its time to be seen, and an answer may cross it.
-        let limit = if how == CallEnd::Closed { self.rules.tolerance } else { CROSSING };
-        let Some(begun) = self.calls.get(&number).map(|call| call.at) else { return };
-        let other = message.calls.iter().filter(|other| **other != number).find_map(|other| {
-            let call = self.calls.get(other)?;
-            (call.at >= begun && call.at + limit < at).then_some((*other, call.at, call.endpoint.clone()))
-        });
-        if let Some((other, when, endpoint)) = other {
+        // The endpoint observes the dispatcher's close with a delay, and a response may be in flight meanwhile.
+        let overlap_limit = if end == CallEnd::Closed { self.rules.tolerance } else { RESPONSE_IN_FLIGHT };
+        let Some(arrived_at) = self.calls.get(&call_number).map(|call| call.arrived_at) else { return };
+        let concurrent = message.calls.iter().filter(|other_number| **other_number != call_number).find_map(
+            |other_number| {
+                let call = self.calls.get(other_number)?;
+                (call.arrived_at >= arrived_at && call.arrived_at + overlap_limit < at).then_some((
+                    *other_number,
+                    call.arrived_at,
+                    call.endpoint.clone(),
+                ))
+            },
+        );
+        if let Some((other_number, other_arrived_at, endpoint)) = concurrent {
             let text = format!(
-                "call {other} to {endpoint} began at {:.3}, while call {number} was out until {:.3}",
-                seconds(when),
+                "call {other_number} to {endpoint} began at {:.3}, while call {call_number} was in flight until {:.3}",
+                seconds(other_arrived_at),
                 seconds(at)
             );
-            self.breach(Rule::ConcurrentAttempts, id, at, text);
+            self.report(Rule::ConcurrentAttempts, id, at, text);
         }
     }
 
-    fn noticed(&mut self, at: Micros, id: &str, outcome: Outcome, status: u16) {
+    fn on_notice(&mut self, at: Micros, id: &str, outcome: Outcome, status: u16) {
         let Some(message) = self.messages.get_mut(id) else { return };
-        let other =
-            message.notices.iter().find(|(_, told, status)| *told != outcome && *status != 0).copied();
+        let contradicting = message
+            .notices
+            .iter()
+            .find(|(_, earlier_outcome, status)| *earlier_outcome != outcome && *status != 0)
+            .copied();
         message.notices.push((at, outcome, status));
-        let ran = message.may_have_run;
+        let may_have_run_at = message.may_have_run_at;
         let message = &self.messages[id];
-        let (effect, _) = self.effect(message);
-        if let Some((when, told, _)) = other {
-            let text = format!("ended by {told:?} at {:.3} and by {outcome:?} once more", seconds(when));
-            self.breach(Rule::SingleAnswer, id, at, text);
+        let (effect, _) = self.effect_of(message);
+        if let Some((noticed_at, earlier_outcome, _)) = contradicting {
+            let text = format!(
+                "ended by {earlier_outcome:?} at {:.3} and by {outcome:?} afterwards",
+                seconds(noticed_at)
+            );
+            self.report(Rule::SingleAnswer, id, at, text);
         }
-        if let (Outcome::HandedBack, Effect::Unsafe, Some(ran)) = (outcome, effect, ran) {
+        if let (Outcome::HandedBack, Effect::Unsafe, Some(may_have_run_at)) =
+            (outcome, effect, may_have_run_at)
+        {
             let text = format!(
-                "handed back as harmless to repeat, though it may have run at {:.3} and must not be",
-                seconds(ran)
+                "handed back as safe to repeat, though it may have run at {:.3} and must not be repeated",
+                seconds(may_have_run_at)
             );
-            self.breach(Rule::Duplicate, id, at, text);
+            self.report(Rule::Duplicate, id, at, text);
         }
     }
 
-    /// Until when the end of a message may come: no notice is overdue while its dispatcher restarts.
-    fn due(&self, message: &Message) -> Micros {
+    /// The time by which a message has to end: no notice is overdue while its dispatcher restarts.
+    fn end_due_by(&self, message: &Message) -> Micros {
         let rules = &self.rules;
         let mut due = message.deadline + rules.answer_grace + rules.tolerance;
-        let Some(lives) = self.lives.get(&message.dispatcher) else { return due };
-        for (from, ready) in &lives.restarts {
-            let until = ready.map_or(Micros::MAX, |ready| ready + rules.restart_grace + rules.tolerance);
-            if *from <= due && until > due {
-                due = until;
+        let Some(history) = self.processes.get(&message.dispatcher) else { return due };
+        for (stopped_at, ready_at) in &history.restarts {
+            let grace_end =
+                ready_at.map_or(Micros::MAX, |ready_at| ready_at + rules.restart_grace + rules.tolerance);
+            if *stopped_at <= due && grace_end > due {
+                due = grace_end;
             }
         }
         due
     }
 
     fn finish(&mut self) {
-        // Calls that were still out when others of the same message had begun.
-        let mut out: Vec<_> = self.calls.iter().filter(|(_, call)| call.ended.is_none()).collect();
-        out.sort_by_key(|(number, _)| **number);
-        let out: Vec<_> = out.into_iter().map(|(number, call)| (*number, call.ids.clone())).collect();
-        for (number, ids) in out {
-            ids.iter().for_each(|id| self.crossed(self.done, number, id, CallEnd::Closed));
-        }
-        let mut found = Vec::new();
+        // Calls that were still in flight when others of the same message had begun.
+        let mut open_calls: Vec<_> = self.calls.iter().filter(|(_, call)| call.ended_at.is_none()).collect();
+        open_calls.sort_by_key(|(number, _)| **number);
+        let open_calls: Vec<_> =
+            open_calls.into_iter().map(|(number, call)| (*number, call.ids.clone())).collect();
+        for (number, ids) in open_calls {
+            ids.iter().for_each(|id| self.check_concurrency(self.record_end, number, id, CallEnd::Closed));
+        }
+        let mut lost_messages = Vec::new();
         let mut lost = HashSet::new();
-        for id in &self.order {
+        for id in &self.message_ids {
             let message = &self.messages[id];
-            if !message.taken() {
+            if !message.is_accepted() {
                 continue;
             }
-            let due = self.due(message);
-            match message.ended() {
+            let due = self.end_due_by(message);
+            match message.ended_at() {
                 Some(end) if end <= due => {}
-                None if due > self.done => self.verdict.open += 1,
+                None if due > self.record_end => self.verdict.open += 1,
                 end => {
-                    let end = end
-                        .map_or("nothing came".into(), |end| format!("its end came at {:.3}", seconds(end)));
+                    let end = end.map_or("no end was observed".into(), |end| {
+                        format!("it ended at {:.3}", seconds(end))
+                    });
                     let text = format!(
-                        "taken by dispatcher {} at {:.3}, its end was due by {:.3}; {end}",
+                        "accepted by dispatcher {} at {:.3}, its end was due by {:.3}; {end}",
                         message.dispatcher,
-                        seconds(message.status.map_or(message.asked, |(at, _)| at)),
+                        seconds(message.response.map_or(message.submitted_at, |(at, _)| at)),
                         seconds(due)
                     );
-                    found.push((id.clone(), due, text));
+                    lost_messages.push((id.clone(), due, text));
                     lost.insert(id.clone());
                 }
             }
         }
-        for (id, at, text) in found {
-            self.breach(Rule::Lost, id, at, text);
+        for (id, at, text) in lost_messages {
+            self.report(Rule::Lost, id, at, text);
         }
-        self.tally(&lost);
-        self.untried();
+        self.count_classes(&lost);
+        self.check_never_called();
         self.verdict.breaches.sort_by_key(|breach| breach.at);
     }
 
-    /// Whether a process that began later found the message taken on and never called, with time left.
-    fn found(&self, message: &Message) -> bool {
-        let Some((taken, _)) = message.status.filter(|_| message.taken()) else { return false };
-        let Some(lives) = self.lives.get(&message.dispatcher) else { return false };
-        let called = message.calls.iter().filter_map(|call| self.calls.get(call)).map(|call| call.at).min();
-        lives.started.iter().any(|started| {
-            let ready = lives.ready.iter().find(|ready| *ready > started);
-            taken < *started
-                && called.is_none_or(|called| called > *started)
-                && message.ended().is_none_or(|end| end > *started)
-                && ready.is_some_and(|ready| ready + TIME_LEFT < message.deadline)
+    /// Whether a process that started later recovered the accepted message before its first call, with time left.
+    fn was_recovered_uncalled(&self, message: &Message) -> bool {
+        let Some((accepted_at, _)) = message.response.filter(|_| message.is_accepted()) else { return false };
+        let Some(history) = self.processes.get(&message.dispatcher) else { return false };
+        let first_call_at =
+            message.calls.iter().filter_map(|call| self.calls.get(call)).map(|call| call.arrived_at).min();
+        history.starts.iter().any(|started_at| {
+            let ready_at = history.readiness.iter().find(|ready_at| *ready_at > started_at);
+            accepted_at < *started_at
+                && first_call_at.is_none_or(|first_call_at| first_call_at > *started_at)
+                && message.ended_at().is_none_or(|end| end > *started_at)
+                && ready_at.is_some_and(|ready_at| ready_at + MIN_TIME_LEFT < message.deadline)
         })
     }
 
-    fn untried(&mut self) {
-        let (mut found, mut untried) = (0, 0);
-        for id in &self.order {
+    fn check_never_called(&mut self) {
+        let (mut recovered, mut never_called) = (0, 0);
+        for id in &self.message_ids {
             let message = &self.messages[id];
             let Some(class) = self.rules.classes.get(message.class) else { continue };
-            // Its client broke off, or the record ends before its time does: nobody can say.
-            if message.left || !self.found(message) || (message.calls.is_empty() && message.ended().is_none())
+            // Undecided where the client timed out, or the record ends before the deadline.
+            if message.client_timed_out
+                || !self.was_recovered_uncalled(message)
+                || (message.calls.is_empty() && message.ended_at().is_none())
             {
                 continue;
             }
-            let tally = self.verdict.classes.entry(class.name.clone()).or_default();
-            let never = u64::from(message.calls.is_empty());
-            (tally.recovered, tally.never_called) = (tally.recovered + 1, tally.never_called + never);
-            (found, untried) = (found + 1, untried + never);
+            let counts = self.verdict.classes.entry(class.name.clone()).or_default();
+            let uncalled = u64::from(message.calls.is_empty());
+            (counts.recovered, counts.never_called) = (counts.recovered + 1, counts.never_called + uncalled);
+            (recovered, never_called) = (recovered + 1, never_called + uncalled);
         }
-        if found >= FOUND_LEAST && 2 * untried > found {
-            let text = format!("of {found} that restarts found with time left, {untried} were never called");
-            self.breach(Rule::NeverCalled, "all dispatchers", self.done, text);
+        if recovered >= MIN_RECOVERED && 2 * never_called > recovered {
+            let text = format!(
+                "of {recovered} messages that restarts recovered with time left, {never_called} were never called"
+            );
+            self.report(Rule::NeverCalled, "all dispatchers", self.record_end, text);
         }
     }
 
-    fn tally(&mut self, lost: &HashSet<String>) {
-        let mut origins: HashMap<&str, Vec<&Message>> = HashMap::new();
-        let mut firsts = Vec::new();
-        for id in &self.order {
+    fn count_classes(&mut self, lost: &HashSet<String>) {
+        let mut by_origin: HashMap<&str, Vec<&Message>> = HashMap::new();
+        let mut origins = Vec::new();
+        for id in &self.message_ids {
             let message = &self.messages[id];
-            let ids = origins.entry(&message.origin).or_default();
-            if ids.is_empty() {
-                firsts.push(&message.origin);
+            let submissions = by_origin.entry(&message.origin).or_default();
+            if submissions.is_empty() {
+                origins.push(&message.origin);
             }
-            ids.push(message);
+            submissions.push(message);
         }
         for class in &self.rules.classes {
             self.verdict.classes.entry(class.name.clone()).or_default();
         }
-        for origin in firsts {
-            let ids = &origins[&**origin];
-            let Some(class) = self.rules.classes.get(ids[0].class) else { continue };
-            let tally = self.verdict.classes.entry(class.name.clone()).or_default();
-            tally.messages += 1;
-            let taken = || ids.iter().filter(|m| m.taken());
-            tally.accepted += u64::from(taken().next().is_some());
-            tally.duplicated += ids.iter().filter(|m| m.doubled).count() as u64;
-            let effects: u32 = ids.iter().map(|m| m.effects.min(1)).sum();
-            tally.duplicated_by_clients += u64::from(class.effect != Effect::Safe && effects > 1);
-            let told = |outcome| taken().any(|m| m.notices.iter().any(|(_, told, _)| *told == outcome));
-            if let Some(at) = taken().filter_map(|m| m.delivered).min() {
-                let latency = at.saturating_sub(ids[0].asked);
-                tally.delivered += 1;
-                tally.within_target += u64::from(latency <= class.target_latency);
-                tally.latencies.push(latency);
-            } else if told(Outcome::GivenUp) {
-                tally.given_up += 1;
-            } else if told(Outcome::HandedBack) {
-                tally.handed_back += 1;
-            } else if taken().next().is_none() {
-                let refused = ids.iter().any(|m| matches!(m.status, Some((_, 429 | 503))));
-                *(if refused { &mut tally.rejected } else { &mut tally.unanswered }) += 1;
+        for origin in origins {
+            let submissions = &by_origin[&**origin];
+            let Some(class) = self.rules.classes.get(submissions[0].class) else { continue };
+            let counts = self.verdict.classes.entry(class.name.clone()).or_default();
+            counts.messages += 1;
+            let accepted = || submissions.iter().filter(|message| message.is_accepted());
+            counts.accepted += u64::from(accepted().next().is_some());
+            counts.duplicated += submissions.iter().filter(|message| message.duplicated).count() as u64;
+            let effect_total: u32 = submissions.iter().map(|message| message.effect_count.min(1)).sum();
+            counts.duplicated_by_clients += u64::from(class.effect != Effect::Safe && effect_total > 1);
+            let has_notice = |outcome| {
+                accepted().any(|message| message.notices.iter().any(|(_, noticed, _)| *noticed == outcome))
+            };
+            if let Some(at) = accepted().filter_map(|message| message.delivered_at).min() {
+                let latency = at.saturating_sub(submissions[0].submitted_at);
+                counts.delivered += 1;
+                counts.within_target += u64::from(latency <= class.target_latency);
+                counts.latencies.push(latency);
+            } else if has_notice(Outcome::GivenUp) {
+                counts.given_up += 1;
+            } else if has_notice(Outcome::HandedBack) {
+                counts.handed_back += 1;
+            } else if accepted().next().is_none() {
+                let rejected =
+                    submissions.iter().any(|message| matches!(message.response, Some((_, 429 | 503))));
+                *(if rejected { &mut counts.rejected } else { &mut counts.unanswered }) += 1;
             }
         }
         for id in lost {
