--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! A stand-in for one endpoint of a partner: reads calls, asks its script what to do, and keeps the record.
+//! A stand-in for serve_call endpoint of a partner: reads calls, asks its handler how to respond, and keeps the record.
 //!
-//! An endpoint listens at one address for each dispatcher, so that it knows who calls. What it decides to do it
-//! does whether or not the dispatcher still listens: a call that was given up runs on.
+//! An endpoint listens at serve_call address for each dispatcher, and so knows which dispatcher calls. It completes the work
+//! that its handler has chosen even if the dispatcher no longer waits: an abandoned call still runs.
 
 use crate::http::{self, HttpConnection, HttpMessage};
 use crate::record::{CallEnd, Event, Item, MessageResult, Recorder, digest};
@@ -92,17 +92,17 @@
     }
 }
 
-/// Decides what an endpoint does.
+/// Decides how an endpoint handles its calls.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Whether the connection is reset on the next request's first bytes, which then never runs.
+    /// Whether the connection is reset on the first bytes of the next request, which then never runs.
     fn resets_request(&self) -> bool {
         false
     }
-    /// A call has come whole.
+    /// Called when a call has arrived in full.
     fn handle(&self, call: &Call) -> Reply;
-    /// Its work is done, whatever becomes of its answer.
+    /// Called when the work of a call is done, whatever becomes of its response.
     fn processed(&self, _call: &Call, _reply: &Reply) {}
-    /// Its answer is written, or its connection has ended.
+    /// Called when the response is written, or the connection has ended.
     fn finished(&self, _call: &Call, _reply: &Reply) {}
 }
 
@@ -115,32 +115,32 @@
 /// How an endpoint's sockets behave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketState {
-    /// As usual.
+    /// Connections are accepted and served.
     Open,
-    /// Open connections are reset, new ones refused: the process is gone.
+    /// The process is down: open connections are reset, new ones refused.
     Refusing,
-    /// Nothing is read and nothing answered: the machine is gone, and says nothing of it. What is open is reset
-    /// once it is back.
+    /// The machine is unreachable: nothing is read and nothing answered. Connections that are open are reset once it
+    /// is back.
     Silent,
 }
 
-/// Counters that tests look at.
+/// Counters for tests.
 #[derive(Default)]
 pub struct Counters {
     /// Connections that were accepted.
     pub accepted_connections: AtomicUsize,
     /// Connections that have ended.
     pub closed_connections: AtomicUsize,
-    /// Calls that the other side gave up.
+    /// Calls that the other side abandoned.
     pub abandoned_calls: AtomicUsize,
 }
 
-/// ConnectionLimits of an endpoint.
+/// The limits that an endpoint sets to its connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// It closes a connection that has been idle for so long.
+    /// It closes a connection after this idle time.
     pub idle_timeout: Option<Duration>,
-    /// It holds so many connections; calls on more are turned away with 503.
+    /// Calls on connections beyond this number are rejected with 503.
     pub max_connections: usize,
 }
 
@@ -152,78 +152,78 @@
 
 struct Shared {
     name: String,
-    dest: u32,
-    traits: ConnectionLimits,
-    script: Box<dyn CallHandler>,
+    destination: u32,
+    limits: ConnectionLimits,
+    handler: Box<dyn CallHandler>,
     recorder: Recorder,
-    numbers: Arc<AtomicU64>,
-    door: watch::Sender<SocketState>,
+    call_numbers: Arc<AtomicU64>,
+    socket_state: watch::Sender<SocketState>,
     counters: Counters,
 }
 
 impl Shared {
-    /// Connections that are open.
-    fn open(&self) -> usize {
+    /// The number of open connections.
+    fn open_connections(&self) -> usize {
         let counters = &self.counters;
         counters.accepted_connections.load(Ordering::SeqCst)
             - counters.closed_connections.load(Ordering::SeqCst)
     }
 }
 
-/// Where a call comes from.
+/// The origin of a call.
 #[derive(Clone, Copy)]
-struct From {
+struct CallOrigin {
     dispatcher: usize,
     connection: usize,
-    /// There were too many connections when this one came.
-    extra: bool,
+    /// The connection was beyond the maximum when it was accepted.
+    over_limit: bool,
 }
 
 /// A running endpoint. It ends when it is dropped.
 pub struct Endpoint {
     shared: Arc<Shared>,
-    at: BTreeMap<usize, SocketAddr>,
-    listening: Mutex<Vec<JoinHandle<()>>>,
+    addresses: BTreeMap<usize, SocketAddr>,
+    accept_tasks: Mutex<Vec<JoinHandle<()>>>,
 }
 
-/// A listener at an address. Std's socket options allow one that was used just now.
-async fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    // The port of a listener that has just ended may be held for a moment.
+/// Opens a listener at an address. The standard library's socket options allow an address that was in use just now.
+async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    // The port of a listener that has just ended may stay in use for a moment.
     for _ in 0..100 {
-        match TcpListener::bind(at).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && at.port() != 0 => {
+        match TcpListener::bind(address).await {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && address.port() != 0 => {
                 sleep(Duration::from_millis(20)).await;
             }
-            bound => return bound,
+            result => return result,
         }
     }
-    TcpListener::bind(at).await
+    TcpListener::bind(address).await
 }
 
 impl Endpoint {
-    /// Starts an endpoint that listens at each of the addresses (port 0: any) for the dispatcher of that place.
-    /// `numbers` counts the calls of a run.
+    /// Starts an endpoint that listens at each of the addresses (port 0: any) for the dispatcher of the same index.
+    /// `call_numbers` counts the calls of a run.
     ///
     /// # Errors
-    /// Those of listening.
+    /// An address can't be listened at.
     pub async fn start(
-        name: &str, dest: u32, at: &[SocketAddr], traits: ConnectionLimits, script: impl CallHandler,
-        recorder: Recorder, numbers: Arc<AtomicU64>,
+        name: &str, destination: u32, addresses: &[SocketAddr], limits: ConnectionLimits,
+        handler: impl CallHandler, recorder: Recorder, call_numbers: Arc<AtomicU64>,
     ) -> io::Result<Endpoint> {
         let shared = Arc::new(Shared {
             name: name.into(),
-            dest,
-            traits,
-            script: Box::new(script),
+            destination,
+            limits,
+            handler: Box::new(handler),
             recorder,
-            numbers,
-            door: watch::Sender::new(SocketState::Open),
+            call_numbers,
+            socket_state: watch::Sender::new(SocketState::Open),
             counters: Counters::default(),
         });
-        let mut endpoint = Endpoint { shared, at: BTreeMap::new(), listening: Mutex::default() };
-        for (dispatcher, at) in at.iter().enumerate() {
-            let listener = listen(*at).await?;
-            endpoint.at.insert(dispatcher, listener.local_addr()?);
+        let mut endpoint = Endpoint { shared, addresses: BTreeMap::new(), accept_tasks: Mutex::default() };
+        for (dispatcher, address) in addresses.iter().enumerate() {
+            let listener = listen(*address).await?;
+            endpoint.addresses.insert(dispatcher, listener.local_addr()?);
             endpoint.accept(dispatcher, listener);
         }
         Ok(endpoint)
@@ -233,26 +233,26 @@
         let shared = self.shared.clone();
         let task = tokio::spawn(async move {
             loop {
-                // Also while nothing is read: what came up then is reset once the machine is back.
+                // Connections are accepted in the silent state as well, and reset once the machine is back.
                 let Ok((stream, _)) = listener.accept().await else {
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
                 let connection = shared.counters.accepted_connections.fetch_add(1, Ordering::SeqCst);
-                let extra = shared.open() > shared.traits.max_connections;
-                let (from, shared) = (From { dispatcher, connection, extra }, shared.clone());
+                let over_limit = shared.open_connections() > shared.limits.max_connections;
+                let (origin, shared) = (CallOrigin { dispatcher, connection, over_limit }, shared.clone());
                 tokio::spawn(async move {
-                    connected(&shared, from, stream).await;
+                    serve_connection(&shared, origin, stream).await;
                     shared.counters.closed_connections.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
-        self.listening.lock().unwrap_or_else(PoisonError::into_inner).push(task);
+        self.accept_tasks.lock().unwrap_or_else(PoisonError::into_inner).push(task);
     }
 
-    /// Where it listens for a dispatcher.
+    /// The address at which it listens for a dispatcher.
     pub fn address(&self, dispatcher: usize) -> Option<SocketAddr> {
-        self.at.get(&dispatcher).copied()
+        self.addresses.get(&dispatcher).copied()
     }
 
     /// Its name.
@@ -268,25 +268,25 @@
     /// Changes how its sockets behave.
     ///
     /// # Errors
-    /// Those of listening anew.
-    pub async fn set_socket_state(&self, door: SocketState) -> io::Result<()> {
-        let was = self.shared.door.send_replace(door);
-        if was == door {
+    /// An address can't be listened at again.
+    pub async fn set_socket_state(&self, state: SocketState) -> io::Result<()> {
+        let previous = self.shared.socket_state.send_replace(state);
+        if previous == state {
             return Ok(());
         }
-        if door == SocketState::Refusing {
+        if state == SocketState::Refusing {
             self.stop_listening();
         }
-        if was == SocketState::Refusing {
-            for (dispatcher, at) in &self.at {
-                self.accept(*dispatcher, listen(*at).await?);
+        if previous == SocketState::Refusing {
+            for (dispatcher, address) in &self.addresses {
+                self.accept(*dispatcher, listen(*address).await?);
             }
         }
         Ok(())
     }
 
     fn stop_listening(&self) {
-        let tasks = std::mem::take(&mut *self.listening.lock().unwrap_or_else(PoisonError::into_inner));
+        let tasks = std::mem::take(&mut *self.accept_tasks.lock().unwrap_or_else(PoisonError::into_inner));
         tasks.iter().for_each(JoinHandle::abort);
     }
 }
@@ -294,242 +294,246 @@
 impl Drop for Endpoint {
     fn drop(&mut self) {
         self.stop_listening();
-        self.shared.door.send_replace(SocketState::Refusing);
+        self.shared.socket_state.send_replace(SocketState::Refusing);
     }
 }
 
-async fn connected(shared: &Arc<Shared>, from: From, stream: TcpStream) {
-    let mut door = shared.door.subscribe();
-    door.mark_unchanged();
-    let mut wire = HttpConnection::new(stream);
+async fn serve_connection(shared: &Arc<Shared>, origin: CallOrigin, stream: TcpStream) {
+    let mut socket_state = shared.socket_state.subscribe();
+    socket_state.mark_unchanged();
+    let mut http_connection = HttpConnection::new(stream);
     loop {
-        if *door.borrow() != SocketState::Open {
+        if *socket_state.borrow() != SocketState::Open {
             break;
         }
-        let later = door.clone();
-        let served = tokio::select! {
+        let state_of_call = socket_state.clone();
+        let next_step = tokio::select! {
             biased;
-            _ = door.changed() => continue,
-            served = one(shared, from, &mut wire, later) => served,
+            _ = socket_state.changed() => continue,
+            next_step = serve_call(shared, origin, &mut http_connection, state_of_call) => next_step,
         };
-        match served {
-            Next::Another => {}
-            Next::Reset => return wire.reset(),
-            Next::Close => return,
+        match next_step {
+            NextStep::KeepOpen => {}
+            NextStep::Reset => return http_connection.reset(),
+            NextStep::Close => return,
         }
     }
-    // A machine that is gone leaves its connections open until it is back.
-    let _ = door.wait_for(|door| *door != SocketState::Silent).await;
-    wire.reset();
+    // An unreachable machine leaves its connections open until it is back.
+    let _ = socket_state.wait_for(|socket_state| *socket_state != SocketState::Silent).await;
+    http_connection.reset();
 }
 
-enum Next {
-    Another,
+enum NextStep {
+    KeepOpen,
     Reset,
     Close,
 }
 
-/// What is told once, however the call ends.
-struct Ending<'a> {
+/// Records the end of a call once, however it ends.
+struct EndRecorder<'a> {
     shared: &'a Shared,
     call: &'a Call,
     reply: &'a Reply,
-    told: bool,
-    /// When the answer was about to be written: its wait runs from then at the latest.
-    written: Option<u64>,
+    recorded: bool,
+    /// When writing of the response began: its Retry-After runs from then at the latest.
+    writing_since: Option<u64>,
 }
 
-impl Ending<'_> {
-    fn tell(&mut self, how: CallEnd) {
-        if std::mem::replace(&mut self.told, true) {
+impl EndRecorder<'_> {
+    fn record(&mut self, end: CallEnd) {
+        if std::mem::replace(&mut self.recorded, true) {
             return;
         }
-        self.shared.script.finished(self.call, self.reply);
+        self.shared.handler.finished(self.call, self.reply);
         if !self.call.probe {
-            let late = self.written.map_or(0, |at| self.shared.recorder.now().saturating_sub(at));
-            let wait = self.reply.retry_after.map(|wait| (wait.as_micros() as u64).saturating_sub(late));
-            let (wait, fates) = match how {
-                CallEnd::Answered(_) => (wait, self.reply.results.clone()),
+            let elapsed = self.writing_since.map_or(0, |at| self.shared.recorder.now().saturating_sub(at));
+            let retry_after = self
+                .reply
+                .retry_after
+                .map(|retry_after| (retry_after.as_micros() as u64).saturating_sub(elapsed));
+            let (retry_after, results) = match end {
+                CallEnd::Answered(_) => (retry_after, self.reply.results.clone()),
                 _ => (None, Vec::new()),
             };
-            self.shared.recorder.add(Event::CallEnded {
-                call: self.call.number,
-                end: how,
-                results: fates,
-                retry_after: wait,
-            });
+            self.shared.recorder.add(Event::CallEnded { call: self.call.number, end, results, retry_after });
         }
     }
 }
 
-impl Drop for Ending<'_> {
+impl Drop for EndRecorder<'_> {
     fn drop(&mut self) {
-        // The endpoint itself went down under it.
-        self.tell(CallEnd::Broken);
+        // The endpoint itself went down during the call.
+        self.record(CallEnd::Broken);
     }
 }
 
-/// One call on a connection.
-async fn one(
-    shared: &Arc<Shared>, from: From, wire: &mut HttpConnection, mut door: watch::Receiver<SocketState>,
-) -> Next {
-    if shared.script.resets_request() {
-        let limit = shared.traits.idle_timeout.unwrap_or(Duration::from_secs(3600));
-        return match timeout(limit, wire.read_available()).await {
-            Ok(Ok(piece)) if !piece.is_empty() => Next::Reset,
-            _ => Next::Close,
+/// Serves one call on a connection.
+async fn serve_call(
+    shared: &Arc<Shared>, origin: CallOrigin, http_connection: &mut HttpConnection,
+    mut socket_state: watch::Receiver<SocketState>,
+) -> NextStep {
+    if shared.handler.resets_request() {
+        let idle_timeout = shared.limits.idle_timeout.unwrap_or(Duration::from_secs(3600));
+        return match timeout(idle_timeout, http_connection.read_available()).await {
+            Ok(Ok(piece)) if !piece.is_empty() => NextStep::Reset,
+            _ => NextStep::Close,
         };
     }
-    let request = match shared.traits.idle_timeout {
-        Some(idle) => match timeout(idle, wire.read_request()).await {
+    let request = match shared.limits.idle_timeout {
+        Some(idle) => match timeout(idle, http_connection.read_request()).await {
             Ok(request) => request,
-            Err(_) => return Next::Close,
+            Err(_) => return NextStep::Close,
         },
-        None => wire.read_request().await,
+        None => http_connection.read_request().await,
     };
-    let Ok(Some(request)) = request else { return Next::Close };
+    let Ok(Some(request)) = request else { return NextStep::Close };
     let probe = request.start_line.starts_with("GET ");
-    let items = if probe { Some(Vec::new()) } else { items(&request) };
+    let items = if probe { Some(Vec::new()) } else { parse_items(&request) };
     let Some(items) = items else {
-        let written = wire.write(&http::response_bytes(400, "", b"")).await;
-        return if written.is_ok() { Next::Another } else { Next::Close };
+        let written = http_connection.write(&http::response_bytes(400, "", b"")).await;
+        return if written.is_ok() { NextStep::KeepOpen } else { NextStep::Close };
     };
-    let From { dispatcher, connection, extra } = from;
-    let first = shared.recorder.micros_at(request.first_byte_at);
-    let number = shared.numbers.fetch_add(1, Ordering::SeqCst);
+    let CallOrigin { dispatcher, connection, over_limit } = origin;
+    let first_byte_at = shared.recorder.micros_at(request.first_byte_at);
+    let number = shared.call_numbers.fetch_add(1, Ordering::SeqCst);
     let call = Call { number, dispatcher, connection, request, items, probe };
     if !probe {
         shared.recorder.add(Event::Call {
             call: number,
             endpoint: shared.name.clone(),
-            destination: shared.dest,
+            destination: shared.destination,
             dispatcher,
-            first_byte_at: first,
+            first_byte_at,
             items: call.items.clone(),
         });
     }
-    let full = extra && shared.open() > shared.traits.max_connections;
-    let reply = if full { Reply::status(503) } else { shared.script.handle(&call) };
+    let rejected = over_limit && shared.open_connections() > shared.limits.max_connections;
+    let reply = if rejected { Reply::status(503) } else { shared.handler.handle(&call) };
     if probe {
-        let well = matches!(reply.response, EndpointResponse::Complete(200, ..));
-        let (endpoint, dest) = (shared.name.clone(), shared.dest);
-        shared.recorder.add(Event::Probe { endpoint, destination: dest, dispatcher, healthy: well });
+        let healthy = matches!(reply.response, EndpointResponse::Complete(200, ..));
+        let (endpoint, destination) = (shared.name.clone(), shared.destination);
+        shared.recorder.add(Event::Probe { endpoint, destination, dispatcher, healthy });
     }
-    let mut ending = Ending { shared, call: &call, reply: &reply, told: false, written: None };
-    let work = Work {
+    let mut end_recorder =
+        EndRecorder { shared, call: &call, reply: &reply, recorded: false, writing_since: None };
+    let pending_work = PendingWork {
         shared: shared.clone(),
         call: Some((call.clone(), reply.clone())),
-        started: std::time::Instant::now(),
+        started_at: std::time::Instant::now(),
     };
     if !reply.delay.is_zero() {
         tokio::select! {
             biased;
-            () = wire.wait_closed() => {
-                ending.tell(CallEnd::Closed);
+            () = http_connection.wait_closed() => {
+                end_recorder.record(CallEnd::Closed);
                 shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
-                // It runs on though nobody listens.
-                work.run_on(&mut door);
-                return Next::Close;
+                // The work completes although the caller is gone.
+                pending_work.continue_in_background(&mut socket_state);
+                return NextStep::Close;
             }
             () = sleep(reply.delay) => {}
         }
     }
-    work.done();
-    ending.written = Some(shared.recorder.now());
-    let (how, next) = write(shared, wire, &reply.response).await;
-    ending.tell(how);
-    next
+    pending_work.complete();
+    end_recorder.writing_since = Some(shared.recorder.now());
+    let (end, next_step) = write_response(shared, http_connection, &reply.response).await;
+    end_recorder.record(end);
+    next_step
 }
 
-/// Work that is done or runs on; a process that goes down takes it along.
-struct Work {
+/// The work of a call, which completes even if the call is abandoned, unless the process goes down.
+struct PendingWork {
     shared: Arc<Shared>,
     call: Option<(Call, Reply)>,
-    started: std::time::Instant,
+    started_at: std::time::Instant,
 }
 
-impl Work {
-    fn done(mut self) {
+impl PendingWork {
+    fn complete(mut self) {
         if let Some((call, reply)) = self.call.take() {
-            self.shared.script.processed(&call, &reply);
+            self.shared.handler.processed(&call, &reply);
         }
     }
 
-    fn run_on(self, door: &mut watch::Receiver<SocketState>) {
-        let Some(left) =
-            self.call.as_ref().map(|(_, reply)| reply.delay.saturating_sub(self.started.elapsed()))
+    fn continue_in_background(self, socket_state: &mut watch::Receiver<SocketState>) {
+        let Some(remaining) =
+            self.call.as_ref().map(|(_, reply)| reply.delay.saturating_sub(self.started_at.elapsed()))
         else {
             return;
         };
-        let mut door = door.clone();
+        let mut socket_state = socket_state.clone();
         tokio::spawn(async move {
             tokio::select! {
-                () = sleep(left) => self.done(),
-                _ = door.wait_for(|door| *door == SocketState::Refusing) => {}
+                () = sleep(remaining) => self.complete(),
+                _ = socket_state.wait_for(|socket_state| *socket_state == SocketState::Refusing) => {}
             }
         });
     }
 }
 
-async fn write(shared: &Shared, wire: &mut HttpConnection, how: &EndpointResponse) -> (CallEnd, Next) {
-    let after = |written: io::Result<()>, end: CallEnd, next: Next| match written {
-        Ok(()) => (end, next),
-        Err(_) => (CallEnd::Closed, Next::Close),
+async fn write_response(
+    shared: &Shared, http_connection: &mut HttpConnection, response: &EndpointResponse,
+) -> (CallEnd, NextStep) {
+    let or_closed = |written: io::Result<()>, end: CallEnd, next_step: NextStep| match written {
+        Ok(()) => (end, next_step),
+        Err(_) => (CallEnd::Closed, NextStep::Close),
     };
-    match how {
+    match response {
         EndpointResponse::Complete(status, headers, body) => {
-            let written = wire.write(&http::response_bytes(*status, headers, body)).await;
-            after(written, CallEnd::Answered(*status), Next::Another)
+            let written = http_connection.write(&http::response_bytes(*status, headers, body)).await;
+            or_closed(written, CallEnd::Answered(*status), NextStep::KeepOpen)
         }
-        EndpointResponse::CompleteAndClose(status) => after(
-            wire.write(&http::response_bytes(*status, "", b"")).await,
+        EndpointResponse::CompleteAndClose(status) => or_closed(
+            http_connection.write(&http::response_bytes(*status, "", b"")).await,
             CallEnd::Answered(*status),
-            Next::Close,
+            NextStep::Close,
         ),
-        EndpointResponse::Raw(bytes, end) => after(wire.write(bytes).await, *end, Next::Another),
+        EndpointResponse::Raw(bytes, end) => {
+            or_closed(http_connection.write(bytes).await, *end, NextStep::KeepOpen)
+        }
         EndpointResponse::Endless(start, more) => {
-            let end = match status(start) {
+            let end = match parse_status(start) {
                 Some(status) => CallEnd::Truncated(status),
                 None => CallEnd::Broken,
             };
-            let mut written = wire.write(start).await;
+            let mut written = http_connection.write(start).await;
             while written.is_ok() {
-                written = wire.write(more).await;
-                // So that others get their turn.
+                written = http_connection.write(more).await;
+                // Lets other tasks run.
                 tokio::task::yield_now().await;
             }
             shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
-            (end, Next::Close)
+            (end, NextStep::Close)
         }
-        EndpointResponse::Truncated(status, at) => {
-            let whole = http::response_bytes(*status, "", b"the rest of it never comes\n");
-            let line = whole.iter().position(|byte| *byte == b'\n').unwrap_or(0);
-            let end = if *at > line { CallEnd::Truncated(*status) } else { CallEnd::Broken };
-            let piece = &whole[..(*at).min(whole.len() - 1)];
-            let written = wire.write(piece).await;
-            // A reset takes along what the other side has not read yet.
+        EndpointResponse::Truncated(status, length) => {
+            let complete = http::response_bytes(*status, "", b"the rest of it never comes\n");
+            let line_end = complete.iter().position(|byte| *byte == b'\n').unwrap_or(0);
+            let end = if *length > line_end { CallEnd::Truncated(*status) } else { CallEnd::Broken };
+            let piece = &complete[..(*length).min(complete.len() - 1)];
+            let written = http_connection.write(piece).await;
+            // A reset discards what the other side has not read yet.
             sleep(Duration::from_millis(5)).await;
-            after(written, end, Next::Reset)
+            or_closed(written, end, NextStep::Reset)
         }
-        EndpointResponse::Disconnect => (CallEnd::Broken, Next::Close),
-        EndpointResponse::Reset => (CallEnd::Broken, Next::Reset),
+        EndpointResponse::Disconnect => (CallEnd::Broken, NextStep::Close),
+        EndpointResponse::Reset => (CallEnd::Broken, NextStep::Reset),
         EndpointResponse::Hang => {
-            wire.discard_until_closed().await;
+            http_connection.discard_until_closed().await;
             shared.counters.abandoned_calls.fetch_add(1, Ordering::SeqCst);
-            (CallEnd::Closed, Next::Close)
+            (CallEnd::Closed, NextStep::Close)
         }
     }
 }
 
-/// The status of a whole first line.
-fn status(bytes: &[u8]) -> Option<u16> {
+/// The status in a complete status line.
+fn parse_status(bytes: &[u8]) -> Option<u16> {
     let line = bytes.split(|byte| *byte == b'\r').next()?;
     let line = std::str::from_utf8(line).ok()?.strip_prefix("HTTP/1.1 ")?;
     line.get(..3)?.parse().ok()
 }
 
-/// The messages of a call; none where it can't be read.
-fn items(request: &HttpMessage) -> Option<Vec<Item>> {
+/// Parses the messages of a call; `None` where they are malformed.
+fn parse_items(request: &HttpMessage) -> Option<Vec<Item>> {
     let ("POST", path) = request.target() else { return None };
     match path {
         "/receive" => {
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the stand-ins need it: with the bytes, and the times at which they came, at hand. RFC 9112.
+//! HTTP/1.1 (RFC 9112) as the stand-ins need it: with access to the raw bytes and to the times at which they arrived.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,41 +6,41 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Longest head that is read.
-const HEAD_MOST: usize = 64 * 1024;
-/// Longest body that is read: more than any call may hold.
-const BODY_MOST: usize = 4 << 20;
-/// Lines of a head.
-const HEADERS_MOST: usize = 64;
+/// Maximum size of a message head.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Maximum size of a body, above that of any call.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Maximum number of header lines.
+const MAX_HEADERS: usize = 64;
 
-/// A request or an answer.
+/// A request or a response.
 #[derive(Clone, Debug)]
 pub struct HttpMessage {
-    /// Its first line, without the line's end.
+    /// The request line or status line, without the line end.
     pub start_line: String,
     /// Its headers, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body, by Content-Length or in chunks.
+    /// Its body, delimited by Content-Length or chunked.
     pub body: Vec<u8>,
-    /// When its first byte was there.
+    /// When its first byte had arrived.
     pub first_byte_at: Instant,
-    /// When its last byte was there.
+    /// When its last byte had arrived.
     pub last_byte_at: Instant,
 }
 
 impl HttpMessage {
-    /// The status of an answer; 0 where it has none.
+    /// The status of a response; 0 where it has none.
     pub fn status(&self) -> u16 {
-        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// A request's method and its path.
+    /// A request's method and path.
     pub fn target(&self) -> (&str, &str) {
         let mut words = self.start_line.split(' ');
         (words.next().unwrap_or_default(), words.next().unwrap_or_default())
     }
 
-    /// A header's value; its name in lower case.
+    /// A header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -51,20 +51,20 @@
     }
 }
 
-/// A connection, read through a buffer.
+/// A connection with a read buffer.
 pub struct HttpConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-fn bad(text: &str) -> io::Error {
+fn invalid_data(text: &str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, text)
 }
 
 impl HttpConnection {
-    /// Wraps a connection.
+    /// Wraps a stream.
     pub fn new(stream: TcpStream) -> HttpConnection {
-        // It only costs time where it can't be set.
+        // Without TCP_NODELAY the connection is slower, but works.
         let _ = stream.set_nodelay(true);
         HttpConnection { stream, buffer: Vec::new() }
     }
@@ -72,13 +72,13 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Those of connecting; `TimedOut` after `limit`.
-    pub async fn connect(at: SocketAddr, limit: Duration) -> io::Result<HttpConnection> {
-        let stream = tokio::time::timeout(limit, TcpStream::connect(at)).await??;
+    /// The connection can't be opened; `TimedOut` after `limit`.
+    pub async fn connect(address: SocketAddr, limit: Duration) -> io::Result<HttpConnection> {
+        let stream = tokio::time::timeout(limit, TcpStream::connect(address)).await??;
         Ok(HttpConnection::new(stream))
     }
 
-    /// Whether the other side has closed, or sent what nobody asked for.
+    /// Whether the connection can't be reused: the other side has closed it, or sent data without a request.
     pub fn is_stale(&mut self) -> bool {
         !self.buffer.is_empty()
             || match self.stream.try_read(&mut [0]) {
@@ -87,178 +87,183 @@
             }
     }
 
-    async fn more(&mut self) -> io::Result<usize> {
+    async fn fill_buffer(&mut self) -> io::Result<usize> {
         let mut piece = [0; 16 * 1024];
         let read = self.stream.read(&mut piece).await?;
         self.buffer.extend_from_slice(&piece[..read]);
         Ok(read)
     }
 
-    /// Waits for the other side to close; what it sends meanwhile is kept for the next read, as far as a head
-    /// may be long.
+    /// Waits for the other side to close. What it sends meanwhile is kept for the next read, up to the maximum size of
+    /// a head.
     pub async fn wait_closed(&mut self) {
-        while self.buffer.len() < HEAD_MOST {
-            if !matches!(self.more().await, Ok(1..)) {
+        while self.buffer.len() < MAX_HEAD_BYTES {
+            if !matches!(self.fill_buffer().await, Ok(1..)) {
                 return;
             }
         }
         std::future::pending::<()>().await;
     }
 
-    /// Reads on and forgets what comes, until the other side closes.
+    /// Reads and discards data until the other side closes.
     pub async fn discard_until_closed(&mut self) {
         loop {
             self.buffer.clear();
-            if !matches!(self.more().await, Ok(1..)) {
+            if !matches!(self.fill_buffer().await, Ok(1..)) {
                 return;
             }
         }
     }
 
-    /// The next bytes as they come; none at the connection's end.
+    /// Reads the bytes that are available next; empty at the connection's end.
     ///
     /// # Errors
-    /// Those of the socket.
+    /// Reading from the socket failed.
     pub async fn read_available(&mut self) -> io::Result<Vec<u8>> {
         if self.buffer.is_empty() {
-            self.more().await?;
+            self.fill_buffer().await?;
         }
         Ok(std::mem::take(&mut self.buffer))
     }
 
-    /// Reads a request; none where the connection ended before its first byte.
+    /// Reads a request; `None` where the connection ended before its first byte.
     ///
     /// # Errors
-    /// Those of the socket; `InvalidData` for what is no request; `UnexpectedEof` for half of one.
+    /// Reading from the socket failed; `InvalidData` for a malformed request; `UnexpectedEof` for an incomplete one.
     pub async fn read_request(&mut self) -> io::Result<Option<HttpMessage>> {
-        self.read(true).await
+        self.read_message(true).await
     }
 
-    /// Reads an answer; 1xx answers are passed over.
+    /// Reads a response; 1xx responses are skipped.
     ///
     /// # Errors
-    /// Those of the socket; `InvalidData` for what is no answer; `UnexpectedEof` where it doesn't come whole.
+    /// Reading from the socket failed; `InvalidData` for a malformed response; `UnexpectedEof` for an incomplete one.
     pub async fn read_response(&mut self) -> io::Result<HttpMessage> {
         loop {
-            let answer = self.read(false).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-            if answer.status() >= 200 {
-                return Ok(answer);
+            let response = self.read_message(false).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            if response.status() >= 200 {
+                return Ok(response);
             }
         }
     }
 
-    async fn read(&mut self, request: bool) -> io::Result<Option<HttpMessage>> {
-        if self.buffer.is_empty() && self.more().await? == 0 {
+    async fn read_message(&mut self, is_request: bool) -> io::Result<Option<HttpMessage>> {
+        if self.buffer.is_empty() && self.fill_buffer().await? == 0 {
             return Ok(None);
         }
-        let begun = Instant::now();
-        let (length, mut http) = loop {
-            if let Some(head) = parse(&self.buffer, request, begun)? {
+        let first_byte_at = Instant::now();
+        let (length, mut message) = loop {
+            if let Some(head) = parse_head(&self.buffer, is_request, first_byte_at)? {
                 break head;
             }
-            if self.buffer.len() > HEAD_MOST {
-                return Err(bad("a head without an end"));
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(invalid_data("the head exceeds the maximum size"));
             }
-            if self.more().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         };
         self.buffer.drain(..length);
-        if http.header("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
-            http.body = self.chunks().await?;
+        if message.header("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+            message.body = self.read_chunks().await?;
         } else {
-            let length = match http.header("content-length") {
-                Some(text) => text.trim().parse().map_err(|_| bad("Content-Length is no number"))?,
+            let length = match message.header("content-length") {
+                Some(text) => {
+                    text.trim().parse().map_err(|_| invalid_data("Content-Length is not a number"))?
+                }
                 None => 0,
             };
-            http.body = self.take(length).await?;
+            message.body = self.read_exactly(length).await?;
         }
-        http.last_byte_at = Instant::now();
-        Ok(Some(http))
+        message.last_byte_at = Instant::now();
+        Ok(Some(message))
     }
 
-    /// The next bytes, so many.
-    async fn take(&mut self, length: usize) -> io::Result<Vec<u8>> {
-        if length > BODY_MOST {
-            return Err(bad("a body that is too long"));
+    /// Reads the given number of bytes.
+    async fn read_exactly(&mut self, length: usize) -> io::Result<Vec<u8>> {
+        if length > MAX_BODY_BYTES {
+            return Err(invalid_data("the body exceeds the maximum size"));
         }
         while self.buffer.len() < length {
-            if self.more().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
         Ok(self.buffer.drain(..length).collect())
     }
 
-    async fn line(&mut self) -> io::Result<String> {
+    async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line: Vec<u8> = self.buffer.drain(..=end).collect();
                 return Ok(String::from_utf8_lossy(&line).trim().to_string());
             }
-            if self.buffer.len() > HEAD_MOST || self.more().await? == 0 {
+            if self.buffer.len() > MAX_HEAD_BYTES || self.fill_buffer().await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
     }
 
-    async fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    async fn read_chunks(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let length = line.split(';').next().unwrap_or_default().trim();
-            let length = usize::from_str_radix(length, 16).map_err(|_| bad("a chunk without a length"))?;
+            let length =
+                usize::from_str_radix(length, 16).map_err(|_| invalid_data("a chunk has no valid length"))?;
             if length == 0 {
-                while !self.line().await?.is_empty() {}
+                while !self.read_line().await?.is_empty() {}
                 return Ok(body);
             }
-            if body.len() + length > BODY_MOST {
-                return Err(bad("a body that is too long"));
+            if body.len() + length > MAX_BODY_BYTES {
+                return Err(invalid_data("the body exceeds the maximum size"));
             }
-            body.extend(self.take(length).await?);
-            self.line().await?;
+            body.extend(self.read_exactly(length).await?);
+            self.read_line().await?;
         }
     }
 
     /// Writes bytes.
     ///
     /// # Errors
-    /// Those of the socket.
+    /// Writing to the socket failed.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends the sending; what the other side says is still read.
+    /// Shuts down the write side; data from the other side can still be read.
     ///
     /// # Errors
-    /// Those of the connection.
+    /// The socket can't be shut down.
     pub async fn shutdown_write(&mut self) -> io::Result<()> {
         self.stream.shutdown().await
     }
 
-    /// Ends the connection by a reset: what is on its way is lost.
+    /// Resets the connection: data in flight is lost.
     pub fn reset(self) {
-        // Where it can't be set the connection ends in the usual way.
+        // Where the option can't be set, the connection is closed in the normal way.
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A head and its length; none while it is not whole.
-fn parse(bytes: &[u8], request: bool, begun: Instant) -> io::Result<Option<(usize, HttpMessage)>> {
-    let mut lines = [httparse::EMPTY_HEADER; HEADERS_MOST];
-    let (first, length, headers) = if request {
-        let mut head = httparse::Request::new(&mut lines);
+/// Parses a message head and returns it with its length; `None` while it is incomplete.
+fn parse_head(
+    bytes: &[u8], is_request: bool, first_byte_at: Instant,
+) -> io::Result<Option<(usize, HttpMessage)>> {
+    let mut header_lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let (start_line, length, headers) = if is_request {
+        let mut head = httparse::Request::new(&mut header_lines);
         let httparse::Status::Complete(length) =
-            head.parse(bytes).map_err(|error| bad(&error.to_string()))?
+            head.parse(bytes).map_err(|error| invalid_data(&error.to_string()))?
         else {
             return Ok(None);
         };
         let (method, path) = (head.method.unwrap_or_default(), head.path.unwrap_or_default());
         (format!("{method} {path} HTTP/1.1"), length, head.headers)
     } else {
-        let mut head = httparse::Response::new(&mut lines);
+        let mut head = httparse::Response::new(&mut header_lines);
         let httparse::Status::Complete(length) =
-            head.parse(bytes).map_err(|error| bad(&error.to_string()))?
+            head.parse(bytes).map_err(|error| invalid_data(&error.to_string()))?
         else {
             return Ok(None);
         };
@@ -266,20 +271,15 @@
         (format!("HTTP/1.1 {code} {reason}"), length, head.headers)
     };
     let text = |value: &[u8]| String::from_utf8_lossy(value).trim().to_string();
-    let headers = headers.iter().map(|h| (h.name.to_ascii_lowercase(), text(h.value))).collect();
+    let headers =
+        headers.iter().map(|header| (header.name.to_ascii_lowercase(), text(header.value))).collect();
     Ok(Some((
         length,
-        HttpMessage {
-            start_line: first,
-            headers,
-            body: Vec::new(),
-            first_byte_at: begun,
-            last_byte_at: begun,
-        },
+        HttpMessage { start_line, headers, body: Vec::new(), first_byte_at, last_byte_at: first_byte_at },
     )))
 }
 
-/// An answer's bytes: `headers` are whole lines, each with its end.
+/// Encodes a response. `headers` are complete lines, each with its line end.
 pub fn response_bytes(status: u16, headers: &str, body: &[u8]) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
@@ -304,16 +304,16 @@
     use super::*;
     use tokio::net::TcpListener;
 
-    async fn pair() -> (HttpConnection, HttpConnection) {
+    async fn connected_pair() -> (HttpConnection, HttpConnection) {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let one =
+        let client =
             HttpConnection::connect(listener.local_addr().unwrap(), Duration::from_secs(9)).await.unwrap();
-        (one, HttpConnection::new(listener.accept().await.unwrap().0))
+        (client, HttpConnection::new(listener.accept().await.unwrap().0))
     }
 
     #[tokio::test]
-    async fn requests_are_read_in_pieces_one_after_the_other() {
-        let (mut client, mut server) = pair().await;
+    async fn pipelined_requests_are_read_from_partial_writes() {
+        let (mut client, mut server) = connected_pair().await;
         client.write(b"POST /a HTTP/1.1\r\nA: b\r\nContent-Len").await.unwrap();
         let reading = tokio::spawn(async move {
             let first = server.read_request().await.unwrap().unwrap();
@@ -334,14 +334,17 @@
     }
 
     #[tokio::test]
-    async fn a_reset_is_no_end_in_peace() {
-        let (mut client, server) = pair().await;
+    async fn a_reset_is_reported_and_interim_responses_are_skipped() {
+        let (mut client, server) = connected_pair().await;
         server.reset();
         assert_eq!(client.read_response().await.unwrap_err().kind(), io::ErrorKind::ConnectionReset);
-        let (mut client, mut server) = pair().await;
+        let (mut client, mut server) = connected_pair().await;
         server.write(&response_bytes(100, "", b"")).await.unwrap();
         server.write(&response_bytes(429, "Retry-After: 1.5\r\n", b"no")).await.unwrap();
-        let told = client.read_response().await.unwrap();
-        assert_eq!((told.status(), told.header("retry-after"), &*told.body), (429, Some("1.5"), &b"no"[..]));
+        let response = client.read_response().await.unwrap();
+        assert_eq!(
+            (response.status(), response.header("retry-after"), &*response.body),
+            (429, Some("1.5"), &b"no"[..])
+        );
     }
 }
--- a/crates/lab/src/partner.rs
+++ b/crates/lab/src/partner.rs
@@ -1,4 +1,5 @@
-//! A stand-in for a partner: its limit, its capacity, its memory of keys, its troubles, and how it comes back.
+//! A stand-in for a partner: its rate limit, its capacity, its memory of idempotency keys, its faults, and its recovery
+//! from an outage.
 
 use crate::endpoint::{Call, CallHandler, EndpointResponse, Reply};
 use crate::http;
@@ -9,48 +10,49 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Share of the calls that fail while a partner fails most of them.
-const MOST: f64 = 0.8;
-/// Share of the answers that are cut or spoilt while they are so at all.
-const SOME: f64 = 0.5;
-/// A burst that a rate limit lets through, in seconds of the rate.
-const BURST: f64 = 0.25;
-/// Calls that chance adds to the budget of a cold partner.
-const SLACK: f64 = 3.0;
-/// Keys that are remembered at most; the oldest go first.
-const KEYS_MOST: usize = 200_000;
+/// Minimum share of calls that fail during an error fault.
+const FAULT_ERROR_SHARE: f64 = 0.8;
+/// Minimum share of responses that are truncated or malformed during such a fault.
+const FAULT_RESPONSE_SHARE: f64 = 0.5;
+/// A burst that a rate limit permits, in seconds of the rate.
+const BURST_SECONDS: f64 = 0.25;
+/// Calls that a cold partner tolerates beyond its budget, for random variation.
+const COLD_CALL_TOLERANCE: f64 = 3.0;
+/// Maximum number of remembered keys; the oldest are dropped first.
+const MAX_KEYS: usize = 200_000;
 
-/// What ails a partner whose sockets work.
+/// A fault of a partner whose sockets work.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum PartnerFault {
-    /// Nothing.
+    /// None.
     #[default]
     None,
-    /// It takes calls and never answers.
+    /// It accepts calls and never responds.
     Hang,
-    /// It turns all away.
+    /// It rejects all calls.
     RejectAll,
     /// It fails most calls.
     Errors,
-    /// It takes so many times as long.
+    /// It takes longer by this factor.
     Slow(f64),
-    /// Answers are cut.
+    /// Responses are truncated.
     TruncatedResponses,
-    /// Answers can't be read.
+    /// Responses are malformed.
     MalformedResponses,
 }
 
 struct State {
-    trouble: PartnerFault,
+    fault: PartnerFault,
     rng: fastrand::Rng,
     /// When the queue will be empty, by endpoint.
     free_at: Vec<Instant>,
     tokens: (f64, Instant),
     window: (u64, f64),
-    /// Since when it is back from an outage.
-    back: Option<Instant>,
+    /// When it recovered from its last outage.
+    recovered_at: Option<Instant>,
+    /// Calls and probes within the overload window.
     arrivals: VecDeque<Instant>,
-    fallen: bool,
+    collapsed: bool,
     keys: HashMap<String, Instant>,
     key_order: VecDeque<String>,
 }
@@ -58,139 +60,154 @@
 /// A partner; its endpoints share it.
 pub struct Partner {
     spec: scenario::Partner,
-    returning: Returning,
-    dest: u32,
-    attempts: u32,
-    ledger: Arc<MessageRegistry>,
+    recovery: Returning,
+    destination: u32,
+    max_attempts: u32,
+    registry: Arc<MessageRegistry>,
     recorder: Recorder,
-    began: Instant,
+    started_at: Instant,
     state: Mutex<State>,
 }
 
-/// One endpoint's script: the partner and which endpoint it is.
+/// The call handler of one endpoint: the partner and the endpoint's index.
 pub struct PartnerEndpoint(pub Arc<Partner>, pub usize);
 
 impl Partner {
-    /// A partner that is warm and well.
+    /// A partner that is warm and has no fault.
     pub fn new(
-        spec: scenario::Partner, returning: Returning, dest: u32, attempts: u32, seed: u64,
-        ledger: Arc<MessageRegistry>, recorder: Recorder,
+        spec: scenario::Partner, recovery: Returning, destination: u32, max_attempts: u32, seed: u64,
+        registry: Arc<MessageRegistry>, recorder: Recorder,
     ) -> Partner {
         let now = Instant::now();
         let state = State {
-            trouble: PartnerFault::None,
-            rng: fastrand::Rng::with_seed(seed ^ u64::from(dest)),
+            fault: PartnerFault::None,
+            rng: fastrand::Rng::with_seed(seed ^ u64::from(destination)),
             free_at: vec![now; spec.endpoints],
-            tokens: (spec.limit_per_s * BURST, now),
+            tokens: (spec.limit_per_s * BURST_SECONDS, now),
             window: (0, 0.0),
-            back: None,
+            recovered_at: None,
             arrivals: VecDeque::new(),
-            fallen: false,
+            collapsed: false,
             keys: HashMap::new(),
             key_order: VecDeque::new(),
         };
-        Partner { spec, returning, dest, attempts, ledger, recorder, began: now, state: Mutex::new(state) }
+        Partner {
+            spec,
+            recovery,
+            destination,
+            max_attempts,
+            registry,
+            recorder,
+            started_at: now,
+            state: Mutex::new(state),
+        }
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its number.
+    /// Its destination number.
     pub fn destination(&self) -> u32 {
-        self.dest
+        self.destination
     }
 
-    /// What ails it from now on.
-    pub fn set_fault(&self, trouble: PartnerFault) {
-        self.state().trouble = trouble;
+    /// Sets its fault from now on.
+    pub fn set_fault(&self, fault: PartnerFault) {
+        self.state().fault = fault;
     }
 
-    /// It serves again, cold.
+    /// Ends an outage: the partner serves again, cold.
     pub fn recover(&self) {
         let mut state = self.state();
-        state.trouble = PartnerFault::None;
-        state.back = Some(Instant::now());
+        state.fault = PartnerFault::None;
+        state.recovered_at = Some(Instant::now());
         state.arrivals.clear();
-        // On record while it is locked: what comes from here on comes to a cold place.
-        self.recorder.add(Event::OutageEnded { destination: self.dest });
+        // Recorded while the state is locked: all later calls meet a cold partner.
+        self.recorder.add(Event::OutageEnded { destination: self.destination });
     }
 
-    /// Whether it was pushed over while it was cold.
+    /// Whether it collapsed under load while it was cold.
     pub fn has_collapsed(&self) -> bool {
-        self.state().fallen
+        self.state().collapsed
     }
 
-    /// The share of its capacity that it has at a time.
-    fn warmth(&self, state: &State, at: Instant) -> f64 {
-        let Some(back) = state.back else { return 1.0 };
-        let warm = at.saturating_duration_since(back).as_secs_f64() / self.returning.cold_s;
-        self.returning.cold_share + (1.0 - self.returning.cold_share) * warm.min(1.0)
+    /// The share of its capacity that is available at a time.
+    fn capacity_share(&self, state: &State, at: Instant) -> f64 {
+        let Some(recovered_at) = state.recovered_at else { return 1.0 };
+        let warmth = at.saturating_duration_since(recovered_at).as_secs_f64() / self.recovery.cold_s;
+        self.recovery.cold_share + (1.0 - self.recovery.cold_share) * warmth.min(1.0)
     }
 
-    /// Counts what pushes a cold partner, and pushes it over.
-    fn push(&self, state: &mut State, now: Instant) {
-        let Some(back) = state.back else { return };
-        if now.saturating_duration_since(back).as_secs_f64() > self.returning.cold_s {
+    /// Counts an arrival at a cold partner, which collapses when it is overloaded.
+    fn count_arrival(&self, state: &mut State, now: Instant) {
+        let Some(recovered_at) = state.recovered_at else { return };
+        if now.saturating_duration_since(recovered_at).as_secs_f64() > self.recovery.cold_s {
             return;
         }
-        let fall = Duration::from_secs_f64(self.returning.fall_s);
+        let overload_time = Duration::from_secs_f64(self.recovery.fall_s);
         state.arrivals.push_back(now);
-        while state.arrivals.front().is_some_and(|at| now.saturating_duration_since(*at) > fall) {
+        while state.arrivals.front().is_some_and(|at| now.saturating_duration_since(*at) > overload_time) {
             state.arrivals.pop_front();
         }
-        let from = now.checked_sub(fall).map_or(back, |from| from.max(back));
-        let mean = (self.warmth(state, from) + self.warmth(state, from + fall)) / 2.0 * self.spec.capacity;
-        let budget = self.returning.multiple * mean * self.returning.fall_s + SLACK;
-        state.fallen |= state.arrivals.len() as f64 > budget;
+        let window_start = now
+            .checked_sub(overload_time)
+            .map_or(recovered_at, |window_start| window_start.max(recovered_at));
+        let mean_capacity = (self.capacity_share(state, window_start)
+            + self.capacity_share(state, window_start + overload_time))
+            / 2.0
+            * self.spec.capacity;
+        let budget = self.recovery.multiple * mean_capacity * self.recovery.fall_s + COLD_CALL_TOLERANCE;
+        state.collapsed |= state.arrivals.len() as f64 > budget;
     }
 
-    /// How long until there is room under the limit; none where there is now.
-    fn above_limit(&self, state: &mut State, now: Instant) -> Option<Duration> {
+    /// How long until the rate limit permits a call; `None` where it does now.
+    fn rate_limit_delay(&self, state: &mut State, now: Instant) -> Option<Duration> {
         let rate = self.spec.limit_per_s;
         match self.spec.limit {
             Limit::None => None,
             Limit::Rate => {
                 let (tokens, at) = state.tokens;
                 let tokens = tokens + now.saturating_duration_since(at).as_secs_f64() * rate;
-                let tokens = tokens.min((rate * BURST).max(1.0));
+                let tokens = tokens.min((rate * BURST_SECONDS).max(1.0));
                 state.tokens = (if tokens >= 1.0 { tokens - 1.0 } else { tokens }, now);
                 (tokens < 1.0).then(|| Duration::from_secs_f64((1.0 - tokens) / rate))
             }
             Limit::Window => {
-                let since = now.saturating_duration_since(self.began).as_secs_f64();
-                let span = (since / self.spec.window_s) as u64;
-                if state.window.0 != span {
-                    state.window = (span, 0.0);
+                let elapsed_s = now.saturating_duration_since(self.started_at).as_secs_f64();
+                let window_index = (elapsed_s / self.spec.window_s) as u64;
+                if state.window.0 != window_index {
+                    state.window = (window_index, 0.0);
                 }
-                // What is turned away uses up the limit too.
+                // Rejected calls count against the limit as well.
                 state.window.1 += 1.0;
-                let left = (span + 1) as f64 * self.spec.window_s - since;
-                (state.window.1 > rate * self.spec.window_s).then(|| Duration::from_secs_f64(left.max(0.001)))
+                let remaining_s = (window_index + 1) as f64 * self.spec.window_s - elapsed_s;
+                (state.window.1 > rate * self.spec.window_s)
+                    .then(|| Duration::from_secs_f64(remaining_s.max(0.001)))
             }
         }
     }
 
-    /// The share of the limit that is left, and the limit.
-    fn report(&self, state: &State) -> String {
+    /// The header that reports the remaining share of the rate limit, and the limit.
+    fn load_report(&self, state: &State) -> String {
         let rate = if self.spec.limit == Limit::None { 0.0 } else { self.spec.limit_per_s };
-        let left = match self.spec.limit {
+        let remaining = match self.spec.limit {
             Limit::None => 1.0,
-            Limit::Rate => state.tokens.0 / (rate * BURST).max(1.0),
+            Limit::Rate => state.tokens.0 / (rate * BURST_SECONDS).max(1.0),
             Limit::Window => 1.0 - state.window.1 / (rate * self.spec.window_s),
         };
-        format!("Server-Load: {{\"x0\":{:.3},\"x1\":{rate}}}\r\n", left.clamp(0.0, 1.0))
+        format!("Server-Load: {{\"x0\":{:.3},\"x1\":{rate}}}\r\n", remaining.clamp(0.0, 1.0))
     }
 
-    fn refuse(&self, state: &State, wait: Option<Duration>) -> Reply {
-        let report = self.report(state);
-        match wait.filter(|_| self.spec.tells_wait) {
-            Some(wait) => {
-                // Whole milliseconds, rounded up: what is told is never less than what is kept on record.
-                let ms = wait.as_secs_f64() * 1000.0;
+    fn reject(&self, state: &State, retry_after: Option<Duration>) -> Reply {
+        let report = self.load_report(state);
+        match retry_after.filter(|_| self.spec.tells_wait) {
+            Some(retry_after) => {
+                // Whole milliseconds, rounded up: the header is never less than the recorded period.
+                let ms = retry_after.as_secs_f64() * 1000.0;
                 let headers = format!("Retry-After: {:.3}\r\n{report}", ms.ceil() / 1000.0);
                 Reply {
-                    retry_after: Some(wait),
+                    retry_after: Some(retry_after),
                     ..Reply::immediate(EndpointResponse::Complete(429, headers, Vec::new()))
                 }
             }
@@ -198,9 +215,10 @@
         }
     }
 
-    /// What is known of a message against it: the status, and its word in a call of several.
-    fn against(&self, item: &Item) -> Option<(u16, MessageResult)> {
-        match self.ledger.record_attempt(&item.id, self.dest, self.recorder.now(), self.attempts) {
+    /// Why a message is not processed, if so: the status for a single call, and the result within a batch.
+    fn rejection(&self, item: &Item) -> Option<(u16, MessageResult)> {
+        match self.registry.record_attempt(&item.id, self.destination, self.recorder.now(), self.max_attempts)
+        {
             crate::ledger::AttemptCheck::Allowed => None,
             crate::ledger::AttemptCheck::Unknown => Some((400, MessageResult::Rejected)),
             crate::ledger::AttemptCheck::Expired => Some((410, MessageResult::Expired)),
@@ -208,83 +226,85 @@
         }
     }
 
-    fn begin(&self, endpoint: usize, call: &Call) -> Reply {
+    fn respond(&self, endpoint: usize, call: &Call) -> Reply {
         let now = Instant::now();
         let mut state = self.state();
         let state = &mut *state;
-        self.push(state, now);
-        match state.trouble {
+        self.count_arrival(state, now);
+        match state.fault {
             PartnerFault::Hang => return Reply::immediate(EndpointResponse::Hang),
-            PartnerFault::RejectAll => return self.refuse(state, None),
+            PartnerFault::RejectAll => return self.reject(state, None),
             _ => {}
         }
-        if state.fallen {
+        if state.collapsed {
             return Reply::immediate(EndpointResponse::Hang);
         }
-        if let Some(wait) = self.above_limit(state, now) {
-            return self.refuse(state, Some(wait));
+        if let Some(retry_after) = self.rate_limit_delay(state, now) {
+            return self.reject(state, Some(retry_after));
         }
-        let slow = if let PartnerFault::Slow(times) = state.trouble { times } else { 1.0 };
-        let capacity = self.spec.capacity / self.spec.endpoints as f64 * self.warmth(state, now) / slow;
+        let slowdown = if let PartnerFault::Slow(factor) = state.fault { factor } else { 1.0 };
+        let capacity =
+            self.spec.capacity / self.spec.endpoints as f64 * self.capacity_share(state, now) / slowdown;
         let Some(free_at) = state.free_at.get(endpoint).copied() else { return Reply::status(503) };
-        let start = free_at.max(now);
-        let queued = start.saturating_duration_since(now);
-        if queued.as_secs_f64() * 1000.0 > self.spec.queue_ms * slow {
-            return self.refuse(state, None);
+        let work_start = free_at.max(now);
+        let queued = work_start.saturating_duration_since(now);
+        if queued.as_secs_f64() * 1000.0 > self.spec.queue_ms * slowdown {
+            return self.reject(state, None);
         }
-        let room = Duration::from_secs_f64((1.0 / capacity).min(60.0));
+        let work_time = Duration::from_secs_f64((1.0 / capacity).min(60.0));
         if let Some(free_at) = state.free_at.get_mut(endpoint) {
-            *free_at = start + room;
+            *free_at = work_start + work_time;
         }
         if call.probe {
-            return Reply::immediate(EndpointResponse::Complete(200, self.report(state), Vec::new()));
+            return Reply::immediate(EndpointResponse::Complete(200, self.load_report(state), Vec::new()));
         }
-        let [least, most] = self.spec.service_ms;
-        let service = Duration::from_secs_f64((least + (most - least) * state.rng.f64()) * slow / 1000.0);
-        let after = queued + service;
-        let against: Vec<_> = call.items.iter().map(|item| self.against(item)).collect();
-        if let ([_], [Some((status, _))]) = (&call.items[..], &against[..]) {
+        let [min_ms, max_ms] = self.spec.service_ms;
+        let service =
+            Duration::from_secs_f64((min_ms + (max_ms - min_ms) * state.rng.f64()) * slowdown / 1000.0);
+        let delay = queued + service;
+        let rejections: Vec<_> = call.items.iter().map(|item| self.rejection(item)).collect();
+        if let ([_], [Some((status, _))]) = (&call.items[..], &rejections[..]) {
             return Reply::status(*status);
         }
-        self.work(state, call, &against, after)
+        self.process(state, call, &rejections, delay)
     }
 
-    /// A call that is worked on, and what becomes of its answer.
-    fn work(
-        &self, state: &mut State, call: &Call, against: &[Option<(u16, MessageResult)>], after: Duration,
+    /// Processes a call and chooses its response.
+    fn process(
+        &self, state: &mut State, call: &Call, rejections: &[Option<(u16, MessageResult)>], delay: Duration,
     ) -> Reply {
-        let runs: Vec<bool> = against.iter().map(Option::is_none).collect();
-        let fates: Vec<MessageResult> =
-            against.iter().map(|a| a.as_ref().map_or(MessageResult::Delivered, |(_, fate)| *fate)).collect();
-        let report = self.report(state);
-        let trouble = state.trouble;
+        let processed: Vec<bool> = rejections.iter().map(Option::is_none).collect();
+        let results: Vec<MessageResult> = rejections
+            .iter()
+            .map(|rejection| rejection.as_ref().map_or(MessageResult::Delivered, |(_, result)| *result))
+            .collect();
+        let report = self.load_report(state);
+        let fault = state.fault;
         let rng = &mut state.rng;
-        let reply = |how, runs, fates| Reply {
-            delay: after,
-            response: how,
-            results: fates,
-            retry_after: None,
-            processed: runs,
-        };
+        let reply =
+            |response, processed, results| Reply { delay, response, results, retry_after: None, processed };
         let spec = &self.spec;
-        let drawn = rng.f64();
-        let share = |usual: f64, now: bool, much: f64| if now { usual.max(much) } else { usual };
-        let errors = share(spec.errors, trouble == PartnerFault::Errors, MOST);
-        let resets = errors + spec.resets;
-        let cuts = resets + share(spec.cuts, trouble == PartnerFault::TruncatedResponses, SOME);
-        let spoilt = cuts + share(spec.spoilt, trouble == PartnerFault::MalformedResponses, SOME);
-        if drawn < errors {
-            let ran = rng.bool();
-            let runs = runs.iter().map(|run| *run && ran).collect();
-            return reply(EndpointResponse::Complete(500, report, Vec::new()), runs, Vec::new());
+        let draw = rng.f64();
+        let share =
+            |normal: f64, active: bool, minimum: f64| if active { normal.max(minimum) } else { normal };
+        let error_limit = share(spec.errors, fault == PartnerFault::Errors, FAULT_ERROR_SHARE);
+        let reset_limit = error_limit + spec.resets;
+        let truncation_limit =
+            reset_limit + share(spec.cuts, fault == PartnerFault::TruncatedResponses, FAULT_RESPONSE_SHARE);
+        let malformed_limit = truncation_limit
+            + share(spec.spoilt, fault == PartnerFault::MalformedResponses, FAULT_RESPONSE_SHARE);
+        if draw < error_limit {
+            let was_processed = rng.bool();
+            let processed = processed.iter().map(|is_processed| *is_processed && was_processed).collect();
+            return reply(EndpointResponse::Complete(500, report, Vec::new()), processed, Vec::new());
         }
-        if drawn < resets {
-            return reply(EndpointResponse::Reset, runs, Vec::new());
+        if draw < reset_limit {
+            return reply(EndpointResponse::Reset, processed, Vec::new());
         }
-        if drawn < cuts {
-            return reply(EndpointResponse::Truncated(200, rng.usize(0..60)), runs, Vec::new());
+        if draw < truncation_limit {
+            return reply(EndpointResponse::Truncated(200, rng.usize(0..60)), processed, Vec::new());
         }
-        if drawn < spoilt {
+        if draw < malformed_limit {
             let (bytes, end): (&[u8], CallEnd) = match rng.u8(..6) {
                 0 => (b"\x00\x17\xff noise\r\n\r\n", CallEnd::Broken),
                 1 => (b"HTTP/1.1 2zz OK\r\n\r\n", CallEnd::Broken),
@@ -295,13 +315,13 @@
                 4 => (b"HTTP/1.1 200 OK\r\nX-Without-End: x", CallEnd::Truncated(200)),
                 _ => (b"HTTP/1.1 500 No\r\nContent-Length: minus\r\n\r\n", CallEnd::Truncated(500)),
             };
-            return reply(EndpointResponse::Raw(bytes.to_vec(), end), runs, Vec::new());
+            return reply(EndpointResponse::Raw(bytes.to_vec(), end), processed, Vec::new());
         }
-        let extra = (drawn < spoilt + spec.extras).then(|| rng.u8(..4));
-        let one = call.items.len() == 1;
+        let extra = (draw < malformed_limit + spec.extras).then(|| rng.u8(..4));
+        let is_single = call.items.len() == 1;
         let mut body = String::new();
-        for (item, fate) in call.items.iter().zip(&fates) {
-            let word = match fate {
+        for (item, result) in call.items.iter().zip(&results) {
+            let word = match result {
                 MessageResult::Delivered => "delivered",
                 MessageResult::Failed => "failed",
                 MessageResult::Rejected => "refused",
@@ -310,38 +330,42 @@
             };
             body.push_str(&format!("{} {word}\r\n", item.id));
         }
-        let (body, fates) = if one { (Vec::new(), Vec::new()) } else { (body.into_bytes(), fates) };
-        let whole = http::response_bytes(200, &report, &body);
-        let how = match extra {
+        let (body, results) = if is_single { (Vec::new(), Vec::new()) } else { (body.into_bytes(), results) };
+        let complete = http::response_bytes(200, &report, &body);
+        let response = match extra {
             None => EndpointResponse::Complete(200, report, body),
             Some(0) => {
-                let early = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
-                EndpointResponse::Raw([early, &whole[..]].concat(), CallEnd::Answered(200))
+                let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n";
+                EndpointResponse::Raw([interim, &complete[..]].concat(), CallEnd::Answered(200))
             }
-            Some(1) => EndpointResponse::Raw([&whole[..], b"\x00 noise"].concat(), CallEnd::Answered(200)),
-            Some(2) => EndpointResponse::Raw([&whole[..], &whole[..]].concat(), CallEnd::Answered(200)),
+            Some(1) => EndpointResponse::Raw([&complete[..], b"\x00 noise"].concat(), CallEnd::Answered(200)),
+            Some(2) => EndpointResponse::Raw([&complete[..], &complete[..]].concat(), CallEnd::Answered(200)),
             Some(_) => EndpointResponse::Complete(200, "Server-Load: {x1:\r\n".into(), body),
         };
-        reply(how, runs, fates)
+        reply(response, processed, results)
     }
 
-    /// A message takes effect, unless its key was remembered when its call came: how long a call waits here is
-    /// not what a sender can know or be blamed for.
-    fn takes_effect(&self, came: Instant, item: &Item) -> bool {
-        let Some((Effect::Keyed, window)) = self.ledger.effect(&item.id) else { return true };
+    /// Whether a message takes effect: not where its key was known when its call arrived. The time that a call then
+    /// waits here doesn't count, since a sender can't know it.
+    fn takes_effect(&self, arrived_at: Instant, item: &Item) -> bool {
+        let Some((Effect::Keyed, window)) = self.registry.effect(&item.id) else { return true };
         let Some(key) = &item.key else { return true };
         let mut state = self.state();
         let now = Instant::now();
         let window = Duration::from_micros(window);
-        if state.keys.get(key).is_some_and(|at| came.saturating_duration_since(*at) < window) {
+        if state
+            .keys
+            .get(key)
+            .is_some_and(|remembered_at| arrived_at.saturating_duration_since(*remembered_at) < window)
+        {
             return false;
         }
         state.keys.insert(key.clone(), now);
         state.key_order.push_back(key.clone());
-        if state.key_order.len() > KEYS_MOST
-            && let Some(old) = state.key_order.pop_front()
+        if state.key_order.len() > MAX_KEYS
+            && let Some(oldest) = state.key_order.pop_front()
         {
-            state.keys.remove(&old);
+            state.keys.remove(&oldest);
         }
         true
     }
@@ -354,16 +378,17 @@
     }
 
     fn handle(&self, call: &Call) -> Reply {
-        self.0.begin(self.1, call)
+        self.0.respond(self.1, call)
     }
 
     fn processed(&self, call: &Call, reply: &Reply) {
-        for (item, _) in call.items.iter().zip(&reply.processed).filter(|(_, ran)| **ran) {
-            let effect = self.0.takes_effect(call.request.last_byte_at, item);
+        for (item, _) in call.items.iter().zip(&reply.processed).filter(|(_, was_processed)| **was_processed)
+        {
+            let took_effect = self.0.takes_effect(call.request.last_byte_at, item);
             self.0.recorder.add(Event::MessageProcessed {
                 call: call.number,
                 id: item.id.clone(),
-                took_effect: effect,
+                took_effect,
             });
         }
     }
