--- a/crates/lab/src/naive.rs
+++ b/crates/lab/src/naive.rs
@@ -1,6 +1,6 @@
-//! A dispatcher that breaks rules on purpose: it stands for what a hurried bridge does, and shows that the
-//! auditor sees it. It keeps the rules as far as its fault lets it, in the plainest way: one try after the other,
-//! no pace, no memory of who is well.
+//! A dispatcher that breaks rules on purpose, to show that the auditor detects the breaches. It represents a quick
+//! implementation: apart from its fault it keeps the rules in the simplest way, with one attempt after the other, no send
+//! rate control and no record of which endpoints are healthy.
 
 use crate::http::{self, HttpConnection, HttpMessage};
 use serde_json::{Value, json};
@@ -15,27 +15,27 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, timeout};
 
-/// What it does wrong.
+/// The fault of the naive dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing that a calm day would show.
+    /// None that shows while nothing else fails.
     Honest,
     /// It keeps no journal.
     Forgets,
-    /// It answers 202 and writes its record a while later.
+    /// It answers 202 and writes the journal record later.
     Early,
-    /// It sends again what must not be repeated.
+    /// It repeats messages that must not be repeated.
     Resends,
-    /// It sends a second copy while the first is out.
+    /// It sends a second copy while the first is in flight.
     Doubles,
-    /// It does not heed waits.
+    /// It does not honour Retry-After.
     Impatient,
-    /// It goes on sending to endpoints that drain or are gone.
+    /// It keeps calling endpoints that are draining or removed.
     Stubborn,
 }
 
 impl Fault {
-    /// What is expected in place of an unknown word.
+    /// The error message for an unknown name.
     pub const EXPECTED: &'static str =
         "honest, forgets, early, resends, doubles, impatient or stubborn expected";
 }
@@ -43,8 +43,8 @@
 impl FromStr for Fault {
     type Err = ();
 
-    fn from_str(word: &str) -> Result<Fault, ()> {
-        Ok(match word {
+    fn from_str(name: &str) -> Result<Fault, ()> {
+        Ok(match name {
             "honest" => Fault::Honest,
             "forgets" => Fault::Forgets,
             "early" => Fault::Early,
@@ -57,22 +57,22 @@
     }
 }
 
-/// The record is written so much later than the answer.
-const EARLY: Duration = Duration::from_millis(800);
-/// A call is waited for so long.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// A second copy follows the first after this time.
-const SECOND: Duration = Duration::from_millis(30);
-/// Attempts for one message.
-const ATTEMPTS: u64 = 100;
-/// Messages held at most.
-const ROOM: usize = 2000;
+/// Delay of the journal record after the answer, for [`Fault::Early`].
+const LATE_RECORD_DELAY: Duration = Duration::from_millis(800);
+/// Timeout of calls and of requests to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay of the second copy after the first, for [`Fault::Doubles`].
+const SECOND_COPY_DELAY: Duration = Duration::from_millis(30);
+/// Maximum number of attempts for one message.
+const MAX_ATTEMPTS: u64 = 100;
+/// Maximum number of pending messages.
+const MAX_PENDING: usize = 2000;
 
 #[derive(Clone)]
 struct Message {
     id: String,
     class: String,
-    dest: u64,
+    destination: u64,
     key: Option<String>,
     body: Vec<u8>,
     /// Unix time in milliseconds.
@@ -81,12 +81,15 @@
 
 struct Naive {
     fault: Fault,
+    /// Effect of a repeat and key window in seconds, by class.
     effects: HashMap<String, (String, f64)>,
     discovery: SocketAddr,
-    list: Mutex<Vec<(u64, SocketAddr)>>,
-    waits: Mutex<HashMap<u64, Instant>>,
+    /// The endpoints in service: destination and address.
+    endpoints: Mutex<Vec<(u64, SocketAddr)>>,
+    /// Until when a Retry-After applies, by destination.
+    retry_afters: Mutex<HashMap<u64, Instant>>,
     journal: Mutex<File>,
-    held: Mutex<usize>,
+    pending_count: Mutex<usize>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -97,55 +100,63 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-fn missing(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidInput, format!("{what}: missing or malformed"))
+fn invalid_setting(name: &str) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidInput, format!("{name}: missing or malformed"))
 }
 
-fn up(list: &Value) -> Vec<(u64, SocketAddr)> {
-    let hosts = list["hosts"].as_array().into_iter().flatten();
-    let up = hosts.filter(|host| host["health"] == "up");
-    up.filter_map(|host| Some((host["block"].as_u64()?, host["dial"].as_str()?.parse().ok()?))).collect()
+fn endpoints_in_service(list: &Value) -> Vec<(u64, SocketAddr)> {
+    let entries = list["hosts"].as_array().into_iter().flatten();
+    let in_service = entries.filter(|entry| entry["health"] == "up");
+    in_service
+        .filter_map(|entry| Some((entry["block"].as_u64()?, entry["dial"].as_str()?.parse().ok()?)))
+        .collect()
 }
 
-/// Runs it by `GW_CONFIG` and `GW_STATE` until it is killed.
+/// Runs the naive dispatcher with the settings in `GW_CONFIG` and `GW_STATE` until it is killed.
 ///
 /// # Errors
-/// What keeps it from starting.
+/// The configuration is invalid, or the journal or the address can't be opened.
 pub async fn serve(fault: Fault) -> io::Result<()> {
-    let path = std::env::var("GW_CONFIG").map_err(|_| missing("GW_CONFIG"))?;
+    let path = std::env::var("GW_CONFIG").map_err(|_| invalid_setting("GW_CONFIG"))?;
     let config: Value = serde_json::from_slice(&std::fs::read(path)?)?;
-    let state: PathBuf = std::env::var_os("GW_STATE").ok_or_else(|| missing("GW_STATE"))?.into();
-    let address = |key: &str| config[key].as_str().and_then(|at| at.parse().ok()).ok_or_else(|| missing(key));
+    let state: PathBuf = std::env::var_os("GW_STATE").ok_or_else(|| invalid_setting("GW_STATE"))?.into();
+    let address =
+        |key: &str| config[key].as_str().and_then(|at| at.parse().ok()).ok_or_else(|| invalid_setting(key));
     let (listen, discovery): (SocketAddr, SocketAddr) = (address("listen")?, address("discovery")?);
-    let grades = config["settings"]["grades"].as_array().ok_or_else(|| missing("settings.grades"))?;
-    let text = |value: &Value| value.as_str().unwrap_or_default().to_string();
+    let grades = config["settings"]["grades"].as_array().ok_or_else(|| invalid_setting("settings.grades"))?;
+    let string_of = |value: &Value| value.as_str().unwrap_or_default().to_string();
     let effects = grades
         .iter()
-        .map(|g| (text(&g["name"]), (text(&g["effect"]), g["repeat_window"].as_f64().unwrap_or(0.0))))
+        .map(|grade| {
+            (
+                string_of(&grade["name"]),
+                (string_of(&grade["effect"]), grade["repeat_window"].as_f64().unwrap_or(0.0)),
+            )
+        })
         .collect();
     let path = state.join("naive.jsonl");
-    let old = std::fs::read_to_string(&path).unwrap_or_default();
+    let journal_text = std::fs::read_to_string(&path).unwrap_or_default();
     let journal = OpenOptions::new().append(true).create(true).open(path)?;
     let naive = Arc::new(Naive {
         fault,
         effects,
         discovery,
-        list: Mutex::new(up(&config["known"])),
-        waits: Mutex::default(),
+        endpoints: Mutex::new(endpoints_in_service(&config["known"])),
+        retry_afters: Mutex::default(),
         journal: Mutex::new(journal),
-        held: Mutex::default(),
+        pending_count: Mutex::default(),
     });
-    naive.resume(&old);
+    naive.resume(&journal_text);
     let listener = TcpListener::bind(listen).await?;
     println!("naive listens at {}", listener.local_addr()?);
-    tokio::spawn(naive.clone().follow());
+    tokio::spawn(naive.clone().poll_discovery());
     loop {
         let (stream, _) = listener.accept().await?;
         let naive = naive.clone();
         tokio::spawn(async move {
-            let mut wire = HttpConnection::new(stream);
-            while let Ok(Some(request)) = wire.read_request().await {
-                if wire.write(&naive.answer(&request)).await.is_err() {
+            let mut connection = HttpConnection::new(stream);
+            while let Ok(Some(request)) = connection.read_request().await {
+                if connection.write(&naive.handle_request(&request)).await.is_err() {
                     return;
                 }
             }
@@ -154,205 +165,213 @@
 }
 
 impl Naive {
-    fn record(&self, entry: &Value) {
+    fn append_record(&self, entry: &Value) {
         if self.fault != Fault::Forgets {
             let written = writeln!(lock(&self.journal), "{entry}");
             written.unwrap_or_else(|error| println!("journal: {error}"));
         }
     }
 
-    fn resume(self: &Arc<Naive>, old: &str) {
-        let entries: Vec<Value> = old.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
-        let id = |entry: &Value| entry["id"].as_str().unwrap_or_default().to_string();
-        let mut open = HashMap::new();
+    fn resume(self: &Arc<Naive>, journal_text: &str) {
+        let entries: Vec<Value> =
+            journal_text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+        let id_of = |entry: &Value| entry["id"].as_str().unwrap_or_default().to_string();
+        let mut pending = HashMap::new();
         for entry in entries.iter().filter(|entry| entry["what"] == "taken") {
             let bytes = entry["body"].as_array().into_iter().flatten();
             let message = Message {
-                id: id(entry),
+                id: id_of(entry),
                 class: entry["class"].as_str().unwrap_or_default().into(),
-                dest: entry["dest"].as_u64().unwrap_or(0),
+                destination: entry["dest"].as_u64().unwrap_or(0),
                 key: entry["key"].as_str().map(Into::into),
                 body: bytes.filter_map(|byte| byte.as_u64().map(|byte| byte as u8)).collect(),
                 deadline: entry["deadline"].as_u64().unwrap_or(0),
             };
-            open.insert(id(entry), (message, None));
+            pending.insert(id_of(entry), (message, None));
         }
-        // What became of a message may stand before the record that it was taken.
+        // The result of a message may be recorded before its acceptance.
         for entry in &entries {
             match entry["what"].as_str() {
                 Some("sent") => {
-                    if let Some((_, ran)) = open.get_mut(&id(entry)) {
-                        *ran = ran.or(entry["at"].as_u64());
+                    if let Some((_, may_have_run_at)) = pending.get_mut(&id_of(entry)) {
+                        *may_have_run_at = may_have_run_at.or(entry["at"].as_u64());
                     }
                 }
-                Some("never") => drop(open.get_mut(&id(entry)).and_then(|(_, ran)| ran.take())),
-                Some("over") => drop(open.remove(&id(entry))),
+                Some("never") => drop(
+                    pending.get_mut(&id_of(entry)).and_then(|(_, may_have_run_at)| may_have_run_at.take()),
+                ),
+                Some("over") => drop(pending.remove(&id_of(entry))),
                 _ => {}
             }
         }
-        for (message, ran) in open.into_values() {
-            *lock(&self.held) += 1;
-            tokio::spawn(self.clone().deliver(message, ran));
+        for (message, may_have_run_at) in pending.into_values() {
+            *lock(&self.pending_count) += 1;
+            tokio::spawn(self.clone().deliver(message, may_have_run_at));
         }
     }
 
-    /// Asks for the whole list over and over.
-    async fn follow(self: Arc<Naive>) {
+    /// Polls the complete list.
+    async fn poll_discovery(self: Arc<Naive>) {
         loop {
-            let asked = async {
-                let mut wire = HttpConnection::connect(self.discovery, PATIENCE).await?;
-                wire.write(b"GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n").await?;
-                wire.read_response().await
+            let exchange = async {
+                let mut connection = HttpConnection::connect(self.discovery, CALL_TIMEOUT).await?;
+                connection.write(b"GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n").await?;
+                connection.read_response().await
             };
-            if let Ok(Ok(answer)) = timeout(PATIENCE, asked).await
-                && let Ok(list) = serde_json::from_slice(&answer.body)
+            if let Ok(Ok(response)) = timeout(CALL_TIMEOUT, exchange).await
+                && let Ok(list) = serde_json::from_slice(&response.body)
                 && self.fault != Fault::Stubborn
             {
-                *lock(&self.list) = up(&list);
+                *lock(&self.endpoints) = endpoints_in_service(&list);
             }
             sleep(Duration::from_millis(300)).await;
         }
     }
 
-    fn answer(self: &Arc<Naive>, request: &HttpMessage) -> Vec<u8> {
+    fn handle_request(self: &Arc<Naive>, request: &HttpMessage) -> Vec<u8> {
         let (method, path) = request.target();
         if method == "GET" {
             return http::response_bytes(200, "", b"ok\n");
         }
         let class = path.trim_start_matches('/').to_string();
-        let dest = request.header("x-consignee").and_then(|text| text.strip_prefix("dest=")?.parse().ok());
-        let span = request.header("request-timeout-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let (Some(id), Some(dest), Some(span)) = (request.header("request-id"), dest, span) else {
+        let destination =
+            request.header("x-consignee").and_then(|text| text.strip_prefix("dest=")?.parse().ok());
+        let timeout_ms = request.header("request-timeout-ms").and_then(|ms| ms.parse::<u64>().ok());
+        let (Some(id), Some(destination), Some(timeout_ms)) =
+            (request.header("request-id"), destination, timeout_ms)
+        else {
             return http::response_bytes(400, "", b"");
         };
-        if *lock(&self.held) >= ROOM {
+        if *lock(&self.pending_count) >= MAX_PENDING {
             return http::response_bytes(503, "Retry-After: 1\r\n", b"");
         }
         let message = Message {
             id: id.into(),
             class,
-            dest,
+            destination,
             key: request.header("idempotency-key").map(Into::into),
             body: request.body.clone(),
-            deadline: unix_ms() + span,
+            deadline: unix_ms() + timeout_ms,
         };
         let Message { id, class, key, body, deadline, .. } = &message;
-        let entry = json!({"what": "taken", "id": id, "class": class, "dest": dest, "key": key, "body": body,
+        let entry = json!({"what": "taken", "id": id, "class": class, "dest": destination, "key": key, "body": body,
             "deadline": deadline});
         if self.fault == Fault::Early {
             let naive = self.clone();
             tokio::spawn(async move {
-                sleep(EARLY).await;
-                naive.record(&entry);
+                sleep(LATE_RECORD_DELAY).await;
+                naive.append_record(&entry);
             });
         } else {
-            self.record(&entry);
+            self.append_record(&entry);
         }
-        *lock(&self.held) += 1;
+        *lock(&self.pending_count) += 1;
         tokio::spawn(self.clone().deliver(message, None));
         http::response_bytes(202, "", b"")
     }
 
-    async fn deliver(self: Arc<Naive>, message: Message, mut ran: Option<u64>) {
-        let (effect, window) = self.effects.get(&message.class).cloned().unwrap_or_default();
+    async fn deliver(self: Arc<Naive>, message: Message, mut may_have_run_at: Option<u64>) {
+        let (effect, key_window) = self.effects.get(&message.class).cloned().unwrap_or_default();
         let mut delivered = false;
-        for attempt in 0..ATTEMPTS {
+        for attempt in 0..MAX_ATTEMPTS {
             let now = unix_ms();
-            let lost = match (effect.as_str(), ran) {
+            let must_not_repeat = match (effect.as_str(), may_have_run_at) {
                 (_, None) | ("read_like", _) => false,
-                ("idempotency_key", Some(at)) => now > at + (window * 1000.0) as u64 - 300,
+                ("idempotency_key", Some(sent_at)) => now > sent_at + (key_window * 1000.0) as u64 - 300,
                 _ => self.fault != Fault::Resends,
             };
-            if now + 300 > message.deadline || lost {
+            if now + 300 > message.deadline || must_not_repeat {
                 break;
             }
             if self.fault != Fault::Impatient {
-                let most = Duration::from_millis(message.deadline.saturating_sub(now + 300));
-                // What can't wait so long is given up.
-                if timeout(most, self.wait(message.dest)).await.is_err() {
+                let max_wait = Duration::from_millis(message.deadline.saturating_sub(now + 300));
+                // A message that would have to wait beyond its deadline is given up.
+                if timeout(max_wait, self.wait_for_retry_after(message.destination)).await.is_err() {
                     break;
                 }
             }
-            let places: Vec<SocketAddr> = lock(&self.list)
+            let addresses: Vec<SocketAddr> = lock(&self.endpoints)
                 .iter()
-                .filter(|(dest, _)| *dest == message.dest)
-                .map(|(_, at)| *at)
+                .filter(|(destination, _)| *destination == message.destination)
+                .map(|(_, address)| *address)
                 .collect();
-            let Some(at) = places.get(attempt as usize % places.len().max(1)).copied() else {
+            let Some(address) = addresses.get(attempt as usize % addresses.len().max(1)).copied() else {
                 sleep(Duration::from_millis(200)).await;
                 continue;
             };
-            self.record(&json!({"what": "sent", "id": message.id, "at": unix_ms()}));
+            self.append_record(&json!({"what": "sent", "id": message.id, "at": unix_ms()}));
             if self.fault == Fault::Doubles {
                 let (naive, message) = (self.clone(), message.clone());
                 tokio::spawn(async move {
-                    sleep(SECOND).await;
-                    let until = lock(&naive.waits).get(&message.dest).copied();
-                    if until.is_some_and(|until| until > Instant::now()) {
+                    sleep(SECOND_COPY_DELAY).await;
+                    let wait_until = lock(&naive.retry_afters).get(&message.destination).copied();
+                    if wait_until.is_some_and(|wait_until| wait_until > Instant::now()) {
                         return None;
                     }
-                    naive.call(at, &message).await
+                    naive.call(address, &message).await
                 });
             }
-            match self.call(at, &message).await {
+            match self.call(address, &message).await {
                 Some(200) => {
                     delivered = true;
                     break;
                 }
-                Some(429 | 503) => self.record(&json!({"what": "never", "id": message.id})),
-                _ => ran = ran.or(Some(now)),
+                Some(429 | 503) => self.append_record(&json!({"what": "never", "id": message.id})),
+                _ => may_have_run_at = may_have_run_at.or(Some(now)),
             }
             sleep(Duration::from_millis(100 << attempt.min(4))).await;
         }
         while !delivered && !self.give_up(&message.id).await {
             sleep(Duration::from_millis(100)).await;
         }
-        self.record(&json!({"what": "over", "id": message.id}));
-        *lock(&self.held) -= 1;
+        self.append_record(&json!({"what": "over", "id": message.id}));
+        *lock(&self.pending_count) -= 1;
     }
 
-    /// Until no wait is told any more; another may have been told meanwhile.
-    async fn wait(&self, dest: u64) {
+    /// Waits until no Retry-After applies; further ones may arrive in the meantime.
+    async fn wait_for_retry_after(&self, destination: u64) {
         loop {
-            let until = lock(&self.waits).get(&dest).copied();
-            let Some(left) = until.map(|until| until.saturating_duration_since(Instant::now())) else {
+            let wait_until = lock(&self.retry_afters).get(&destination).copied();
+            let Some(remaining) =
+                wait_until.map(|wait_until| wait_until.saturating_duration_since(Instant::now()))
+            else {
                 return;
             };
-            if left.is_zero() {
+            if remaining.is_zero() {
                 return;
             }
-            sleep(left).await;
+            sleep(remaining).await;
         }
     }
 
-    async fn call(&self, at: SocketAddr, message: &Message) -> Option<u16> {
-        let mut wire = HttpConnection::connect(at, PATIENCE).await.ok()?;
-        let left = message.deadline.saturating_sub(unix_ms());
-        let patience = PATIENCE.min(Duration::from_millis(left.saturating_sub(250)));
+    async fn call(&self, address: SocketAddr, message: &Message) -> Option<u16> {
+        let mut connection = HttpConnection::connect(address, CALL_TIMEOUT).await.ok()?;
+        let remaining_ms = message.deadline.saturating_sub(unix_ms());
+        let response_timeout = CALL_TIMEOUT.min(Duration::from_millis(remaining_ms.saturating_sub(250)));
         let key = message.key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
         let head = format!(
-            "POST /receive HTTP/1.1\r\nHost: {at}\r\nRequest-Id: {}\r\n{key}Request-Timeout-Ms: {left}\r\n\
+            "POST /receive HTTP/1.1\r\nHost: {address}\r\nRequest-Id: {}\r\n{key}Request-Timeout-Ms: {remaining_ms}\r\n\
              Content-Length: {}\r\n\r\n",
             message.id,
             message.body.len()
         );
-        wire.write(&[head.as_bytes(), &message.body].concat()).await.ok()?;
-        let answer = timeout(patience, wire.read_response()).await.ok()?.ok()?;
-        if let Some(seconds) = answer.header("retry-after").and_then(|text| text.parse::<f64>().ok()) {
-            let until = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 60.0));
-            lock(&self.waits).insert(message.dest, until);
+        connection.write(&[head.as_bytes(), &message.body].concat()).await.ok()?;
+        let response = timeout(response_timeout, connection.read_response()).await.ok()?.ok()?;
+        if let Some(seconds) = response.header("retry-after").and_then(|text| text.parse::<f64>().ok()) {
+            let wait_until = Instant::now() + Duration::from_secs_f64(seconds.clamp(0.0, 60.0));
+            lock(&self.retry_afters).insert(message.destination, wait_until);
         }
-        Some(answer.status())
+        Some(response.status())
     }
 
     async fn give_up(&self, id: &str) -> bool {
-        let told = async {
-            let mut wire = HttpConnection::connect(self.discovery, PATIENCE).await?;
+        let exchange = async {
+            let mut connection = HttpConnection::connect(self.discovery, CALL_TIMEOUT).await?;
             let body = json!({"message": id, "outcome": "given_up"}).to_string();
             let head = format!("POST /status HTTP/1.1\r\nHost: d\r\nContent-Length: {}\r\n\r\n", body.len());
-            wire.write(format!("{head}{body}").as_bytes()).await?;
-            wire.read_response().await
+            connection.write(format!("{head}{body}").as_bytes()).await?;
+            connection.read_response().await
         };
-        matches!(timeout(PATIENCE, told).await, Ok(Ok(answer)) if answer.status() == 204)
+        matches!(timeout(CALL_TIMEOUT, exchange).await, Ok(Ok(response)) if response.status() == 204)
     }
 }
--- a/crates/lab/src/partner.rs
+++ b/crates/lab/src/partner.rs
@@ -46,7 +46,9 @@
     rng: fastrand::Rng,
     /// When the queue will be empty, by endpoint.
     free_at: Vec<Instant>,
+    /// Tokens of the token bucket, and when they were counted.
     tokens: (f64, Instant),
+    /// Index of the fixed window, and the calls in it.
     window: (u64, f64),
     /// When it recovered from its last outage.
     recovered_at: Option<Instant>,
@@ -167,8 +169,8 @@
         match self.spec.limit {
             Limit::None => None,
             Limit::Rate => {
-                let (tokens, at) = state.tokens;
-                let tokens = tokens + now.saturating_duration_since(at).as_secs_f64() * rate;
+                let (tokens, counted_at) = state.tokens;
+                let tokens = tokens + now.saturating_duration_since(counted_at).as_secs_f64() * rate;
                 let tokens = tokens.min((rate * BURST_SECONDS).max(1.0));
                 state.tokens = (if tokens >= 1.0 { tokens - 1.0 } else { tokens }, now);
                 (tokens < 1.0).then(|| Duration::from_secs_f64((1.0 - tokens) / rate))
@@ -348,15 +350,15 @@
     /// Whether a message takes effect: not where its key was known when its call arrived. The time that a call then
     /// waits here doesn't count, since a sender can't know it.
     fn takes_effect(&self, arrived_at: Instant, item: &Item) -> bool {
-        let Some((Effect::Keyed, window)) = self.registry.effect(&item.id) else { return true };
+        let Some((Effect::Keyed, key_window)) = self.registry.effect(&item.id) else { return true };
         let Some(key) = &item.key else { return true };
         let mut state = self.state();
         let now = Instant::now();
-        let window = Duration::from_micros(window);
+        let key_window = Duration::from_micros(key_window);
         if state
             .keys
             .get(key)
-            .is_some_and(|remembered_at| arrived_at.saturating_duration_since(*remembered_at) < window)
+            .is_some_and(|remembered_at| arrived_at.saturating_duration_since(*remembered_at) < key_window)
         {
             return false;
         }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform: the list of endpoints, watches of it, and the place where notices go.
+//! A stand-in for the platform: discovery with the list of endpoints and watches of it, and the receiver of notices.
 //!
-//! Each dispatcher has an agent of its own, at an address of its own, as in service. Notices are answered also
-//! while discovery is down.
+//! Each dispatcher has an agent of its own, at an address of its own, as in production. Notices are answered even while
+//! discovery is down.
 
 use crate::http::{self, HttpConnection, HttpMessage};
 use crate::record::{EndpointState, Event, Outcome, Recorder};
@@ -17,12 +17,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A watch gets an empty line in this time.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Lines that a slow watch may be behind.
-const LINES_MOST: usize = 1024;
-/// An old address closes its connections so long after it was moved.
-const MOVED: Duration = Duration::from_millis(1500);
+/// Interval of the empty lines on an idle watch.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of pushed lines that a slow watch may lag behind.
+const MAX_PUSHED_LINES: usize = 1024;
+/// Time from the move of an agent until its old address closes the open connections.
+const OLD_ADDRESS_LINGER: Duration = Duration::from_millis(1500);
 
 /// An endpoint in the list.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,18 +33,18 @@
     pub addresses: Vec<SocketAddr>,
     /// Its zone.
     pub zone: String,
-    /// Its destination's kind.
+    /// The kind of its destination.
     pub destination_kind: String,
     /// Its destination.
     pub destination: u32,
     /// Its state.
     pub state: EndpointState,
-    /// Calls a second that its destination takes from all dispatchers.
+    /// Calls a second that its destination accepts from all dispatchers together.
     pub rate_limit_per_s: f64,
 }
 
 impl EndpointEntry {
-    fn line(&self, dispatcher: usize) -> Value {
+    fn to_json(&self, dispatcher: usize) -> Value {
         let health = match self.state {
             EndpointState::Up => "up",
             EndpointState::Draining => "draining",
@@ -55,31 +55,31 @@
     }
 }
 
-/// A notice, as it came.
+/// A notice as received.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Notice {
     /// The message.
     pub message: String,
     /// How it ended.
     pub outcome: Outcome,
-    /// When its client may come again, in milliseconds.
+    /// When the client may submit it again, in milliseconds.
     pub retry_in_ms: Option<u64>,
 }
 
 /// How the platform behaves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformBehavior {
-    /// It accepts and answers nothing but notices; watches stay open and silent.
+    /// It accepts connections and answers only notices; watches stay open without output.
     pub silent: bool,
-    /// A change reaches watches so much later.
+    /// Delay with which a change reaches watches.
     pub update_delay: Duration,
-    /// The next lines are cut in half, and their watch is ended.
+    /// The next updates are truncated in the middle of a line, and their watch is closed.
     pub truncate_updates: bool,
-    /// What a notice is answered.
+    /// The status with which a notice is answered.
     pub notice_status: u16,
-    /// So many requests with notices are lost: read, and never answered on a connection that stays open.
+    /// The number of requests with notices that are read but not answered, on a connection that stays open.
     pub unanswered_notices: usize,
-    /// Watches get an empty line every 2 s.
+    /// Watches get an empty line at each heartbeat interval.
     pub heartbeats: bool,
 }
 
@@ -100,32 +100,32 @@
 struct Change {
     seq: u64,
     at: Instant,
-    host: EndpointEntry,
+    entry: EndpointEntry,
 }
 
 #[derive(Default)]
-struct List {
+struct Discovery {
     seq: u64,
-    hosts: BTreeMap<String, EndpointEntry>,
+    entries: BTreeMap<String, EndpointEntry>,
     changes: Vec<Change>,
     notices: Vec<(usize, Notice)>,
-    /// First lines of the requests for watches, by dispatcher.
-    watched: Vec<(usize, String)>,
-    /// What each dispatcher has been told in full.
+    /// Request lines of the watches, by dispatcher.
+    watch_requests: Vec<(usize, String)>,
+    /// The list as each dispatcher has received it in full, with its version.
     known: BTreeMap<usize, (u64, BTreeMap<String, EndpointEntry>)>,
 }
 
 struct Shared {
-    list: Mutex<List>,
-    mood: watch::Sender<PlatformBehavior>,
-    changed: watch::Sender<u64>,
+    discovery: Mutex<Discovery>,
+    behavior: watch::Sender<PlatformBehavior>,
+    latest_seq: watch::Sender<u64>,
     recorder: Recorder,
-    /// Lines that watches are told as they are.
-    said: broadcast::Sender<String>,
-    /// Watches that are open.
-    watches: watch::Sender<usize>,
-    /// Notices that a client is to hear of.
-    heard: mpsc::UnboundedSender<Notice>,
+    /// Lines that are written unchanged to watches.
+    pushed_lines: broadcast::Sender<String>,
+    /// The number of open watches.
+    open_watches: watch::Sender<usize>,
+    /// Accepted notices, for the clients.
+    accepted_notices: mpsc::UnboundedSender<Notice>,
 }
 
 /// A running platform. It ends when it is dropped.
@@ -134,42 +134,44 @@
     agents: Mutex<BTreeMap<usize, Agent>>,
 }
 
-/// A dispatcher's agent: where it listens, its task, and what closes its connections.
+/// A dispatcher's agent: its address, its accept task, and the signal that closes its connections.
 type Agent = (SocketAddr, JoinHandle<()>, watch::Sender<bool>);
 
 impl Shared {
-    fn list(&self) -> MutexGuard<'_, List> {
-        self.list.lock().unwrap_or_else(PoisonError::into_inner)
+    fn discovery(&self) -> MutexGuard<'_, Discovery> {
+        self.discovery.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Platform {
-    /// A platform with this list; what it hears of notices goes to the receiver as well.
-    pub fn new(hosts: Vec<EndpointEntry>, recorder: Recorder) -> (Platform, mpsc::UnboundedReceiver<Notice>) {
-        let (heard, hearing) = mpsc::unbounded_channel();
-        let hosts = hosts.into_iter().map(|host| (host.name.clone(), host)).collect();
-        let list = List { seq: 1, hosts, ..List::default() };
+    /// A platform with this list. The receiver gets the notices that it accepts.
+    pub fn new(
+        entries: Vec<EndpointEntry>, recorder: Recorder,
+    ) -> (Platform, mpsc::UnboundedReceiver<Notice>) {
+        let (accepted_notices, receiver) = mpsc::unbounded_channel();
+        let entries = entries.into_iter().map(|entry| (entry.name.clone(), entry)).collect();
+        let discovery = Discovery { seq: 1, entries, ..Discovery::default() };
         let shared = Shared {
-            list: Mutex::new(list),
-            mood: watch::Sender::new(PlatformBehavior::default()),
-            changed: watch::Sender::new(1),
+            discovery: Mutex::new(discovery),
+            behavior: watch::Sender::new(PlatformBehavior::default()),
+            latest_seq: watch::Sender::new(1),
             recorder,
-            said: broadcast::Sender::new(LINES_MOST),
-            watches: watch::Sender::new(0),
-            heard,
+            pushed_lines: broadcast::Sender::new(MAX_PUSHED_LINES),
+            open_watches: watch::Sender::new(0),
+            accepted_notices,
         };
-        (Platform { shared: Arc::new(shared), agents: Mutex::default() }, hearing)
+        (Platform { shared: Arc::new(shared), agents: Mutex::default() }, receiver)
     }
 
-    /// Starts a dispatcher's agent at an address (port 0: any), or moves it there: the old address takes no new
-    /// connection, and closes what is open after 1.5 s.
+    /// Starts a dispatcher's agent at an address (port 0: any), or moves it there: the old address accepts no new
+    /// connections, and closes the open ones after 1.5 s.
     ///
     /// # Errors
-    /// Those of listening.
-    pub async fn start_agent(&self, dispatcher: usize, at: SocketAddr) -> io::Result<SocketAddr> {
-        let listener = TcpListener::bind(at).await?;
-        let at = listener.local_addr()?;
-        let (closing, closed) = watch::channel(false);
+    /// The address can't be listened at.
+    pub async fn start_agent(&self, dispatcher: usize, address: SocketAddr) -> io::Result<SocketAddr> {
+        let listener = TcpListener::bind(address).await?;
+        let address = listener.local_addr()?;
+        let (close_sender, close_receiver) = watch::channel(false);
         let shared = self.shared.clone();
         let task = tokio::spawn(async move {
             loop {
@@ -177,190 +179,198 @@
                     sleep(Duration::from_millis(5)).await;
                     continue;
                 };
-                let (shared, mut closed) = (shared.clone(), closed.clone());
+                let (shared, mut close_receiver) = (shared.clone(), close_receiver.clone());
                 tokio::spawn(async move {
                     tokio::select! {
-                        // Its end is the other side's, or in the record.
-                        _ = serve(&shared, dispatcher, stream) => {}
-                        _ = closed.wait_for(|closed| *closed) => {}
+                        // Errors need no handling here: the other side notices them, or the record shows them.
+                        _ = serve_connection(&shared, dispatcher, stream) => {}
+                        _ = close_receiver.wait_for(|is_closed| *is_closed) => {}
                     }
                 });
             }
         });
         let mut agents = self.agents.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, old, closing)) = agents.insert(dispatcher, (at, task, closing)) {
-            old.abort();
+        if let Some((_, old_task, close_sender)) = agents.insert(dispatcher, (address, task, close_sender)) {
+            old_task.abort();
             tokio::spawn(async move {
-                sleep(MOVED).await;
-                closing.send_replace(true);
+                sleep(OLD_ADDRESS_LINGER).await;
+                close_sender.send_replace(true);
             });
         }
-        Ok(at)
+        Ok(address)
     }
 
-    /// Where a dispatcher's agent is.
+    /// The address of a dispatcher's agent.
     pub fn agent_address(&self, dispatcher: usize) -> Option<SocketAddr> {
         let agents = self.agents.lock().unwrap_or_else(PoisonError::into_inner);
-        agents.get(&dispatcher).map(|(at, ..)| *at)
+        agents.get(&dispatcher).map(|(address, ..)| *address)
     }
 
-    /// Changes the mood.
+    /// Changes the behavior.
     pub fn set_behavior(&self, change: impl FnOnce(&mut PlatformBehavior)) {
-        let was = self.shared.mood.borrow().silent;
-        self.shared.mood.send_modify(change);
-        let now = self.shared.mood.borrow().silent;
-        if was != now {
-            self.shared.recorder.add(Event::PlatformSilent { silent: now });
+        let was_silent = self.shared.behavior.borrow().silent;
+        self.shared.behavior.send_modify(change);
+        let is_silent = self.shared.behavior.borrow().silent;
+        if was_silent != is_silent {
+            self.shared.recorder.add(Event::PlatformSilent { silent: is_silent });
         }
     }
 
-    /// Changes an endpoint's entry, or adds it.
-    pub fn update_entry(&self, host: EndpointEntry) {
-        let mut list = self.shared.list();
-        list.seq += 1;
-        let seq = list.seq;
-        self.shared.recorder.add(Event::EndpointChanged { endpoint: host.name.clone(), state: host.state });
-        match host.state {
-            EndpointState::Removed => drop(list.hosts.remove(&host.name)),
-            _ => drop(list.hosts.insert(host.name.clone(), host.clone())),
+    /// Changes an endpoint's entry in the list, or adds it.
+    pub fn update_entry(&self, entry: EndpointEntry) {
+        let mut discovery = self.shared.discovery();
+        discovery.seq += 1;
+        let seq = discovery.seq;
+        self.shared.recorder.add(Event::EndpointChanged { endpoint: entry.name.clone(), state: entry.state });
+        match entry.state {
+            EndpointState::Removed => drop(discovery.entries.remove(&entry.name)),
+            _ => drop(discovery.entries.insert(entry.name.clone(), entry.clone())),
         }
-        list.changes.push(Change { seq, at: Instant::now(), host });
-        drop(list);
-        self.shared.changed.send_replace(seq);
+        discovery.changes.push(Change { seq, at: Instant::now(), entry });
+        drop(discovery);
+        self.shared.latest_seq.send_replace(seq);
     }
 
-    /// Writes a line, whatever it is, to each watch that is open, as version `seq` of the list; waits until there
-    /// is a watch.
+    /// Writes a line unchanged to each open watch, as version `seq` of the list. Waits until there is a watch.
     pub async fn push_line(&self, seq: Option<u64>, line: &str) {
-        // The sender lives as long as this does.
-        let _ = self.shared.watches.subscribe().wait_for(|watches| *watches > 0).await;
+        // Can't fail: the sender lives as long as `self`.
+        let _ = self.shared.open_watches.subscribe().wait_for(|open| *open > 0).await;
         if let Some(seq) = seq {
-            let mut list = self.shared.list();
-            list.seq = list.seq.max(seq);
+            let mut discovery = self.shared.discovery();
+            discovery.seq = discovery.seq.max(seq);
         }
-        // Each watch reads it by itself; one that ends just now does not.
-        let _ = self.shared.said.send(line.into());
+        // Fails only where the last watch ends at this moment.
+        let _ = self.shared.pushed_lines.send(line.into());
     }
 
     /// An endpoint's entry.
     pub fn entry(&self, name: &str) -> Option<EndpointEntry> {
-        self.shared.list().hosts.get(name).cloned()
+        self.shared.discovery().entries.get(name).cloned()
     }
 
-    /// The list as a dispatcher has it: as it stood when it was asked for first, with what it was told since.
+    /// The list as a dispatcher has it: its state at the first request, with the changes delivered since.
     pub fn known_list(&self, dispatcher: usize) -> Value {
-        let mut list = self.shared.list();
-        let List { known, hosts, seq, .. } = &mut *list;
-        let (seq, hosts) = known.entry(dispatcher).or_insert_with(|| (*seq, hosts.clone()));
-        let hosts: Vec<_> = hosts.values().map(|host| host.line(dispatcher)).collect();
-        json!({"seq": seq, "whole": true, "hosts": hosts})
+        let mut discovery = self.shared.discovery();
+        let Discovery { known, entries, seq, .. } = &mut *discovery;
+        let (seq, entries) = known.entry(dispatcher).or_insert_with(|| (*seq, entries.clone()));
+        let entries: Vec<_> = entries.values().map(|entry| entry.to_json(dispatcher)).collect();
+        json!({"seq": seq, "whole": true, "hosts": entries})
     }
 
-    /// The notices so far, and from whom.
+    /// The notices so far, each with its dispatcher.
     pub fn notices(&self) -> Vec<(usize, Notice)> {
-        self.shared.list().notices.clone()
+        self.shared.discovery().notices.clone()
     }
 
-    /// The first lines of the requests for watches.
+    /// The request lines of the watches, each with its dispatcher.
     pub fn watch_requests(&self) -> Vec<(usize, String)> {
-        self.shared.list().watched.clone()
+        self.shared.discovery().watch_requests.clone()
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
         let agents = std::mem::take(&mut *self.agents.lock().unwrap_or_else(PoisonError::into_inner));
-        for (_, task, closing) in agents.into_values() {
+        for (_, task, close_sender) in agents.into_values() {
             task.abort();
-            closing.send_replace(true);
+            close_sender.send_replace(true);
         }
     }
 }
 
-async fn serve(shared: &Shared, dispatcher: usize, stream: TcpStream) -> io::Result<()> {
-    let mut wire = HttpConnection::new(stream);
-    while let Some(request) = wire.read_request().await? {
+async fn serve_connection(shared: &Shared, dispatcher: usize, stream: TcpStream) -> io::Result<()> {
+    let mut connection = HttpConnection::new(stream);
+    while let Some(request) = connection.read_request().await? {
         match request.target() {
-            ("POST", "/status") => notices(shared, dispatcher, &mut wire, &request).await?,
+            ("POST", "/status") => receive_notices(shared, dispatcher, &mut connection, &request).await?,
             ("GET", path) if path.starts_with("/registry/instances") => {
                 if path.contains("stream=1") {
-                    shared.list().watched.push((dispatcher, request.start_line.clone()));
+                    shared.discovery().watch_requests.push((dispatcher, request.start_line.clone()));
                 }
-                if shared.mood.borrow().silent {
-                    let mut mood = shared.mood.subscribe();
-                    let _ = mood.wait_for(|mood| !mood.silent).await;
-                    // Nobody waits that long.
+                if shared.behavior.borrow().silent {
+                    let mut behavior = shared.behavior.subscribe();
+                    let _ = behavior.wait_for(|behavior| !behavior.silent).await;
+                    // No dispatcher still waits for this response.
                     return Ok(());
                 }
                 if path.contains("stream=1") {
-                    return follow(shared, dispatcher, &mut wire, path).await;
+                    return serve_watch(shared, dispatcher, &mut connection, path).await;
                 }
-                let (body, hosts, seq) = {
-                    let list = shared.list();
-                    (whole(&list, dispatcher).to_string(), list.hosts.values().cloned().collect(), list.seq)
+                let (body, entries, seq) = {
+                    let discovery = shared.discovery();
+                    (
+                        full_list(&discovery, dispatcher).to_string(),
+                        discovery.entries.values().cloned().collect(),
+                        discovery.seq,
+                    )
                 };
-                wire.write(&http::response_bytes(200, "", body.as_bytes())).await?;
-                told(shared, dispatcher, hosts, seq, true);
+                connection.write(&http::response_bytes(200, "", body.as_bytes())).await?;
+                record_delivery(shared, dispatcher, entries, seq, true);
             }
-            _ => wire.write(&http::response_bytes(404, "", b"")).await?,
+            _ => connection.write(&http::response_bytes(404, "", b"")).await?,
         }
     }
     Ok(())
 }
 
-fn whole(list: &List, dispatcher: usize) -> Value {
-    let hosts: Vec<_> = list.hosts.values().map(|host| host.line(dispatcher)).collect();
-    json!({"seq": list.seq, "whole": true, "hosts": hosts})
+fn full_list(discovery: &Discovery, dispatcher: usize) -> Value {
+    let entries: Vec<_> = discovery.entries.values().map(|entry| entry.to_json(dispatcher)).collect();
+    json!({"seq": discovery.seq, "whole": true, "hosts": entries})
 }
 
-/// Keeps what a dispatcher has been told in full; what a whole list does not name is gone.
-fn told(shared: &Shared, dispatcher: usize, hosts: Vec<EndpointEntry>, seq: u64, all: bool) {
-    let mut list = shared.list();
-    let List { known, hosts: present, .. } = &mut *list;
-    let known = known.entry(dispatcher).or_insert_with(|| (seq, present.clone()));
+/// Records the entries that have been written to a dispatcher in full. Endpoints that a complete list doesn't name count
+/// as removed.
+fn record_delivery(
+    shared: &Shared, dispatcher: usize, entries: Vec<EndpointEntry>, seq: u64, is_complete: bool,
+) {
+    let mut discovery = shared.discovery();
+    let Discovery { known, entries: current_entries, .. } = &mut *discovery;
+    let known = known.entry(dispatcher).or_insert_with(|| (seq, current_entries.clone()));
     known.0 = seq;
-    let old = if all { std::mem::take(&mut known.1) } else { BTreeMap::new() };
-    let gone = old.into_values().filter(|old| !hosts.iter().any(|host| host.name == old.name));
-    let gone: Vec<EndpointEntry> =
-        gone.map(|old| EndpointEntry { state: EndpointState::Removed, ..old }).collect();
-    for host in gone.into_iter().chain(hosts) {
+    let old = if is_complete { std::mem::take(&mut known.1) } else { BTreeMap::new() };
+    let removed = old.into_values().filter(|old| !entries.iter().any(|entry| entry.name == old.name));
+    let removed: Vec<EndpointEntry> =
+        removed.map(|old| EndpointEntry { state: EndpointState::Removed, ..old }).collect();
+    for entry in removed.into_iter().chain(entries) {
         shared.recorder.add(Event::ChangeDelivered {
             dispatcher,
-            endpoint: host.name.clone(),
-            state: host.state,
+            endpoint: entry.name.clone(),
+            state: entry.state,
         });
-        match host.state {
-            EndpointState::Removed => drop(known.1.remove(&host.name)),
-            _ => drop(known.1.insert(host.name.clone(), host)),
+        match entry.state {
+            EndpointState::Removed => drop(known.1.remove(&entry.name)),
+            _ => drop(known.1.insert(entry.name.clone(), entry)),
         }
     }
 }
 
-async fn notices(
-    shared: &Shared, dispatcher: usize, wire: &mut HttpConnection, request: &HttpMessage,
+async fn receive_notices(
+    shared: &Shared, dispatcher: usize, connection: &mut HttpConnection, request: &HttpMessage,
 ) -> io::Result<()> {
-    if shared.mood.borrow().unanswered_notices > 0 {
-        shared.mood.send_modify(|mood| mood.unanswered_notices = mood.unanswered_notices.saturating_sub(1));
+    if shared.behavior.borrow().unanswered_notices > 0 {
+        shared.behavior.send_modify(|behavior| {
+            behavior.unanswered_notices = behavior.unanswered_notices.saturating_sub(1)
+        });
         return Ok(());
     }
     let text = request.text();
-    let read: Result<Vec<Notice>, _> =
+    let parsed: Result<Vec<Notice>, _> =
         text.lines().filter(|line| !line.trim().is_empty()).map(serde_json::from_str).collect();
-    let status = match &read {
-        Ok(notices) if !notices.is_empty() => shared.mood.borrow().notice_status,
+    let status = match &parsed {
+        Ok(notices) if !notices.is_empty() => shared.behavior.borrow().notice_status,
         _ => 400,
     };
-    // On record before the answer: a dispatcher that dies meanwhile has told it all the same.
-    for notice in read.into_iter().flatten() {
+    // Recorded before the response: the notice counts even if the dispatcher dies in the meantime.
+    for notice in parsed.into_iter().flatten() {
         let Notice { message: id, outcome, retry_in_ms: retry_ms } = notice.clone();
         shared.recorder.add(Event::Notice { dispatcher, id, outcome, retry_ms, status });
-        shared.list().notices.push((dispatcher, notice.clone()));
+        shared.discovery().notices.push((dispatcher, notice.clone()));
         if status == 204 {
-            // Where nobody listens nobody wants to know.
-            let _ = shared.heard.send(notice);
+            // Fails only where the receiver was dropped, as it is when there are no clients.
+            let _ = shared.accepted_notices.send(notice);
         }
     }
-    wire.write(&http::response_bytes(status, "", b"")).await
+    connection.write(&http::response_bytes(status, "", b"")).await
 }
 
 /// Counts a watch for as long as it is open.
@@ -379,72 +389,79 @@
     }
 }
 
-/// A watch: what changed after the version that it asks for, then each change.
-async fn follow(shared: &Shared, dispatcher: usize, wire: &mut HttpConnection, path: &str) -> io::Result<()> {
+/// Serves a watch: the changes after the version that it asks for, then each later change.
+async fn serve_watch(
+    shared: &Shared, dispatcher: usize, connection: &mut HttpConnection, path: &str,
+) -> io::Result<()> {
     let index = path.split(['?', '&']).find_map(|pair| pair.strip_prefix("index=")).unwrap_or("0");
-    let mut seen: u64 = index.parse().unwrap_or(0);
-    let (mut changed, mut mood, mut said) =
-        (shared.changed.subscribe(), shared.mood.subscribe(), shared.said.subscribe());
-    let _open = OpenWatch::new(&shared.watches);
-    wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    let mut first = true;
+    let mut written_seq: u64 = index.parse().unwrap_or(0);
+    let (mut latest_seq, mut behavior, mut pushed_lines) =
+        (shared.latest_seq.subscribe(), shared.behavior.subscribe(), shared.pushed_lines.subscribe());
+    let _open_watch = OpenWatch::new(&shared.open_watches);
+    connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    let mut is_first = true;
     loop {
-        let _ = changed.borrow_and_update();
-        let late = mood.borrow_and_update().update_delay;
-        let (line, hosts, seq, due) = {
-            let list = shared.list();
+        let _ = latest_seq.borrow_and_update();
+        let update_delay = behavior.borrow_and_update().update_delay;
+        let (update, entries, seq, next_due) = {
+            let discovery = shared.discovery();
             let now = Instant::now();
-            let after = || list.changes.iter().filter(|change| change.seq > seen);
-            if first && (seen > list.seq || seen == 0) {
-                let hosts: Vec<EndpointEntry> = list.hosts.values().cloned().collect();
-                (Some((whole(&list, dispatcher), true)), hosts, list.seq, None)
+            let pending_changes = || discovery.changes.iter().filter(|change| change.seq > written_seq);
+            if is_first && (written_seq > discovery.seq || written_seq == 0) {
+                let entries: Vec<EndpointEntry> = discovery.entries.values().cloned().collect();
+                (Some((full_list(&discovery, dispatcher), true)), entries, discovery.seq, None)
             } else {
-                let ripe: Vec<_> = after().take_while(|change| change.at + late <= now).collect();
-                let due = after().nth(ripe.len()).map(|change| change.at + late);
-                match ripe.last() {
+                let due_changes: Vec<_> =
+                    pending_changes().take_while(|change| change.at + update_delay <= now).collect();
+                let next_due =
+                    pending_changes().nth(due_changes.len()).map(|change| change.at + update_delay);
+                match due_changes.last() {
                     Some(last) => {
-                        let lines: Vec<_> = ripe.iter().map(|change| change.host.line(dispatcher)).collect();
-                        let line = json!({"seq": last.seq, "whole": false, "hosts": lines});
-                        let hosts = ripe.iter().map(|change| change.host.clone()).collect();
-                        (Some((line, false)), hosts, last.seq, due)
+                        let changed_entries: Vec<_> =
+                            due_changes.iter().map(|change| change.entry.to_json(dispatcher)).collect();
+                        let update = json!({"seq": last.seq, "whole": false, "hosts": changed_entries});
+                        let entries = due_changes.iter().map(|change| change.entry.clone()).collect();
+                        (Some((update, false)), entries, last.seq, next_due)
                     }
-                    None => (None, Vec::new(), seen, due),
+                    None => (None, Vec::new(), written_seq, next_due),
                 }
             }
         };
-        let silent = mood.borrow().silent;
-        if let Some((line, all)) = line.filter(|_| !silent) {
-            let text = format!("{line}\n");
+        let silent = behavior.borrow().silent;
+        if let Some((update, is_complete)) = update.filter(|_| !silent) {
+            let text = format!("{update}\n");
             let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-            if mood.borrow().truncate_updates {
-                // Half a line, and the end.
-                wire.write(&chunk.as_bytes()[..chunk.len() / 2]).await?;
+            if behavior.borrow().truncate_updates {
+                // Half of the chunk, and the connection is closed.
+                connection.write(&chunk.as_bytes()[..chunk.len() / 2]).await?;
                 return Ok(());
             }
-            wire.write(chunk.as_bytes()).await?;
-            seen = seq;
-            told(shared, dispatcher, hosts, seq, all);
-            first = false;
+            connection.write(chunk.as_bytes()).await?;
+            written_seq = seq;
+            record_delivery(shared, dispatcher, entries, seq, is_complete);
+            is_first = false;
             continue;
         }
-        first &= silent;
-        let due = due.unwrap_or_else(|| Instant::now() + HEARTBEAT).min(Instant::now() + HEARTBEAT);
+        is_first &= silent;
+        let next_due = next_due
+            .unwrap_or_else(|| Instant::now() + HEARTBEAT_INTERVAL)
+            .min(Instant::now() + HEARTBEAT_INTERVAL);
         tokio::select! {
-            _ = changed.changed() => {}
-            _ = mood.changed() => {}
-            () = sleep_until(due) => {
-                let quiet = mood.borrow().silent || !mood.borrow().heartbeats;
-                if !quiet {
-                    timeout(HEARTBEAT, wire.write(b"1\r\n\n\r\n")).await??;
+            _ = latest_seq.changed() => {}
+            _ = behavior.changed() => {}
+            () = sleep_until(next_due) => {
+                let suppressed = behavior.borrow().silent || !behavior.borrow().heartbeats;
+                if !suppressed {
+                    timeout(HEARTBEAT_INTERVAL, connection.write(b"1\r\n\n\r\n")).await??;
                 }
             }
-            line = said.recv() => {
-                if let Ok(line) = line {
-                    wire.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
-                    seen = seen.max(shared.list().seq);
+            update = pushed_lines.recv() => {
+                if let Ok(update) = update {
+                    connection.write(format!("{:x}\r\n{update}\n\r\n", update.len() + 1).as_bytes()).await?;
+                    written_seq = written_seq.max(shared.discovery().seq);
                 }
             }
-            () = wire.wait_closed() => return Ok(()),
+            () = connection.wait_closed() => return Ok(()),
         }
     }
 }
--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins themselves: what they say they do is what a peer meets.
+//! Tests of the stand-ins: their observable behaviour matches what they record.
 
 use fawnspoke_lab::endpoint::{ConnectionLimits, Endpoint, EndpointResponse, Reply, SocketState};
 use fawnspoke_lab::http::HttpConnection;
@@ -14,29 +14,36 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Far longer than anything takes that is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of all waits, far above the time that any of them should take.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
-    let waited = async {
-        while !holds() {
+async fn eventually(description: &str, condition: impl Fn() -> bool) {
+    let wait = async {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    timeout(PATIENCE, waited).await.unwrap_or_else(|_| panic!("never came: {what}"));
+    timeout(WAIT_TIMEOUT, wait).await.unwrap_or_else(|_| panic!("timed out waiting for: {description}"));
 }
 
-async fn start(script: impl fawnspoke_lab::endpoint::CallHandler) -> (Endpoint, Recorder) {
+async fn start(handler: impl fawnspoke_lab::endpoint::CallHandler) -> (Endpoint, Recorder) {
     let recorder = Recorder::new(10_000);
-    let numbers = Arc::new(AtomicU64::new(0));
-    let endpoint =
-        Endpoint::start("e", 7, &[any()], ConnectionLimits::default(), script, recorder.clone(), numbers)
-            .await
-            .unwrap();
+    let call_numbers = Arc::new(AtomicU64::new(0));
+    let endpoint = Endpoint::start(
+        "e",
+        7,
+        &[any_port()],
+        ConnectionLimits::default(),
+        handler,
+        recorder.clone(),
+        call_numbers,
+    )
+    .await
+    .unwrap();
     (endpoint, recorder)
 }
 
@@ -46,41 +53,51 @@
 }
 
 async fn connect(at: SocketAddr) -> HttpConnection {
-    HttpConnection::connect(at, PATIENCE).await.unwrap()
+    HttpConnection::connect(at, WAIT_TIMEOUT).await.unwrap()
 }
 
-async fn ask(wire: &mut HttpConnection, id: &str) -> io::Result<u16> {
-    wire.write(&call(id)).await?;
-    timeout(PATIENCE, wire.read_response()).await?.map(|answer| answer.status())
+async fn send_call(connection: &mut HttpConnection, id: &str) -> io::Result<u16> {
+    connection.write(&call(id)).await?;
+    timeout(WAIT_TIMEOUT, connection.read_response()).await?.map(|answer| answer.status())
 }
 
-fn ends(recorder: &Recorder) -> Vec<CallEnd> {
+fn call_ends(recorder: &Recorder) -> Vec<CallEnd> {
     let end = |entry: &Entry| if let Event::CallEnded { end, .. } = entry.event { Some(end) } else { None };
     recorder.entries().iter().filter_map(end).collect()
 }
 
-fn partner(text: &str, keyed: &[&str]) -> (Arc<Partner>, Recorder) {
-    partner_that_remembers(text, keyed, 3_600_000_000)
+fn partner(settings: &str, keyed_ids: &[&str]) -> (Arc<Partner>, Recorder) {
+    partner_with_key_window(settings, keyed_ids, 3_600_000_000)
 }
 
-fn partner_that_remembers(text: &str, keyed: &[&str], window: Micros) -> (Arc<Partner>, Recorder) {
+fn partner_with_key_window(
+    settings: &str, keyed_ids: &[&str], key_window: Micros,
+) -> (Arc<Partner>, Recorder) {
     let text = format!(
         "length_s = 1.0\n[dispatchers]\ncount = 1\n[clients]\nrate = 1.0\n[[class]]\nname = \"c\"\neffect = \"safe\"\n\
-         share = 1.0\naim_s = 1.0\ndeadline_s = 1.0\n[[partner]]\nname = \"p\"\nshare = 1.0\nendpoints = 1\n{text}"
+         share = 1.0\naim_s = 1.0\ndeadline_s = 1.0\n[[partner]]\nname = \"p\"\nshare = 1.0\nendpoints = 1\n{settings}"
     );
     let spec: scenario::Partner = Scenario::parse("p", &text).unwrap().partners.remove(0);
-    let (ledger, recorder) = (Arc::new(MessageRegistry::default()), Recorder::new(100_000));
-    for id in keyed {
-        ledger.register(id, 7, Micros::MAX, Effect::Keyed, window);
+    let (registry, recorder) = (Arc::new(MessageRegistry::default()), Recorder::new(100_000));
+    for id in keyed_ids {
+        registry.register(id, 7, Micros::MAX, Effect::Keyed, key_window);
     }
-    (Arc::new(Partner::new(spec, Returning::default(), 7, 3, 1, ledger, recorder.clone())), recorder)
+    (Arc::new(Partner::new(spec, Returning::default(), 7, 3, 1, registry, recorder.clone())), recorder)
 }
 
-async fn open(partner: &Arc<Partner>, recorder: &Recorder) -> Endpoint {
-    let door = PartnerEndpoint(partner.clone(), 0);
-    Endpoint::start("e", 7, &[any()], ConnectionLimits::default(), door, recorder.clone(), Arc::default())
-        .await
-        .unwrap()
+async fn start_endpoint(partner: &Arc<Partner>, recorder: &Recorder) -> Endpoint {
+    let handler = PartnerEndpoint(partner.clone(), 0);
+    Endpoint::start(
+        "e",
+        7,
+        &[any_port()],
+        ConnectionLimits::default(),
+        handler,
+        recorder.clone(),
+        Arc::default(),
+    )
+    .await
+    .unwrap()
 }
 
 #[tokio::test]
@@ -97,12 +114,12 @@
     }
     static RAN: AtomicU64 = AtomicU64::new(0);
     let (endpoint, recorder) = start(Slow).await;
-    let mut wire = connect(endpoint.address(0).unwrap()).await;
-    wire.write(&call("m")).await.unwrap();
-    until("the call", || recorder.with_entries(|entries| !entries.is_empty())).await;
-    drop(wire);
-    until("its end", || ends(&recorder) == [CallEnd::Closed]).await;
-    until("its work", || RAN.load(std::sync::atomic::Ordering::SeqCst) == 1).await;
+    let mut connection = connect(endpoint.address(0).unwrap()).await;
+    connection.write(&call("m")).await.unwrap();
+    eventually("the call", || recorder.with_entries(|entries| !entries.is_empty())).await;
+    drop(connection);
+    eventually("its end", || call_ends(&recorder) == [CallEnd::Closed]).await;
+    eventually("its work", || RAN.load(std::sync::atomic::Ordering::SeqCst) == 1).await;
 }
 
 #[tokio::test]
@@ -112,9 +129,9 @@
     })
     .await;
     for (id, end) in [("line", CallEnd::Truncated(200)), ("half", CallEnd::Broken)] {
-        let mut wire = connect(endpoint.address(0).unwrap()).await;
-        ask(&mut wire, id).await.unwrap_err();
-        until("the end", || ends(&recorder).last() == Some(&end)).await;
+        let mut connection = connect(endpoint.address(0).unwrap()).await;
+        send_call(&mut connection, id).await.unwrap_err();
+        eventually("the end", || call_ends(&recorder).last() == Some(&end)).await;
     }
 }
 
@@ -123,17 +140,17 @@
     let (endpoint, recorder) = start(|_: &fawnspoke_lab::endpoint::Call| Reply::status(200)).await;
     let at = endpoint.address(0).unwrap();
     let mut open = connect(at).await;
-    assert_eq!(ask(&mut open, "a").await.unwrap(), 200);
+    assert_eq!(send_call(&mut open, "a").await.unwrap(), 200);
     endpoint.set_socket_state(SocketState::Silent).await.unwrap();
     let mut late = connect(at).await;
     late.write(&call("b")).await.unwrap();
     open.write(&call("c")).await.unwrap();
     assert!(timeout(Duration::from_millis(200), open.read_response()).await.is_err(), "silent");
     endpoint.set_socket_state(SocketState::Open).await.unwrap();
-    assert!(timeout(PATIENCE, open.read_response()).await.unwrap().is_err());
-    assert!(timeout(PATIENCE, late.read_response()).await.unwrap().is_err());
+    assert!(timeout(WAIT_TIMEOUT, open.read_response()).await.unwrap().is_err());
+    assert!(timeout(WAIT_TIMEOUT, late.read_response()).await.unwrap().is_err());
     let mut fresh = connect(at).await;
-    assert_eq!(ask(&mut fresh, "d").await.unwrap(), 200);
+    assert_eq!(send_call(&mut fresh, "d").await.unwrap(), 200);
     let calls = recorder.entries().iter().filter(|entry| matches!(entry.event, Event::Call { .. })).count();
     assert_eq!(calls, 2, "what came while it was gone never came");
 }
@@ -143,14 +160,14 @@
     let (endpoint, _) = start(|_: &fawnspoke_lab::endpoint::Call| Reply::status(200)).await;
     let at = endpoint.address(0).unwrap();
     let mut open = connect(at).await;
-    assert_eq!(ask(&mut open, "a").await.unwrap(), 200);
+    assert_eq!(send_call(&mut open, "a").await.unwrap(), 200);
     endpoint.set_socket_state(SocketState::Refusing).await.unwrap();
-    assert!(timeout(PATIENCE, open.read_response()).await.unwrap().is_err());
+    assert!(timeout(WAIT_TIMEOUT, open.read_response()).await.unwrap().is_err());
     // The listener ends with its task, a moment later.
-    let refused = async { while HttpConnection::connect(at, PATIENCE).await.is_ok() {} };
-    timeout(PATIENCE, refused).await.unwrap();
+    let refused = async { while HttpConnection::connect(at, WAIT_TIMEOUT).await.is_ok() {} };
+    timeout(WAIT_TIMEOUT, refused).await.unwrap();
     endpoint.set_socket_state(SocketState::Open).await.unwrap();
-    assert_eq!(ask(&mut connect(at).await, "b").await.unwrap(), 200);
+    assert_eq!(send_call(&mut connect(at).await, "b").await.unwrap(), 200);
 }
 
 #[tokio::test]
@@ -158,28 +175,33 @@
     let traits = ConnectionLimits { max_connections: 1, idle_timeout: None };
     let script = |_: &fawnspoke_lab::endpoint::Call| Reply::status(200);
     let recorder = Recorder::new(100);
-    let endpoint = Endpoint::start("e", 7, &[any()], traits, script, recorder, Arc::default()).await.unwrap();
+    let endpoint =
+        Endpoint::start("e", 7, &[any_port()], traits, script, recorder, Arc::default()).await.unwrap();
     let at = endpoint.address(0).unwrap();
     let (mut one, mut two) = (connect(at).await, connect(at).await);
-    assert_eq!(ask(&mut one, "a").await.unwrap(), 200);
-    until("both", || endpoint.counters().accepted_connections.load(std::sync::atomic::Ordering::SeqCst) == 2)
-        .await;
-    assert_eq!(ask(&mut two, "b").await.unwrap(), 503);
+    assert_eq!(send_call(&mut one, "a").await.unwrap(), 200);
+    eventually("both", || {
+        endpoint.counters().accepted_connections.load(std::sync::atomic::Ordering::SeqCst) == 2
+    })
+    .await;
+    assert_eq!(send_call(&mut two, "b").await.unwrap(), 503);
     drop(one);
-    until("one", || endpoint.counters().closed_connections.load(std::sync::atomic::Ordering::SeqCst) == 1)
-        .await;
-    assert_eq!(ask(&mut two, "c").await.unwrap(), 200);
+    eventually("one", || {
+        endpoint.counters().closed_connections.load(std::sync::atomic::Ordering::SeqCst) == 1
+    })
+    .await;
+    assert_eq!(send_call(&mut two, "c").await.unwrap(), 200);
 }
 
 #[tokio::test]
 async fn a_partner_remembers_keys_and_knows_its_messages() {
     let (partner, recorder) = partner("capacity = 1000.0\nservice_ms = [1.0, 1.0]\n", &["m"]);
-    let endpoint = open(&partner, &recorder).await;
-    let mut wire = connect(endpoint.address(0).unwrap()).await;
+    let endpoint = start_endpoint(&partner, &recorder).await;
+    let mut connection = connect(endpoint.address(0).unwrap()).await;
     for status in [200, 200, 200, 504] {
-        assert_eq!(ask(&mut wire, "m").await.unwrap(), status);
+        assert_eq!(send_call(&mut connection, "m").await.unwrap(), status);
     }
-    assert_eq!(ask(&mut wire, "nobody's").await.unwrap(), 400);
+    assert_eq!(send_call(&mut connection, "nobody's").await.unwrap(), 400);
     let effect = |entry: &Entry| {
         if let Event::MessageProcessed { took_effect, .. } = entry.event { Some(took_effect) } else { None }
     };
@@ -191,11 +213,11 @@
 #[tokio::test]
 async fn a_partner_that_is_slow_forgets_no_key_meanwhile() {
     let text = "capacity = 1000.0\nservice_ms = [1500.0, 1500.0]\n";
-    let (partner, recorder) = partner_that_remembers(text, &["m"], 1_000_000);
-    let endpoint = open(&partner, &recorder).await;
-    let mut wire = connect(endpoint.address(0).unwrap()).await;
+    let (partner, recorder) = partner_with_key_window(text, &["m"], 1_000_000);
+    let endpoint = start_endpoint(&partner, &recorder).await;
+    let mut connection = connect(endpoint.address(0).unwrap()).await;
     for _ in 0..2 {
-        assert_eq!(ask(&mut wire, "m").await.unwrap(), 200);
+        assert_eq!(send_call(&mut connection, "m").await.unwrap(), 200);
     }
     let effect = |entry: &Entry| {
         if let Event::MessageProcessed { took_effect, .. } = entry.event { Some(took_effect) } else { None }
@@ -208,13 +230,13 @@
 async fn a_partner_tells_waits_above_its_limit() {
     let limit = "limit = \"window\"\nlimit_per_s = 2.0\nwindow_s = 3600.0\ntells_wait = true\n";
     let (partner, recorder) = partner(&format!("capacity = 1e9\nservice_ms = [1.0, 1.0]\n{limit}"), &[]);
-    let endpoint = open(&partner, &recorder).await;
-    let mut wire = connect(endpoint.address(0).unwrap()).await;
+    let endpoint = start_endpoint(&partner, &recorder).await;
+    let mut connection = connect(endpoint.address(0).unwrap()).await;
     let mut refused = None;
     // Each call counts, also those that it can't use.
     for _ in 0..7201 {
-        wire.write(&call("x")).await.unwrap();
-        let answer = wire.read_response().await.unwrap();
+        connection.write(&call("x")).await.unwrap();
+        let answer = connection.read_response().await.unwrap();
         if answer.status() == 429 {
             refused = answer.header("retry-after").map(|wait| wait.parse::<f64>().unwrap());
             break;
@@ -231,23 +253,23 @@
 #[tokio::test]
 async fn answers_that_bring_more_are_good_and_requests_that_are_reset_never_ran() {
     let (partner, recorder) = partner("capacity = 1e6\nservice_ms = [1.0, 1.0]\nextras = 1.0\n", &["m"]);
-    let endpoint = open(&partner, &recorder).await;
+    let endpoint = start_endpoint(&partner, &recorder).await;
     // Three tries a message; each answer is drawn by chance among four.
     for _ in 0..3 {
-        let mut wire = connect(endpoint.address(0).unwrap()).await;
-        wire.write(&call("m")).await.unwrap();
-        let piece = timeout(PATIENCE, wire.read_available()).await.unwrap().unwrap();
+        let mut connection = connect(endpoint.address(0).unwrap()).await;
+        connection.write(&call("m")).await.unwrap();
+        let piece = timeout(WAIT_TIMEOUT, connection.read_available()).await.unwrap().unwrap();
         let text = String::from_utf8_lossy(&piece).into_owned();
         let copies = text.matches("HTTP/1.1 200 OK\r\n").count();
         let more = text.starts_with("HTTP/1.1 103") || text.ends_with("noise") || text.contains("{x1:");
         assert!(copies == 2 || (copies == 1 && more), "{text}");
     }
-    until("their ends", || ends(&recorder) == [CallEnd::Answered(200); 3]).await;
+    eventually("their ends", || call_ends(&recorder) == [CallEnd::Answered(200); 3]).await;
 
     let (partner, recorder) =
         self::partner("capacity = 1e6\nservice_ms = [1.0, 1.0]\nrequest_resets = 1.0\n", &["m"]);
-    let endpoint = open(&partner, &recorder).await;
-    ask(&mut connect(endpoint.address(0).unwrap()).await, "m").await.unwrap_err();
+    let endpoint = start_endpoint(&partner, &recorder).await;
+    send_call(&mut connect(endpoint.address(0).unwrap()).await, "m").await.unwrap_err();
     assert!(recorder.entries().is_empty(), "it never ran");
 }
 
@@ -256,15 +278,15 @@
     let text = "capacity = 10.0\nservice_ms = [1.0, 1.0]\nqueue_ms = 0.0\n";
     for (push, falls) in [(3, false), (200, true)] {
         let (partner, recorder) = partner(text, &[]);
-        let endpoint = open(&partner, &recorder).await;
-        let mut wire = connect(endpoint.address(0).unwrap()).await;
+        let endpoint = start_endpoint(&partner, &recorder).await;
+        let mut connection = connect(endpoint.address(0).unwrap()).await;
         partner.set_fault(PartnerFault::RejectAll);
-        assert_eq!(ask(&mut wire, "x").await.unwrap(), 503);
+        assert_eq!(send_call(&mut connection, "x").await.unwrap(), 503);
         partner.recover();
         // All are on their way before the first answer is awaited: it takes no time that warms it.
         let pushed: Vec<u8> = (0..push).flat_map(|_| call("x")).collect();
-        wire.write(&pushed).await.unwrap();
-        until("all of them", || {
+        connection.write(&pushed).await.unwrap();
+        eventually("all of them", || {
             let calls = recorder.with_entries(|entries| {
                 entries.iter().filter(|e| matches!(e.event, Event::Call { .. })).count()
             });
@@ -292,15 +314,15 @@
 
 impl Watch {
     async fn start(at: SocketAddr, index: u64) -> Watch {
-        let mut wire = connect(at).await;
+        let mut connection = connect(at).await;
         let request = format!("GET /registry/instances?stream=1&index={index} HTTP/1.1\r\nHost: d\r\n\r\n");
-        wire.write(request.as_bytes()).await.unwrap();
-        Watch(wire, Vec::new())
+        connection.write(request.as_bytes()).await.unwrap();
+        Watch(connection, Vec::new())
     }
 
     /// The next line that is not a heartbeat; none where the watch ends before.
     async fn line(&mut self) -> Option<serde_json::Value> {
-        timeout(PATIENCE, async {
+        timeout(WAIT_TIMEOUT, async {
             loop {
                 let text = String::from_utf8_lossy(&self.1).into_owned();
                 let line =
@@ -334,7 +356,7 @@
 async fn the_platform_tells_changes_late_torn_or_not_at_all() {
     let recorder = Recorder::new(1000);
     let (platform, _notices) = Platform::new(vec![host("a", EndpointState::Up)], recorder.clone());
-    let at = platform.start_agent(0, any()).await.unwrap();
+    let at = platform.start_agent(0, any_port()).await.unwrap();
     assert_eq!(platform.known_list(0)["seq"], 1);
     let mut watch = Watch::start(at, 1).await;
     platform.update_entry(host("b", EndpointState::Up));
@@ -376,24 +398,24 @@
 async fn the_platform_moves_and_hears_notices() {
     let recorder = Recorder::new(1000);
     let (platform, mut notices) = Platform::new(vec![host("a", EndpointState::Up)], recorder.clone());
-    let old = platform.start_agent(0, any()).await.unwrap();
+    let old = platform.start_agent(0, any_port()).await.unwrap();
     let mut watch = Watch::start(old, 1).await;
     platform.set_behavior(|mood| mood.silent = true);
-    let mut wire = connect(old).await;
+    let mut connection = connect(old).await;
     let body = "{\"message\":\"m\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n";
     let notice =
         |body: &str| format!("POST /status HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    wire.write(notice(body).as_bytes()).await.unwrap();
-    assert_eq!(wire.read_response().await.unwrap().status(), 204, "also while discovery is down");
+    connection.write(notice(body).as_bytes()).await.unwrap();
+    assert_eq!(connection.read_response().await.unwrap().status(), 204, "also while discovery is down");
     assert_eq!(notices.recv().await.unwrap().retry_in_ms, Some(5));
-    wire.write(notice("{\"message\":7}").as_bytes()).await.unwrap();
-    assert_eq!(wire.read_response().await.unwrap().status(), 400);
+    connection.write(notice("{\"message\":7}").as_bytes()).await.unwrap();
+    assert_eq!(connection.read_response().await.unwrap().status(), 400);
     platform.set_behavior(|mood| mood.silent = false);
-    let new = platform.start_agent(0, any()).await.unwrap();
+    let new = platform.start_agent(0, any_port()).await.unwrap();
     assert_ne!(old, new);
     assert_eq!(watch.line().await, None, "the old address closes what is open");
-    let refused = async { while HttpConnection::connect(old, PATIENCE).await.is_ok() {} };
-    timeout(PATIENCE, refused).await.unwrap();
+    let refused = async { while HttpConnection::connect(old, WAIT_TIMEOUT).await.is_ok() {} };
+    timeout(WAIT_TIMEOUT, refused).await.unwrap();
     platform.update_entry(host("b", EndpointState::Up));
     assert!(Watch::start(new, 1).await.line().await.is_some());
 }
