--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -47,18 +47,18 @@
     (endpoint, recorder)
 }
 
-fn call(id: &str) -> Vec<u8> {
+fn call_bytes(id: &str) -> Vec<u8> {
     format!("POST /receive HTTP/1.1\r\nRequest-Id: {id}\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\nhi")
         .into()
 }
 
-async fn connect(at: SocketAddr) -> HttpConnection {
-    HttpConnection::connect(at, WAIT_TIMEOUT).await.unwrap()
+async fn connect(address: SocketAddr) -> HttpConnection {
+    HttpConnection::connect(address, WAIT_TIMEOUT).await.unwrap()
 }
 
 async fn send_call(connection: &mut HttpConnection, id: &str) -> io::Result<u16> {
-    connection.write(&call(id)).await?;
-    timeout(WAIT_TIMEOUT, connection.read_response()).await?.map(|answer| answer.status())
+    connection.write(&call_bytes(id)).await?;
+    timeout(WAIT_TIMEOUT, connection.read_response()).await?.map(|response| response.status())
 }
 
 fn call_ends(recorder: &Recorder) -> Vec<CallEnd> {
@@ -101,29 +101,29 @@
 }
 
 #[tokio::test]
-async fn a_call_that_was_given_up_runs_on_and_is_on_record() {
-    struct Slow;
-    impl fawnspoke_lab::endpoint::CallHandler for Slow {
+async fn an_abandoned_call_still_runs_and_is_recorded() {
+    struct SlowHandler;
+    impl fawnspoke_lab::endpoint::CallHandler for SlowHandler {
         fn handle(&self, _: &fawnspoke_lab::endpoint::Call) -> Reply {
             Reply::status(200).delayed(Duration::from_millis(50))
         }
         fn processed(&self, call: &fawnspoke_lab::endpoint::Call, _: &Reply) {
             assert_eq!(call.items[0].id, "m");
-            RAN.store(1, std::sync::atomic::Ordering::SeqCst);
+            PROCESSED.store(1, std::sync::atomic::Ordering::SeqCst);
         }
     }
-    static RAN: AtomicU64 = AtomicU64::new(0);
-    let (endpoint, recorder) = start(Slow).await;
+    static PROCESSED: AtomicU64 = AtomicU64::new(0);
+    let (endpoint, recorder) = start(SlowHandler).await;
     let mut connection = connect(endpoint.address(0).unwrap()).await;
-    connection.write(&call("m")).await.unwrap();
-    eventually("the call", || recorder.with_entries(|entries| !entries.is_empty())).await;
+    connection.write(&call_bytes("m")).await.unwrap();
+    eventually("the call is recorded", || recorder.with_entries(|entries| !entries.is_empty())).await;
     drop(connection);
-    eventually("its end", || call_ends(&recorder) == [CallEnd::Closed]).await;
-    eventually("its work", || RAN.load(std::sync::atomic::Ordering::SeqCst) == 1).await;
+    eventually("the end of the call is recorded", || call_ends(&recorder) == [CallEnd::Closed]).await;
+    eventually("the call is processed", || PROCESSED.load(std::sync::atomic::Ordering::SeqCst) == 1).await;
 }
 
 #[tokio::test]
-async fn a_cut_answer_is_told_by_its_first_line() {
+async fn a_truncated_response_is_recorded_with_its_status_line() {
     let (endpoint, recorder) = start(|call: &fawnspoke_lab::endpoint::Call| {
         Reply::immediate(EndpointResponse::Truncated(200, if call.items[0].id == "line" { 30 } else { 9 }))
     })
@@ -131,70 +131,70 @@
     for (id, end) in [("line", CallEnd::Truncated(200)), ("half", CallEnd::Broken)] {
         let mut connection = connect(endpoint.address(0).unwrap()).await;
         send_call(&mut connection, id).await.unwrap_err();
-        eventually("the end", || call_ends(&recorder).last() == Some(&end)).await;
+        eventually("the end of the call is recorded", || call_ends(&recorder).last() == Some(&end)).await;
     }
 }
 
 #[tokio::test]
-async fn a_machine_that_is_gone_says_nothing_and_resets_when_it_is_back() {
+async fn an_unreachable_machine_is_silent_and_resets_connections_once_it_is_back() {
     let (endpoint, recorder) = start(|_: &fawnspoke_lab::endpoint::Call| Reply::status(200)).await;
-    let at = endpoint.address(0).unwrap();
-    let mut open = connect(at).await;
+    let address = endpoint.address(0).unwrap();
+    let mut open = connect(address).await;
     assert_eq!(send_call(&mut open, "a").await.unwrap(), 200);
     endpoint.set_socket_state(SocketState::Silent).await.unwrap();
-    let mut late = connect(at).await;
-    late.write(&call("b")).await.unwrap();
-    open.write(&call("c")).await.unwrap();
+    let mut late = connect(address).await;
+    late.write(&call_bytes("b")).await.unwrap();
+    open.write(&call_bytes("c")).await.unwrap();
     assert!(timeout(Duration::from_millis(200), open.read_response()).await.is_err(), "silent");
     endpoint.set_socket_state(SocketState::Open).await.unwrap();
     assert!(timeout(WAIT_TIMEOUT, open.read_response()).await.unwrap().is_err());
     assert!(timeout(WAIT_TIMEOUT, late.read_response()).await.unwrap().is_err());
-    let mut fresh = connect(at).await;
-    assert_eq!(send_call(&mut fresh, "d").await.unwrap(), 200);
+    let mut new = connect(address).await;
+    assert_eq!(send_call(&mut new, "d").await.unwrap(), 200);
     let calls = recorder.entries().iter().filter(|entry| matches!(entry.event, Event::Call { .. })).count();
-    assert_eq!(calls, 2, "what came while it was gone never came");
+    assert_eq!(calls, 2, "calls sent while the machine was unreachable must not arrive");
 }
 
 #[tokio::test]
-async fn a_process_that_is_gone_refuses_and_comes_back_at_its_address() {
+async fn a_stopped_process_refuses_connections_and_returns_at_its_address() {
     let (endpoint, _) = start(|_: &fawnspoke_lab::endpoint::Call| Reply::status(200)).await;
-    let at = endpoint.address(0).unwrap();
-    let mut open = connect(at).await;
+    let address = endpoint.address(0).unwrap();
+    let mut open = connect(address).await;
     assert_eq!(send_call(&mut open, "a").await.unwrap(), 200);
     endpoint.set_socket_state(SocketState::Refusing).await.unwrap();
     assert!(timeout(WAIT_TIMEOUT, open.read_response()).await.unwrap().is_err());
     // The listener ends with its task, a moment later.
-    let refused = async { while HttpConnection::connect(at, WAIT_TIMEOUT).await.is_ok() {} };
+    let refused = async { while HttpConnection::connect(address, WAIT_TIMEOUT).await.is_ok() {} };
     timeout(WAIT_TIMEOUT, refused).await.unwrap();
     endpoint.set_socket_state(SocketState::Open).await.unwrap();
-    assert_eq!(send_call(&mut connect(at).await, "b").await.unwrap(), 200);
+    assert_eq!(send_call(&mut connect(address).await, "b").await.unwrap(), 200);
 }
 
 #[tokio::test]
-async fn a_full_table_of_connections_turns_calls_away() {
-    let traits = ConnectionLimits { max_connections: 1, idle_timeout: None };
-    let script = |_: &fawnspoke_lab::endpoint::Call| Reply::status(200);
+async fn calls_beyond_the_maximum_of_connections_are_rejected() {
+    let limits = ConnectionLimits { max_connections: 1, idle_timeout: None };
+    let handler = |_: &fawnspoke_lab::endpoint::Call| Reply::status(200);
     let recorder = Recorder::new(100);
     let endpoint =
-        Endpoint::start("e", 7, &[any_port()], traits, script, recorder, Arc::default()).await.unwrap();
-    let at = endpoint.address(0).unwrap();
-    let (mut one, mut two) = (connect(at).await, connect(at).await);
-    assert_eq!(send_call(&mut one, "a").await.unwrap(), 200);
-    eventually("both", || {
+        Endpoint::start("e", 7, &[any_port()], limits, handler, recorder, Arc::default()).await.unwrap();
+    let address = endpoint.address(0).unwrap();
+    let (mut first, mut second) = (connect(address).await, connect(address).await);
+    assert_eq!(send_call(&mut first, "a").await.unwrap(), 200);
+    eventually("both connections are accepted", || {
         endpoint.counters().accepted_connections.load(std::sync::atomic::Ordering::SeqCst) == 2
     })
     .await;
-    assert_eq!(send_call(&mut two, "b").await.unwrap(), 503);
-    drop(one);
-    eventually("one", || {
+    assert_eq!(send_call(&mut second, "b").await.unwrap(), 503);
+    drop(first);
+    eventually("one connection is closed", || {
         endpoint.counters().closed_connections.load(std::sync::atomic::Ordering::SeqCst) == 1
     })
     .await;
-    assert_eq!(send_call(&mut two, "c").await.unwrap(), 200);
+    assert_eq!(send_call(&mut second, "c").await.unwrap(), 200);
 }
 
 #[tokio::test]
-async fn a_partner_remembers_keys_and_knows_its_messages() {
+async fn a_partner_remembers_keys_and_rejects_unknown_messages() {
     let (partner, recorder) = partner("capacity = 1000.0\nservice_ms = [1.0, 1.0]\n", &["m"]);
     let endpoint = start_endpoint(&partner, &recorder).await;
     let mut connection = connect(endpoint.address(0).unwrap()).await;
@@ -209,11 +209,11 @@
     assert_eq!(effects, [true, false, false], "a repeat is dropped");
 }
 
-/// A key is looked up when its call comes, however late that call is worked on.
+/// A key is looked up at the arrival of its call, however late that call is processed.
 #[tokio::test]
-async fn a_partner_that_is_slow_forgets_no_key_meanwhile() {
-    let text = "capacity = 1000.0\nservice_ms = [1500.0, 1500.0]\n";
-    let (partner, recorder) = partner_with_key_window(text, &["m"], 1_000_000);
+async fn a_slow_partner_checks_the_key_at_the_arrival_of_a_call() {
+    let settings = "capacity = 1000.0\nservice_ms = [1500.0, 1500.0]\n";
+    let (partner, recorder) = partner_with_key_window(settings, &["m"], 1_000_000);
     let endpoint = start_endpoint(&partner, &recorder).await;
     let mut connection = connect(endpoint.address(0).unwrap()).await;
     for _ in 0..2 {
@@ -223,81 +223,83 @@
         if let Event::MessageProcessed { took_effect, .. } = entry.event { Some(took_effect) } else { None }
     };
     let effects: Vec<bool> = recorder.entries().iter().filter_map(effect).collect();
-    assert_eq!(effects, [true, false], "the repeat came 1 ms after the first one's end");
+    assert_eq!(effects, [true, false], "the repeat arrived 1 ms after the end of the first call");
 }
 
 #[tokio::test]
-async fn a_partner_tells_waits_above_its_limit() {
-    let limit = "limit = \"window\"\nlimit_per_s = 2.0\nwindow_s = 3600.0\ntells_wait = true\n";
-    let (partner, recorder) = partner(&format!("capacity = 1e9\nservice_ms = [1.0, 1.0]\n{limit}"), &[]);
+async fn a_partner_sends_retry_after_above_its_rate_limit() {
+    let limit_settings = "limit = \"window\"\nlimit_per_s = 2.0\nwindow_s = 3600.0\ntells_wait = true\n";
+    let (partner, recorder) =
+        partner(&format!("capacity = 1e9\nservice_ms = [1.0, 1.0]\n{limit_settings}"), &[]);
     let endpoint = start_endpoint(&partner, &recorder).await;
     let mut connection = connect(endpoint.address(0).unwrap()).await;
-    let mut refused = None;
-    // Each call counts, also those that it can't use.
+    let mut retry_after_s = None;
+    // Each call counts against the limit, including those with an unknown message.
     for _ in 0..7201 {
-        connection.write(&call("x")).await.unwrap();
-        let answer = connection.read_response().await.unwrap();
-        if answer.status() == 429 {
-            refused = answer.header("retry-after").map(|wait| wait.parse::<f64>().unwrap());
+        connection.write(&call_bytes("x")).await.unwrap();
+        let response = connection.read_response().await.unwrap();
+        if response.status() == 429 {
+            retry_after_s = response.header("retry-after").map(|seconds| seconds.parse::<f64>().unwrap());
             break;
         }
     }
-    assert!(refused.is_some_and(|wait| wait > 0.0 && wait <= 3600.0), "{refused:?}");
-    let wait = recorder.entries().iter().rev().find_map(|entry| match entry.event {
+    assert!(retry_after_s.is_some_and(|seconds| seconds > 0.0 && seconds <= 3600.0), "{retry_after_s:?}");
+    let recorded = recorder.entries().iter().rev().find_map(|entry| match entry.event {
         Event::CallEnded { retry_after, .. } => retry_after,
         _ => None,
     });
-    assert!(wait.is_some_and(|wait| wait > 0));
+    assert!(recorded.is_some_and(|micros| micros > 0));
 }
 
 #[tokio::test]
-async fn answers_that_bring_more_are_good_and_requests_that_are_reset_never_ran() {
+async fn responses_with_extra_data_count_and_reset_requests_never_run() {
     let (partner, recorder) = partner("capacity = 1e6\nservice_ms = [1.0, 1.0]\nextras = 1.0\n", &["m"]);
     let endpoint = start_endpoint(&partner, &recorder).await;
-    // Three tries a message; each answer is drawn by chance among four.
+    // A message has three attempts; each response is one of four random variants.
     for _ in 0..3 {
         let mut connection = connect(endpoint.address(0).unwrap()).await;
-        connection.write(&call("m")).await.unwrap();
-        let piece = timeout(WAIT_TIMEOUT, connection.read_available()).await.unwrap().unwrap();
-        let text = String::from_utf8_lossy(&piece).into_owned();
+        connection.write(&call_bytes("m")).await.unwrap();
+        let bytes = timeout(WAIT_TIMEOUT, connection.read_available()).await.unwrap().unwrap();
+        let text = String::from_utf8_lossy(&bytes).into_owned();
         let copies = text.matches("HTTP/1.1 200 OK\r\n").count();
-        let more = text.starts_with("HTTP/1.1 103") || text.ends_with("noise") || text.contains("{x1:");
-        assert!(copies == 2 || (copies == 1 && more), "{text}");
+        let has_extra = text.starts_with("HTTP/1.1 103") || text.ends_with("noise") || text.contains("{x1:");
+        assert!(copies == 2 || (copies == 1 && has_extra), "{text}");
     }
-    eventually("their ends", || call_ends(&recorder) == [CallEnd::Answered(200); 3]).await;
+    eventually("the ends of the calls are recorded", || call_ends(&recorder) == [CallEnd::Answered(200); 3])
+        .await;
 
     let (partner, recorder) =
         self::partner("capacity = 1e6\nservice_ms = [1.0, 1.0]\nrequest_resets = 1.0\n", &["m"]);
     let endpoint = start_endpoint(&partner, &recorder).await;
     send_call(&mut connect(endpoint.address(0).unwrap()).await, "m").await.unwrap_err();
-    assert!(recorder.entries().is_empty(), "it never ran");
+    assert!(recorder.entries().is_empty(), "a reset request must not run");
 }
 
 #[tokio::test]
-async fn a_cold_partner_falls_over_when_it_is_pushed() {
-    let text = "capacity = 10.0\nservice_ms = [1.0, 1.0]\nqueue_ms = 0.0\n";
-    for (push, falls) in [(3, false), (200, true)] {
-        let (partner, recorder) = partner(text, &[]);
+async fn a_cold_partner_collapses_when_it_is_overloaded() {
+    let settings = "capacity = 10.0\nservice_ms = [1.0, 1.0]\nqueue_ms = 0.0\n";
+    for (call_count, collapses) in [(3, false), (200, true)] {
+        let (partner, recorder) = partner(settings, &[]);
         let endpoint = start_endpoint(&partner, &recorder).await;
         let mut connection = connect(endpoint.address(0).unwrap()).await;
         partner.set_fault(PartnerFault::RejectAll);
         assert_eq!(send_call(&mut connection, "x").await.unwrap(), 503);
         partner.recover();
-        // All are on their way before the first answer is awaited: it takes no time that warms it.
-        let pushed: Vec<u8> = (0..push).flat_map(|_| call("x")).collect();
-        connection.write(&pushed).await.unwrap();
-        eventually("all of them", || {
+        // All calls are sent before the first response is read, so that the partner has no time to warm up.
+        let requests: Vec<u8> = (0..call_count).flat_map(|_| call_bytes("x")).collect();
+        connection.write(&requests).await.unwrap();
+        eventually("all calls arrive or the partner collapses", || {
             let calls = recorder.with_entries(|entries| {
-                entries.iter().filter(|e| matches!(e.event, Event::Call { .. })).count()
+                entries.iter().filter(|entry| matches!(entry.event, Event::Call { .. })).count()
             });
-            partner.has_collapsed() || calls > push
+            partner.has_collapsed() || calls > call_count
         })
         .await;
-        assert_eq!(partner.has_collapsed(), falls);
+        assert_eq!(partner.has_collapsed(), collapses);
     }
 }
 
-fn host(name: &str, state: EndpointState) -> EndpointEntry {
+fn entry(name: &str, state: EndpointState) -> EndpointEntry {
     EndpointEntry {
         name: name.into(),
         addresses: vec!["127.0.0.1:9".parse().unwrap()],
@@ -309,19 +311,19 @@
     }
 }
 
-/// A watch from a version: its lines, as they come.
+/// A watch from a version of the list: its connection, and the bytes read so far.
 struct Watch(HttpConnection, Vec<u8>);
 
 impl Watch {
-    async fn start(at: SocketAddr, index: u64) -> Watch {
-        let mut connection = connect(at).await;
+    async fn start(address: SocketAddr, index: u64) -> Watch {
+        let mut connection = connect(address).await;
         let request = format!("GET /registry/instances?stream=1&index={index} HTTP/1.1\r\nHost: d\r\n\r\n");
         connection.write(request.as_bytes()).await.unwrap();
         Watch(connection, Vec::new())
     }
 
-    /// The next line that is not a heartbeat; none where the watch ends before.
-    async fn line(&mut self) -> Option<serde_json::Value> {
+    /// Reads the next line that is not a heartbeat; `None` where the watch ends before.
+    async fn next_update(&mut self) -> Option<serde_json::Value> {
         timeout(WAIT_TIMEOUT, async {
             loop {
                 let text = String::from_utf8_lossy(&self.1).into_owned();
@@ -332,76 +334,76 @@
                     self.1.clear();
                     return Some(value);
                 }
-                let piece = self.0.read_available().await.ok()?;
-                if piece.is_empty() {
+                let bytes = self.0.read_available().await.ok()?;
+                if bytes.is_empty() {
                     return None;
                 }
-                self.1.extend(piece);
+                self.1.extend(bytes);
             }
         })
         .await
-        .expect("a line or an end")
+        .expect("an update or the end of the watch")
     }
 }
 
-fn told(recorder: &Recorder) -> Vec<(String, EndpointState)> {
-    let told = |entry: &Entry| match &entry.event {
+fn delivered_changes(recorder: &Recorder) -> Vec<(String, EndpointState)> {
+    let delivered_change = |entry: &Entry| match &entry.event {
         Event::ChangeDelivered { endpoint, state, .. } => Some((endpoint.clone(), *state)),
         _ => None,
     };
-    recorder.entries().iter().filter_map(told).collect()
+    recorder.entries().iter().filter_map(delivered_change).collect()
 }
 
 #[tokio::test]
-async fn the_platform_tells_changes_late_torn_or_not_at_all() {
+async fn the_platform_delivers_changes_late_truncated_or_not_at_all() {
     let recorder = Recorder::new(1000);
-    let (platform, _notices) = Platform::new(vec![host("a", EndpointState::Up)], recorder.clone());
-    let at = platform.start_agent(0, any_port()).await.unwrap();
+    let (platform, _notices) = Platform::new(vec![entry("a", EndpointState::Up)], recorder.clone());
+    let address = platform.start_agent(0, any_port()).await.unwrap();
     assert_eq!(platform.known_list(0)["seq"], 1);
-    let mut watch = Watch::start(at, 1).await;
-    platform.update_entry(host("b", EndpointState::Up));
-    let line = watch.line().await.unwrap();
+    let mut watch = Watch::start(address, 1).await;
+    platform.update_entry(entry("b", EndpointState::Up));
+    let update = watch.next_update().await.unwrap();
     assert_eq!(
-        (&line["seq"], &line["whole"], &line["hosts"][0]["host"]),
+        (&update["seq"], &update["whole"], &update["hosts"][0]["host"]),
         (&2.into(), &false.into(), &"b".into())
     );
-    assert_eq!(told(&recorder), [("b".to_string(), EndpointState::Up)]);
-    // Torn: half a line, and the watch ends; nothing is told.
-    platform.set_behavior(|mood| mood.truncate_updates = true);
-    platform.update_entry(host("a", EndpointState::Draining));
-    assert_eq!(watch.line().await, None);
-    assert_eq!(told(&recorder).len(), 1);
-    platform.set_behavior(|mood| mood.truncate_updates = false);
-    // A watch from the version that is known has it as its first line.
-    let mut watch = Watch::start(at, 2).await;
-    assert_eq!(watch.line().await.unwrap()["hosts"][0]["health"], "draining");
-    // Silent: told once it speaks again.
-    platform.set_behavior(|mood| mood.silent = true);
-    platform.update_entry(host("a", EndpointState::Removed));
-    assert!(timeout(Duration::from_millis(200), watch.line()).await.is_err());
-    assert_eq!(told(&recorder).len(), 2);
-    platform.set_behavior(|mood| mood.silent = false);
-    assert_eq!(watch.line().await.unwrap()["hosts"][0]["health"], "removed");
-    // The list as the dispatcher has it, for its next life.
+    assert_eq!(delivered_changes(&recorder), [("b".to_string(), EndpointState::Up)]);
+    // Truncated: half a line, and the watch ends; no change counts as delivered.
+    platform.set_behavior(|behavior| behavior.truncate_updates = true);
+    platform.update_entry(entry("a", EndpointState::Draining));
+    assert_eq!(watch.next_update().await, None);
+    assert_eq!(delivered_changes(&recorder).len(), 1);
+    platform.set_behavior(|behavior| behavior.truncate_updates = false);
+    // A new watch from the known version gets the change as its first line.
+    let mut watch = Watch::start(address, 2).await;
+    assert_eq!(watch.next_update().await.unwrap()["hosts"][0]["health"], "draining");
+    // Silent: the change is delivered once the platform answers again.
+    platform.set_behavior(|behavior| behavior.silent = true);
+    platform.update_entry(entry("a", EndpointState::Removed));
+    assert!(timeout(Duration::from_millis(200), watch.next_update()).await.is_err());
+    assert_eq!(delivered_changes(&recorder).len(), 2);
+    platform.set_behavior(|behavior| behavior.silent = false);
+    assert_eq!(watch.next_update().await.unwrap()["hosts"][0]["health"], "removed");
+    // The list as the dispatcher has it, for its next process.
     let known = platform.known_list(0);
     assert_eq!((&known["seq"], &known["hosts"][0]["host"]), (&4.into(), &"b".into()));
     assert_eq!(known["hosts"].as_array().unwrap().len(), 1);
-    // Late: not before its time.
-    platform.set_behavior(|mood| mood.update_delay = Duration::from_millis(150));
-    let began = std::time::Instant::now();
-    platform.update_entry(host("c", EndpointState::Up));
-    watch.line().await.unwrap();
-    assert!(began.elapsed() >= Duration::from_millis(150));
+    // Late: the change is not delivered before the delay.
+    platform.set_behavior(|behavior| behavior.update_delay = Duration::from_millis(150));
+    let started_at = std::time::Instant::now();
+    platform.update_entry(entry("c", EndpointState::Up));
+    watch.next_update().await.unwrap();
+    assert!(started_at.elapsed() >= Duration::from_millis(150));
 }
 
 #[tokio::test]
-async fn the_platform_moves_and_hears_notices() {
+async fn an_agent_moves_and_receives_notices() {
     let recorder = Recorder::new(1000);
-    let (platform, mut notices) = Platform::new(vec![host("a", EndpointState::Up)], recorder.clone());
-    let old = platform.start_agent(0, any_port()).await.unwrap();
-    let mut watch = Watch::start(old, 1).await;
-    platform.set_behavior(|mood| mood.silent = true);
-    let mut connection = connect(old).await;
+    let (platform, mut notices) = Platform::new(vec![entry("a", EndpointState::Up)], recorder.clone());
+    let old_address = platform.start_agent(0, any_port()).await.unwrap();
+    let mut watch = Watch::start(old_address, 1).await;
+    platform.set_behavior(|behavior| behavior.silent = true);
+    let mut connection = connect(old_address).await;
     let body = "{\"message\":\"m\",\"outcome\":\"handed_back\",\"retry_in_ms\":5}\n";
     let notice =
         |body: &str| format!("POST /status HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -410,12 +412,12 @@
     assert_eq!(notices.recv().await.unwrap().retry_in_ms, Some(5));
     connection.write(notice("{\"message\":7}").as_bytes()).await.unwrap();
     assert_eq!(connection.read_response().await.unwrap().status(), 400);
-    platform.set_behavior(|mood| mood.silent = false);
-    let new = platform.start_agent(0, any_port()).await.unwrap();
-    assert_ne!(old, new);
-    assert_eq!(watch.line().await, None, "the old address closes what is open");
-    let refused = async { while HttpConnection::connect(old, WAIT_TIMEOUT).await.is_ok() {} };
+    platform.set_behavior(|behavior| behavior.silent = false);
+    let new_address = platform.start_agent(0, any_port()).await.unwrap();
+    assert_ne!(old_address, new_address);
+    assert_eq!(watch.next_update().await, None, "the old address closes its open connections");
+    let refused = async { while HttpConnection::connect(old_address, WAIT_TIMEOUT).await.is_ok() {} };
     timeout(WAIT_TIMEOUT, refused).await.unwrap();
-    platform.update_entry(host("b", EndpointState::Up));
-    assert!(Watch::start(new, 1).await.line().await.is_some());
+    platform.update_entry(entry("b", EndpointState::Up));
+    assert!(Watch::start(new_address, 1).await.next_update().await.is_some());
 }
