--- a/crates/lab/src/partner.rs
+++ b/crates/lab/src/partner.rs
@@ -3,9 +3,9 @@
 
 use crate::endpoint::{Call, CallHandler, EndpointResponse, Reply};
 use crate::http;
-use crate::ledger::MessageRegistry;
+use crate::message_registry::MessageRegistry;
 use crate::record::{CallEnd, Effect, Event, Item, MessageResult, Recorder};
-use crate::scenario::{self, Limit, Returning};
+use crate::scenario::{self, RateLimit, Recovery};
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -62,7 +62,7 @@
 /// A partner; its endpoints share it.
 pub struct Partner {
     spec: scenario::Partner,
-    recovery: Returning,
+    recovery: Recovery,
     destination: u32,
     max_attempts: u32,
     registry: Arc<MessageRegistry>,
@@ -77,7 +77,7 @@
 impl Partner {
     /// A partner that is warm and has no fault.
     pub fn new(
-        spec: scenario::Partner, recovery: Returning, destination: u32, max_attempts: u32, seed: u64,
+        spec: scenario::Partner, recovery: Recovery, destination: u32, max_attempts: u32, seed: u64,
         registry: Arc<MessageRegistry>, recorder: Recorder,
     ) -> Partner {
         let now = Instant::now();
@@ -137,17 +137,17 @@
     /// The share of its capacity that is available at a time.
     fn capacity_share(&self, state: &State, at: Instant) -> f64 {
         let Some(recovered_at) = state.recovered_at else { return 1.0 };
-        let warmth = at.saturating_duration_since(recovered_at).as_secs_f64() / self.recovery.cold_s;
-        self.recovery.cold_share + (1.0 - self.recovery.cold_share) * warmth.min(1.0)
+        let warmth = at.saturating_duration_since(recovered_at).as_secs_f64() / self.recovery.warm_up_s;
+        self.recovery.initial_capacity_share + (1.0 - self.recovery.initial_capacity_share) * warmth.min(1.0)
     }
 
     /// Counts an arrival at a cold partner, which collapses when it is overloaded.
     fn count_arrival(&self, state: &mut State, now: Instant) {
         let Some(recovered_at) = state.recovered_at else { return };
-        if now.saturating_duration_since(recovered_at).as_secs_f64() > self.recovery.cold_s {
+        if now.saturating_duration_since(recovered_at).as_secs_f64() > self.recovery.warm_up_s {
             return;
         }
-        let overload_time = Duration::from_secs_f64(self.recovery.fall_s);
+        let overload_time = Duration::from_secs_f64(self.recovery.overload_s);
         state.arrivals.push_back(now);
         while state.arrivals.front().is_some_and(|at| now.saturating_duration_since(*at) > overload_time) {
             state.arrivals.pop_front();
@@ -158,33 +158,34 @@
         let mean_capacity = (self.capacity_share(state, window_start)
             + self.capacity_share(state, window_start + overload_time))
             / 2.0
-            * self.spec.capacity;
-        let budget = self.recovery.multiple * mean_capacity * self.recovery.fall_s + COLD_CALL_TOLERANCE;
+            * self.spec.capacity_per_s;
+        let budget =
+            self.recovery.overload_multiple * mean_capacity * self.recovery.overload_s + COLD_CALL_TOLERANCE;
         state.collapsed |= state.arrivals.len() as f64 > budget;
     }
 
     /// How long until the rate limit permits a call; `None` where it does now.
     fn rate_limit_delay(&self, state: &mut State, now: Instant) -> Option<Duration> {
         let rate = self.spec.limit_per_s;
-        match self.spec.limit {
-            Limit::None => None,
-            Limit::Rate => {
+        match self.spec.rate_limit {
+            RateLimit::None => None,
+            RateLimit::Rate => {
                 let (tokens, counted_at) = state.tokens;
                 let tokens = tokens + now.saturating_duration_since(counted_at).as_secs_f64() * rate;
                 let tokens = tokens.min((rate * BURST_SECONDS).max(1.0));
                 state.tokens = (if tokens >= 1.0 { tokens - 1.0 } else { tokens }, now);
                 (tokens < 1.0).then(|| Duration::from_secs_f64((1.0 - tokens) / rate))
             }
-            Limit::Window => {
+            RateLimit::Window => {
                 let elapsed_s = now.saturating_duration_since(self.started_at).as_secs_f64();
-                let window_index = (elapsed_s / self.spec.window_s) as u64;
+                let window_index = (elapsed_s / self.spec.limit_window_s) as u64;
                 if state.window.0 != window_index {
                     state.window = (window_index, 0.0);
                 }
                 // Rejected calls count against the limit as well.
                 state.window.1 += 1.0;
-                let remaining_s = (window_index + 1) as f64 * self.spec.window_s - elapsed_s;
-                (state.window.1 > rate * self.spec.window_s)
+                let remaining_s = (window_index + 1) as f64 * self.spec.limit_window_s - elapsed_s;
+                (state.window.1 > rate * self.spec.limit_window_s)
                     .then(|| Duration::from_secs_f64(remaining_s.max(0.001)))
             }
         }
@@ -192,18 +193,18 @@
 
     /// The header that reports the remaining share of the rate limit, and the limit.
     fn load_report(&self, state: &State) -> String {
-        let rate = if self.spec.limit == Limit::None { 0.0 } else { self.spec.limit_per_s };
-        let remaining = match self.spec.limit {
-            Limit::None => 1.0,
-            Limit::Rate => state.tokens.0 / (rate * BURST_SECONDS).max(1.0),
-            Limit::Window => 1.0 - state.window.1 / (rate * self.spec.window_s),
+        let rate = if self.spec.rate_limit == RateLimit::None { 0.0 } else { self.spec.limit_per_s };
+        let remaining = match self.spec.rate_limit {
+            RateLimit::None => 1.0,
+            RateLimit::Rate => state.tokens.0 / (rate * BURST_SECONDS).max(1.0),
+            RateLimit::Window => 1.0 - state.window.1 / (rate * self.spec.limit_window_s),
         };
         format!("Server-Load: {{\"x0\":{:.3},\"x1\":{rate}}}\r\n", remaining.clamp(0.0, 1.0))
     }
 
     fn reject(&self, state: &State, retry_after: Option<Duration>) -> Reply {
         let report = self.load_report(state);
-        match retry_after.filter(|_| self.spec.tells_wait) {
+        match retry_after.filter(|_| self.spec.sends_retry_after) {
             Some(retry_after) => {
                 // Whole milliseconds, rounded up: the header is never less than the recorded period.
                 let ms = retry_after.as_secs_f64() * 1000.0;
@@ -221,10 +222,12 @@
     fn rejection(&self, item: &Item) -> Option<(u16, MessageResult)> {
         match self.registry.record_attempt(&item.id, self.destination, self.recorder.now(), self.max_attempts)
         {
-            crate::ledger::AttemptCheck::Allowed => None,
-            crate::ledger::AttemptCheck::Unknown => Some((400, MessageResult::Rejected)),
-            crate::ledger::AttemptCheck::Expired => Some((410, MessageResult::Expired)),
-            crate::ledger::AttemptCheck::AttemptsExhausted => Some((504, MessageResult::AttemptsExhausted)),
+            crate::message_registry::AttemptCheck::Allowed => None,
+            crate::message_registry::AttemptCheck::Unknown => Some((400, MessageResult::Rejected)),
+            crate::message_registry::AttemptCheck::Expired => Some((410, MessageResult::Expired)),
+            crate::message_registry::AttemptCheck::AttemptsExhausted => {
+                Some((504, MessageResult::AttemptsExhausted))
+            }
         }
     }
 
@@ -245,12 +248,13 @@
             return self.reject(state, Some(retry_after));
         }
         let slowdown = if let PartnerFault::Slow(factor) = state.fault { factor } else { 1.0 };
-        let capacity =
-            self.spec.capacity / self.spec.endpoints as f64 * self.capacity_share(state, now) / slowdown;
+        let capacity = self.spec.capacity_per_s / self.spec.endpoints as f64
+            * self.capacity_share(state, now)
+            / slowdown;
         let Some(free_at) = state.free_at.get(endpoint).copied() else { return Reply::status(503) };
         let work_start = free_at.max(now);
         let queued = work_start.saturating_duration_since(now);
-        if queued.as_secs_f64() * 1000.0 > self.spec.queue_ms * slowdown {
+        if queued.as_secs_f64() * 1000.0 > self.spec.max_queue_ms * slowdown {
             return self.reject(state, None);
         }
         let work_time = Duration::from_secs_f64((1.0 / capacity).min(60.0));
@@ -289,12 +293,20 @@
         let draw = rng.f64();
         let share =
             |normal: f64, active: bool, minimum: f64| if active { normal.max(minimum) } else { normal };
-        let error_limit = share(spec.errors, fault == PartnerFault::Errors, FAULT_ERROR_SHARE);
-        let reset_limit = error_limit + spec.resets;
-        let truncation_limit =
-            reset_limit + share(spec.cuts, fault == PartnerFault::TruncatedResponses, FAULT_RESPONSE_SHARE);
+        let error_limit = share(spec.error_probability, fault == PartnerFault::Errors, FAULT_ERROR_SHARE);
+        let reset_limit = error_limit + spec.reset_probability;
+        let truncation_limit = reset_limit
+            + share(
+                spec.truncation_probability,
+                fault == PartnerFault::TruncatedResponses,
+                FAULT_RESPONSE_SHARE,
+            );
         let malformed_limit = truncation_limit
-            + share(spec.spoilt, fault == PartnerFault::MalformedResponses, FAULT_RESPONSE_SHARE);
+            + share(
+                spec.malformed_probability,
+                fault == PartnerFault::MalformedResponses,
+                FAULT_RESPONSE_SHARE,
+            );
         if draw < error_limit {
             let was_processed = rng.bool();
             let processed = processed.iter().map(|is_processed| *is_processed && was_processed).collect();
@@ -319,7 +331,7 @@
             };
             return reply(EndpointResponse::Raw(bytes.to_vec(), end), processed, Vec::new());
         }
-        let extra = (draw < malformed_limit + spec.extras).then(|| rng.u8(..4));
+        let extra = (draw < malformed_limit + spec.extra_data_probability).then(|| rng.u8(..4));
         let is_single = call.items.len() == 1;
         let mut body = String::new();
         for (item, result) in call.items.iter().zip(&results) {
@@ -375,7 +387,7 @@
 
 impl CallHandler for PartnerEndpoint {
     fn resets_request(&self) -> bool {
-        let share = self.0.spec.request_resets;
+        let share = self.0.spec.request_reset_probability;
         share > 0.0 && self.0.state().rng.f64() < share
     }
 
--- a/crates/lab/tests/stand_ins.rs
+++ b/crates/lab/tests/stand_ins.rs
@@ -2,11 +2,11 @@
 
 use fawnspoke_lab::endpoint::{ConnectionLimits, Endpoint, EndpointResponse, Reply, SocketState};
 use fawnspoke_lab::http::HttpConnection;
-use fawnspoke_lab::ledger::MessageRegistry;
+use fawnspoke_lab::message_registry::MessageRegistry;
 use fawnspoke_lab::partner::{Partner, PartnerEndpoint, PartnerFault};
 use fawnspoke_lab::platform::{EndpointEntry, Platform};
 use fawnspoke_lab::record::*;
-use fawnspoke_lab::scenario::{self, Returning, Scenario};
+use fawnspoke_lab::scenario::{self, Recovery, Scenario};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -82,7 +82,7 @@
     for id in keyed_ids {
         registry.register(id, 7, Micros::MAX, Effect::Keyed, key_window);
     }
-    (Arc::new(Partner::new(spec, Returning::default(), 7, 3, 1, registry, recorder.clone())), recorder)
+    (Arc::new(Partner::new(spec, Recovery::default(), 7, 3, 1, registry, recorder.clone())), recorder)
 }
 
 async fn start_endpoint(partner: &Arc<Partner>, recorder: &Recorder) -> Endpoint {
