--- a/crates/lab/src/auditor.rs
+++ b/crates/lab/src/auditor.rs
@@ -508,14 +508,12 @@
         let process_start =
             self.processes.get(&dispatcher).and_then(|history| history.starts.last()).copied().unwrap_or(0);
         let grace = self.rules.retry_after_grace + self.rules.tolerance;
-        let Some(periods) = self.retry_afters.get_mut(&(dispatcher, destination)) else { return };
-        periods.retain(|(sent_at, valid_until)| *valid_until > at && *sent_at >= process_start);
-        let Some((sent_at, until)) = periods.iter().find(|(sent, _)| at > *sent + grace).copied() else {
-            return;
-        };
+        let Some(active) = self.retry_afters.get_mut(&(dispatcher, destination)) else { return };
+        active.retain(|(sent, until)| *until > at && *sent >= process_start);
+        let Some((sent, until)) = active.iter().find(|(sent, _)| at > *sent + grace).copied() else { return };
         let text = format!(
             "dispatcher {dispatcher} received a Retry-After at {:.3} that lasts to {:.3}, and called at {:.3}",
-            seconds(sent_at),
+            seconds(sent),
             seconds(until),
             seconds(at)
         );
--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -375,12 +375,12 @@
     if shared.handler.resets_request() {
         let idle_timeout = shared.limits.idle_timeout.unwrap_or(Duration::from_secs(3600));
         return match timeout(idle_timeout, http_connection.read_available()).await {
-            Ok(Ok(piece)) if !piece.is_empty() => NextStep::Reset,
+            Ok(Ok(bytes)) if !bytes.is_empty() => NextStep::Reset,
             _ => NextStep::Close,
         };
     }
     let request = match shared.limits.idle_timeout {
-        Some(idle) => match timeout(idle, http_connection.read_request()).await {
+        Some(idle_timeout) => match timeout(idle_timeout, http_connection.read_request()).await {
             Ok(request) => request,
             Err(_) => return NextStep::Close,
         },
@@ -509,8 +509,8 @@
             let complete = http::response_bytes(*status, "", b"the rest of it never comes\n");
             let line_end = complete.iter().position(|byte| *byte == b'\n').unwrap_or(0);
             let end = if *length > line_end { CallEnd::Truncated(*status) } else { CallEnd::Broken };
-            let piece = &complete[..(*length).min(complete.len() - 1)];
-            let written = http_connection.write(piece).await;
+            let prefix = &complete[..(*length).min(complete.len() - 1)];
+            let written = http_connection.write(prefix).await;
             // A reset discards what the other side has not read yet.
             sleep(Duration::from_millis(5)).await;
             or_closed(written, end, NextStep::Reset)
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -88,10 +88,10 @@
     }
 
     async fn fill_buffer(&mut self) -> io::Result<usize> {
-        let mut piece = [0; 16 * 1024];
-        let read = self.stream.read(&mut piece).await?;
-        self.buffer.extend_from_slice(&piece[..read]);
-        Ok(read)
+        let mut chunk = [0; 16 * 1024];
+        let length = self.stream.read(&mut chunk).await?;
+        self.buffer.extend_from_slice(&chunk[..length]);
+        Ok(length)
     }
 
     /// Waits for the other side to close. What it sends meanwhile is kept for the next read, up to the maximum size of
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -448,11 +448,11 @@
     }
 
     /// Adds an event at the present time. The time is taken with the record locked, so that times never decrease.
-    pub fn add(&self, what: Event) -> Micros {
+    pub fn add(&self, event: Event) -> Micros {
         let mut entries = self.lock();
         let at = self.now();
         if entries.len() < self.max_entries {
-            entries.push(Entry { at, event: what });
+            entries.push(Entry { at, event });
         }
         at
     }
