--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,11 +1,12 @@
-//! Plays a scenario: starts all stand-ins and the dispatchers, carries out the script, and gives the record.
+//! Plays a scenario: starts all stand-ins and the dispatchers, injects the script's faults, and returns the
+//! record of what the stand-ins observed.
 
 use crate::clients::Crowd;
 use crate::endpoint::{Door as Sockets, Endpoint, Traits};
 use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
 use crate::message_registry::Ledger;
-use crate::partner::{Door, Partner, Trouble as Ill};
+use crate::partner::{Door, Partner, Trouble as PartnerFault};
 use crate::platform::{Host, Platform};
 use crate::process::{Process, Program};
 use crate::record::{self, Effect, End, Entry, Listed, Micros, Recorder, Rules, Sig, What};
@@ -23,61 +24,62 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Entries of a record at most: a run of the largest scenario stays under it.
-const ENTRIES_MOST: usize = 8_000_000;
-/// After SIGTERM a process is killed no sooner than this (protocol page, "Figures").
+/// Most entries of a record; a run of the largest allowed scenario stays below it.
+const MAX_RECORD_ENTRIES: usize = 8_000_000;
+/// Shortest time between SIGTERM and SIGKILL (protocol page, "Figures").
 const KILL_AFTER: Duration = Duration::from_millis(3700);
-/// New connections go on coming for so long after SIGTERM.
-const FRONT_AFTER_TERM: Duration = Duration::from_millis(300);
-/// What is due by the rules is waited for, and so much more.
-const SETTLE: Duration = Duration::from_secs(4);
+/// Time after SIGTERM for which the load balancer still routes new connections to the dispatcher.
+const ROUTING_AFTER_TERM: Duration = Duration::from_millis(300);
+/// Time added to the longest deadline before the run ends with messages still pending.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// Where members of a fleet listen, each at its own address.
+/// Port on which members of a fleet listen, each at its own address.
 const MEMBERS_PORT: u16 = 7100;
 
-/// How a run is to be played.
+/// Options of a run.
 pub struct RunOptions {
-    /// What is run as a dispatcher.
+    /// The program that is run as a dispatcher.
     pub program: Program,
-    /// Where folders and logs of the dispatchers are kept.
+    /// Directory for the dispatchers' state and logs.
     pub folder: PathBuf,
-    /// Progress on standard error, once a second.
+    /// Whether to report progress on standard error, once per second.
     pub progress: bool,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct RunOutcome {
     /// The record.
     pub entries: Vec<Entry>,
-    /// Highest resident memory of each dispatcher, in KB.
+    /// Peak resident memory of each dispatcher, in KB.
     pub resident_kb: Vec<u64>,
-    /// Messages that found no dispatcher that would listen.
+    /// Messages for which no dispatcher accepted a connection.
     pub unreached_messages: usize,
-    /// Partners that were pushed over while they were cold.
+    /// Partners that collapsed under overload while they were cold.
     pub collapsed_partners: Vec<String>,
     /// Kills by the scenario's killer.
     pub kills: Kills,
     /// Upgrades by the scenario's upgrader.
     pub upgrades: Upgrades,
-    /// What the members of the scenario's fleet told, where it has one.
+    /// Summary of what the fleet's members logged, where the scenario has a fleet.
     pub fleet: Option<Told>,
 }
 
-/// Addresses of one run: a network of its own in 127.0.0.0/8, so that two runs at once do not meet.
+/// Addresses of one run: a random network within 127.0.0.0/8, so that concurrent runs do not collide.
 struct Network {
     base: [u8; 3],
-    /// Holds the network for as long as the run lasts.
-    _held: TcpListener,
+    /// A bound port that reserves the network for the duration of the run.
+    _reservation: TcpListener,
 }
 
 impl Network {
+    /// Reserves a random network.
     async fn draw() -> io::Result<Network> {
         let mut rng = fastrand::Rng::new();
         for _ in 0..100 {
             let base = [127, rng.u8(1..=254), rng.u8(..)];
-            let at = SocketAddr::from((Ipv4Addr::new(base[0], base[1], base[2], 254), 40404));
-            if let Ok(held) = TcpListener::bind(at).await {
-                return Ok(Network { base, _held: held });
+            let address = SocketAddr::from((Ipv4Addr::new(base[0], base[1], base[2], 254), 40404));
+            if let Ok(listener) = TcpListener::bind(address).await {
+                return Ok(Network { base, _reservation: listener });
             }
         }
         Err(io::Error::new(io::ErrorKind::AddrInUse, "no free network in 127.0.0.0/8"))
@@ -88,24 +90,24 @@
     }
 }
 
-/// All that is on stage.
-struct Stage {
+/// The stand-ins and dispatchers of a run.
+struct TestBed {
     scenario: Scenario,
     recorder: Recorder,
     platform: Platform,
     partners: Vec<Arc<Partner>>,
-    /// By partner; an endpoint that was replaced makes place for the new one.
+    /// Endpoints by partner; a replacement takes the slot of the endpoint that it replaces.
     endpoints: Mutex<Vec<Vec<Arc<Endpoint>>>>,
     processes: Vec<Process>,
     configs: Vec<Value>,
-    crowd: Arc<Crowd>,
+    clients: Arc<Crowd>,
     network: Network,
-    numbers: Arc<AtomicU64>,
-    renamed: AtomicU64,
+    next_call_number: Arc<AtomicU64>,
+    replacement_count: AtomicU64,
     rng: Mutex<fastrand::Rng>,
-    /// Highest resident memory, by dispatcher.
-    peaks: Peaks,
-    /// Between members of a fleet.
+    /// Peak resident memory in KB, by dispatcher.
+    peak_memory: PeakMemory,
+    /// Links between members of a fleet.
     relays: Relays,
 }
 
@@ -113,12 +115,13 @@
     (seconds * 1e6) as Micros
 }
 
-fn kind_name(batch: usize) -> String {
+/// Name of the kind of destinations with this batch size.
+fn destination_kind(batch: usize) -> String {
     format!("batch-{batch}")
 }
 
-/// The figures by which a scenario's record is judged.
-pub fn rules(scenario: &Scenario) -> Rules {
+/// The parameters by which the auditor judges a record of this scenario.
+pub fn audit_rules(scenario: &Scenario) -> Rules {
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
@@ -126,13 +129,13 @@
         aim: micros(class.target_latency_s),
         ordered: false,
     };
-    let place = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
+    let destination = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
         dest: i as u32 + 1,
         capacity: partner.capacity_per_s,
     };
     Rules {
         classes: scenario.classes.iter().map(class).collect(),
-        places: scenario.partners.iter().enumerate().map(place).collect(),
+        places: scenario.partners.iter().enumerate().map(destination).collect(),
         cold: micros(scenario.recovery.warm_up_s),
         cold_share: scenario.recovery.initial_capacity_share,
         multiple: scenario.recovery.overload_multiple,
@@ -142,8 +145,8 @@
     }
 }
 
-/// The configuration of a dispatcher, but for what its own start adds.
-fn configuration(scenario: &Scenario, index: usize, listen: SocketAddr) -> Value {
+/// The configuration of a dispatcher, without the values that are set at each start.
+fn dispatcher_config(scenario: &Scenario, index: usize, listen: SocketAddr) -> Value {
     let grades: Vec<_> = scenario
         .classes
         .iter()
@@ -161,215 +164,227 @@
     let mut batches: Vec<usize> = scenario.partners.iter().map(|partner| partner.max_batch).collect();
     batches.sort_unstable();
     batches.dedup();
-    let d = &scenario.dispatchers;
-    let returning = &scenario.recovery;
+    let dispatchers = &scenario.dispatchers;
+    let recovery = &scenario.recovery;
     let settings = json!({
-        "balancers": d.count, "discovery": "automatic", "tick": d.tick_ms / 1000.0, "weights": "nominal",
-        "zone": 0, "zones": ["lab"], "kinds": batches.iter().map(|batch| kind_name(*batch)).collect::<Vec<_>>(),
-        "family_info": {"call_slots": d.slots, "kind_apart": vec![false; batches.len()], "kind_batch": batches,
+        "balancers": dispatchers.count, "discovery": "automatic", "tick": dispatchers.tick_ms / 1000.0, "weights": "nominal",
+        "zone": 0, "zones": ["lab"], "kinds": batches.iter().map(|batch| destination_kind(*batch)).collect::<Vec<_>>(),
+        "family_info": {"call_slots": dispatchers.slots, "kind_apart": vec![false; batches.len()], "kind_batch": batches,
             "loses_worth": match scenario.value_decay { ValueDecay::ByHalf => "by_half", ValueDecay::Even => "even" }},
         "grades": grades,
-        "orgs": scenario.tenants.iter().map(|customer| json!({"name": customer.name,
-            "quota_per_s": customer.quota_per_s})).collect::<Vec<_>>(),
+        "orgs": scenario.tenants.iter().map(|tenant| json!({"name": tenant.name,
+            "quota_per_s": tenant.quota_per_s})).collect::<Vec<_>>(),
         "over_share_worth": 0.05,
-        "limits": {"connect_timeout": 1.5, "keepalive": shortest_idle(scenario), "max_retry_after": 3.0,
-            "open_cap": d.max_pending, "probes": scenario.probes, "send_cap": d.max_attempts},
+        "limits": {"connect_timeout": 1.5, "keepalive": shortest_idle_timeout(scenario), "max_retry_after": 3.0,
+            "open_cap": dispatchers.max_pending, "probes": scenario.probes, "send_cap": dispatchers.max_attempts},
         "report": {"fields": ["x0", "x1"], "source": "inline"},
-        "safety": {"cold": returning.warm_up_s, "cold_share": returning.initial_capacity_share, "fall": returning.overload_s,
-            "must_ask_in": 10.0, "tip_multiple": returning.overload_multiple},
+        "safety": {"cold": recovery.warm_up_s, "cold_share": recovery.initial_capacity_share, "fall": recovery.overload_s,
+            "must_ask_in": 10.0, "tip_multiple": recovery.overload_multiple},
     });
     json!({
         "name": format!("n{index}"), "listen": listen.to_string(), "seed": "0",
-        "limits": {"cores": 1.0, "memory_mb": d.memory_mb, "sockets": d.sockets, "disk_mb": d.disk_mb},
+        "limits": {"cores": 1.0, "memory_mb": dispatchers.memory_mb, "sockets": dispatchers.sockets, "disk_mb": dispatchers.disk_mb},
         "settings": settings,
     })
 }
 
-fn shortest_idle(scenario: &Scenario) -> f64 {
+/// The shortest idle timeout of all partners, as the dispatchers' keep-alive limit.
+fn shortest_idle_timeout(scenario: &Scenario) -> f64 {
     scenario.partners.iter().map(|partner| partner.idle_timeout_s).fold(f64::INFINITY, f64::min)
 }
 
 /// Plays a scenario by its script.
 ///
 /// # Errors
-/// What kept it from being set up; what goes wrong later is in the record.
+/// Where the run can't be set up or its record is too large; later failures show in the record.
 pub async fn run_scenario(
     scenario: &Scenario, script: &Script, options: &RunOptions,
 ) -> io::Result<RunOutcome> {
-    let recorder = Recorder::new(ENTRIES_MOST);
-    recorder.add(What::Rules(rules(scenario)));
-    let stage = set_up(scenario, script, options, recorder.clone()).await?;
-    let stage = Arc::new(stage);
-    for index in 0..stage.processes.len() {
-        stage.configure(index)?;
+    let recorder = Recorder::new(MAX_RECORD_ENTRIES);
+    recorder.add(What::Rules(audit_rules(scenario)));
+    let test_bed = set_up(scenario, script, options, recorder.clone()).await?;
+    let test_bed = Arc::new(test_bed);
+    for index in 0..test_bed.processes.len() {
+        test_bed.configure(index)?;
     }
     if scenario.fleet.voters > 0 {
-        fleet_faults::found(&options.program.path, &stage.processes[0].dir()).await?;
-    }
-    for (index, process) in stage.processes.iter().enumerate() {
-        process.start(stage.agent(index)?).await?;
-    }
-    let began = recorder.now();
-    let arriving = tokio::spawn(stage.crowd.clone().arrive(script.arrivals.clone(), began));
-    let watching = tokio::spawn(watch(stage.clone(), options.progress, began));
-    let mut turning = Vec::new();
-    for turn in script.faults.clone() {
-        let stage = stage.clone();
-        turning.push(tokio::spawn(async move {
-            tokio::time::sleep_until(stage.recorder.instant(began + turn.at).into()).await;
-            if let Err(error) = stage.turn(&turn).await {
-                // It shows in the record: the process did not come back, or the endpoint stayed away.
-                eprintln!("{:?} of {}: {error}", turn.kind, target_name(&stage.scenario, &turn));
+        fleet_faults::found(&options.program.path, &test_bed.processes[0].dir()).await?;
+    }
+    for (index, process) in test_bed.processes.iter().enumerate() {
+        process.start(test_bed.discovery_address(index)?).await?;
+    }
+    let run_start = recorder.now();
+    let arrivals_task = tokio::spawn(test_bed.clients.clone().arrive(script.arrivals.clone(), run_start));
+    let monitor_task = tokio::spawn(monitor(test_bed.clone(), options.progress, run_start));
+    let mut tasks = Vec::new();
+    for fault in script.faults.clone() {
+        let test_bed = test_bed.clone();
+        tasks.push(tokio::spawn(async move {
+            tokio::time::sleep_until(test_bed.recorder.instant(run_start + fault.at).into()).await;
+            if let Err(error) = test_bed.inject(&fault).await {
+                // The record shows it too: the process or the endpoint does not return.
+                eprintln!("{:?} of {}: {error}", fault.kind, target_name(&test_bed.scenario, &fault));
             }
         }));
     }
-    let counter = Arc::new(Counter::default());
-    let stop = stage.recorder.instant(began + micros(scenario.duration_s * 0.9));
-    for index in 0..stage.processes.len() {
-        let (stage, counter) = (stage.clone(), counter.clone());
+    let kill_counter = Arc::new(Counter::default());
+    let latest_start = test_bed.recorder.instant(run_start + micros(scenario.duration_s * 0.9));
+    for index in 0..test_bed.processes.len() {
+        let (test_bed, kill_counter) = (test_bed.clone(), kill_counter.clone());
         let mut rng = fastrand::Rng::with_seed(script.seed ^ (index as u64 + 1) << 32);
-        turning.push(tokio::spawn(async move {
-            let killer = &stage.scenario.killer;
-            while std::time::Instant::now() < stop
-                && counter.kill(killer, &stage.processes[index], &mut rng).await
+        tasks.push(tokio::spawn(async move {
+            let killer = &test_bed.scenario.killer;
+            while std::time::Instant::now() < latest_start
+                && kill_counter.kill(killer, &test_bed.processes[index], &mut rng).await
             {
-                if let Err(error) = stage.restart(index).await {
-                    eprintln!("dispatcher {index} after a kill: {error}");
+                if let Err(error) = test_bed.restart(index).await {
+                    eprintln!("dispatcher {index}: restart after a kill failed: {error}");
                     return;
                 }
             }
         }));
     }
     if scenario.fleet.fault_count > 0 {
-        let (stage, rng) = (stage.clone(), fastrand::Rng::with_seed(script.seed ^ 0xf1ee7));
-        let stop = stage.recorder.instant(began + micros(scenario.duration_s * 0.8));
-        turning.push(tokio::spawn(async move { stage.trouble(rng, stop).await }));
+        let (test_bed, rng) = (test_bed.clone(), fastrand::Rng::with_seed(script.seed ^ 0xf1ee7));
+        let latest_start = test_bed.recorder.instant(run_start + micros(scenario.duration_s * 0.8));
+        tasks.push(tokio::spawn(async move { test_bed.inject_fleet_faults(rng, latest_start).await }));
     }
     let upgrades = Arc::new(Mutex::new(Upgrades::default()));
-    for index in 0..stage.processes.len() {
-        let (stage, upgrades) = (stage.clone(), upgrades.clone());
+    for index in 0..test_bed.processes.len() {
+        let (test_bed, upgrades) = (test_bed.clone(), upgrades.clone());
         let mut rng = fastrand::Rng::with_seed(script.seed ^ (index as u64 + 101) << 32);
-        turning.push(tokio::spawn(async move {
-            let upgrader = &stage.scenario.upgrader;
-            let every = upgrader.interval_ms[0] * 1000..=upgrader.interval_ms[1] * 1000;
-            while std::time::Instant::now() < stop && Upgrades::begin(&upgrades, upgrader) {
-                sleep(Duration::from_micros(rng.u64(every.clone()))).await;
-                if let Err(error) = stage.upgrade(index, &upgrades, &mut rng).await {
-                    eprintln!("dispatcher {index} in an upgrade: {error}");
+        tasks.push(tokio::spawn(async move {
+            let upgrader = &test_bed.scenario.upgrader;
+            let interval_micros = upgrader.interval_ms[0] * 1000..=upgrader.interval_ms[1] * 1000;
+            while std::time::Instant::now() < latest_start && Upgrades::begin(&upgrades, upgrader) {
+                sleep(Duration::from_micros(rng.u64(interval_micros.clone()))).await;
+                if let Err(error) = test_bed.upgrade(index, &upgrades, &mut rng).await {
+                    eprintln!("dispatcher {index}: upgrade failed: {error}");
                     return;
                 }
             }
         }));
     }
-    let _ = arriving.await;
-    for turn in turning {
-        let _ = turn.await;
+    let _ = arrivals_task.await;
+    for fault in tasks {
+        let _ = fault.await;
     }
-    let longest = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
-    let until = recorder.now() + micros(longest) + SETTLE.as_micros() as Micros;
+    let max_deadline_s = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
+    let latest_end = recorder.now() + micros(max_deadline_s) + SETTLE_TIME.as_micros() as Micros;
     let mut progress = Progress::default();
     loop {
         sleep(Duration::from_millis(100)).await;
-        recorder.with(|entries| progress.follow(entries));
-        if (stage.crowd.active() == 0 && progress.open.is_empty()) || recorder.now() > until {
+        recorder.with(|entries| progress.update(entries));
+        if (test_bed.clients.active() == 0 && progress.pending.is_empty()) || recorder.now() > latest_end {
             break;
         }
     }
     recorder.add(What::Done);
-    watching.abort();
+    monitor_task.abort();
     let entries = recorder.entries();
     if recorder.full() {
-        return Err(io::Error::other("the record is full: the scenario is too large to be judged"));
+        return Err(io::Error::other("the record is full: the scenario is too large to be audited"));
     }
     let resident_kb = {
-        let peaks = stage.peaks.lock().unwrap_or_else(PoisonError::into_inner);
-        (0..stage.processes.len()).map(|i| peaks.get(&i).copied().unwrap_or(0)).collect()
+        let peak_memory = test_bed.peak_memory.lock().unwrap_or_else(PoisonError::into_inner);
+        (0..test_bed.processes.len()).map(|i| peak_memory.get(&i).copied().unwrap_or(0)).collect()
     };
-    for process in &stage.processes {
+    for process in &test_bed.processes {
         process.signal(Sig::Kill);
     }
-    for process in &stage.processes {
+    for process in &test_bed.processes {
         process.wait_for_exit(Duration::from_secs(10)).await;
     }
-    let fallen = stage.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
-    let fallen = fallen.map(|(_, spec)| spec.name.clone()).collect();
-    let kills = counter.kills();
+    let collapsed_partners =
+        test_bed.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
+    let collapsed_partners = collapsed_partners.map(|(_, partner_spec)| partner_spec.name.clone()).collect();
+    let kills = kill_counter.kills();
     let mut upgrades = std::mem::take(&mut *upgrades.lock().unwrap_or_else(PoisonError::into_inner));
-    for index in 0..stage.processes.len() {
+    for index in 0..test_bed.processes.len() {
         upgrades.read_log(&options.folder.join(format!("n{index}.log")));
     }
-    let members = (scenario.fleet.voters > 0).then_some(stage.processes.len());
+    let members = (scenario.fleet.voters > 0).then_some(test_bed.processes.len());
     let fleet = members.map(|count| fleet_faults::read_logs(&options.folder, count));
     Ok(RunOutcome {
         entries,
         resident_kb,
-        unreached_messages: stage.crowd.never(),
-        collapsed_partners: fallen,
+        unreached_messages: test_bed.clients.never(),
+        collapsed_partners,
         kills,
         upgrades,
         fleet,
     })
 }
 
+/// Starts the stand-ins and prepares the dispatchers' processes.
 async fn set_up(
     scenario: &Scenario, script: &Script, options: &RunOptions, recorder: Recorder,
-) -> io::Result<Stage> {
+) -> io::Result<TestBed> {
     let network = Network::draw().await?;
-    let count = scenario.dispatchers.count;
-    let (ledger, numbers) = (Arc::new(Ledger::default()), Arc::new(AtomicU64::new(1)));
-    let (mut partners, mut endpoints, mut hosts) = (Vec::new(), Vec::new(), Vec::new());
-    for (i, spec) in scenario.partners.iter().enumerate() {
-        let dest = i as u32 + 1;
+    let dispatcher_count = scenario.dispatchers.count;
+    let (message_registry, next_call_number) = (Arc::new(Ledger::default()), Arc::new(AtomicU64::new(1)));
+    let (mut partners, mut endpoints, mut list_entries) = (Vec::new(), Vec::new(), Vec::new());
+    for (i, partner_spec) in scenario.partners.iter().enumerate() {
+        let destination = i as u32 + 1;
         let partner = Arc::new(Partner::new(
-            spec.clone(),
+            partner_spec.clone(),
             scenario.recovery.clone(),
-            dest,
+            destination,
             scenario.dispatchers.max_attempts,
             script.seed,
-            ledger.clone(),
+            message_registry.clone(),
             recorder.clone(),
         ));
-        let mut own = Vec::new();
-        for n in 0..spec.endpoints {
-            // An address for each partner; its endpoints differ by port.
-            let at = vec![network.at(20 + (i % 200) as u8, 0); count];
-            let name = format!("{}-{n}", spec.name);
+        let mut partner_endpoints = Vec::new();
+        for endpoint_index in 0..partner_spec.endpoints {
+            // Each partner has an address of its own; its endpoints differ by port.
+            let addresses = vec![network.at(20 + (i % 200) as u8, 0); dispatcher_count];
+            let name = format!("{}-{endpoint_index}", partner_spec.name);
             let traits = Traits {
-                idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
-                connections: spec.max_connections,
+                idle: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
+                connections: partner_spec.max_connections,
             };
-            let door = Door(partner.clone(), n);
-            let endpoint =
-                Endpoint::start(&name, dest, &at, traits, door, recorder.clone(), numbers.clone()).await?;
-            hosts.push(host(scenario, i, &endpoint, count));
-            own.push(Arc::new(endpoint));
+            let endpoint_script = Door(partner.clone(), endpoint_index);
+            let endpoint = Endpoint::start(
+                &name,
+                destination,
+                &addresses,
+                traits,
+                endpoint_script,
+                recorder.clone(),
+                next_call_number.clone(),
+            )
+            .await?;
+            list_entries.push(list_entry(scenario, i, &endpoint, dispatcher_count));
+            partner_endpoints.push(Arc::new(endpoint));
         }
         partners.push(partner);
-        endpoints.push(own);
+        endpoints.push(partner_endpoints);
     }
-    let (platform, notices) = Platform::new(hosts, recorder.clone());
-    let (mut processes, mut configs, mut listens) = (Vec::new(), Vec::new(), Vec::new());
-    for index in 0..count {
+    let (platform, notices) = Platform::new(list_entries, recorder.clone());
+    let (mut processes, mut configs, mut listen_addresses) = (Vec::new(), Vec::new(), Vec::new());
+    for index in 0..dispatcher_count {
         let host = 1 + index as u8;
         platform.agent(index, network.at(host, 0)).await?;
-        // A port that was free just now, in a network that nobody else draws from.
+        // The port stays free: no other run uses this network.
         let listen = TcpListener::bind(network.at(host, 0)).await?.local_addr()?;
         let log = options.folder.join(format!("n{index}.log"));
         let program = options.program.clone();
         processes.push(Process::new(index, program, listen, &options.folder, log, recorder.clone())?);
-        configs.push(configuration(scenario, index, listen));
-        listens.push(listen);
+        configs.push(dispatcher_config(scenario, index, listen));
+        listen_addresses.push(listen);
     }
-    let folders: Vec<_> = processes.iter().map(Process::dir).collect();
+    let state_dirs: Vec<_> = processes.iter().map(Process::dir).collect();
     let relays = match scenario.fleet.voters {
         0 => Relays::new(),
         _ => {
-            fleet_faults::set_up(&scenario.fleet, &folders, |i| network.at(1 + i as u8, MEMBERS_PORT)).await?
+            fleet_faults::set_up(&scenario.fleet, &state_dirs, |i| network.at(1 + i as u8, MEMBERS_PORT))
+                .await?
         }
     };
-    let crowd = Crowd::new(scenario.clone(), recorder.clone(), ledger, listens);
-    tokio::spawn(crowd.clone().hear(notices));
-    Ok(Stage {
+    let clients = Crowd::new(scenario.clone(), recorder.clone(), message_registry, listen_addresses);
+    tokio::spawn(clients.clone().hear(notices));
+    Ok(TestBed {
         scenario: scenario.clone(),
         recorder,
         platform,
@@ -377,395 +392,421 @@
         endpoints: Mutex::new(endpoints),
         processes,
         configs,
-        crowd,
+        clients,
         network,
-        numbers,
-        renamed: AtomicU64::new(0),
+        next_call_number,
+        replacement_count: AtomicU64::new(0),
         rng: Mutex::new(fastrand::Rng::with_seed(script.seed)),
-        peaks: Mutex::default(),
+        peak_memory: Mutex::default(),
         relays,
     })
 }
 
-fn host(scenario: &Scenario, partner: usize, endpoint: &Endpoint, count: usize) -> Host {
-    let spec = &scenario.partners[partner];
-    let share = if spec.rate_limit == RateLimit::None {
-        spec.capacity_per_s
+/// The entry of a partner's endpoint in discovery's list.
+fn list_entry(scenario: &Scenario, partner: usize, endpoint: &Endpoint, dispatcher_count: usize) -> Host {
+    let partner_spec = &scenario.partners[partner];
+    let share = if partner_spec.rate_limit == RateLimit::None {
+        partner_spec.capacity_per_s
     } else {
-        spec.limit_per_s.min(spec.capacity_per_s)
+        partner_spec.limit_per_s.min(partner_spec.capacity_per_s)
     };
     Host {
         name: endpoint.name().into(),
-        dial: (0..count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
+        dial: (0..dispatcher_count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
         site: "lab".into(),
-        class: kind_name(spec.max_batch),
+        class: destination_kind(partner_spec.max_batch),
         block: partner as u32 + 1,
         state: Listed::Up,
         share,
     }
 }
 
-impl Stage {
-    fn agent(&self, index: usize) -> io::Result<SocketAddr> {
+impl TestBed {
+    /// The address at which a dispatcher reaches the platform.
+    fn discovery_address(&self, index: usize) -> io::Result<SocketAddr> {
         self.platform.at(index).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Writes a dispatcher's configuration as the platform would now.
+    /// Writes a dispatcher's configuration as the platform would at this moment.
     fn configure(&self, index: usize) -> io::Result<()> {
         let mut config = self.configs[index].clone();
-        config["discovery"] = self.agent(index)?.to_string().into();
+        config["discovery"] = self.discovery_address(index)?.to_string().into();
         config["known"] = self.platform.known(index);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
         config["seed"] = format!("{seed:016x}").into();
         self.processes[index].write_config(&config)
     }
 
+    /// The current endpoints of a partner.
     fn endpoints(&self, partner: usize) -> Vec<Arc<Endpoint>> {
         self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)[partner].clone()
     }
 
-    async fn doors(&self, partner: usize, door: Sockets) -> io::Result<()> {
+    /// Sets how the sockets of all endpoints of a partner behave.
+    async fn set_socket_states(&self, partner: usize, state: Sockets) -> io::Result<()> {
         for endpoint in self.endpoints(partner) {
-            endpoint.set_door(door).await?;
+            endpoint.set_door(state).await?;
         }
         Ok(())
     }
 
+    /// Starts a dispatcher again after its process has ended.
     async fn restart(&self, index: usize) -> io::Result<()> {
         let process = &self.processes[index];
         process.wait_for_exit(Duration::from_secs(10)).await;
         sleep(Duration::from_millis(self.scenario.dispatchers.restart_delay_ms)).await;
         self.configure(index)?;
-        process.start(self.agent(index)?).await?;
-        self.crowd.believe(index, true);
+        process.start(self.discovery_address(index)?).await?;
+        self.clients.believe(index, true);
         Ok(())
     }
 
-    /// One upgrade of a dispatcher; where no process is left, it is started again.
-    async fn upgrade(&self, index: usize, to: &Mutex<Upgrades>, rng: &mut fastrand::Rng) -> io::Result<()> {
+    /// Upgrades a dispatcher once; starts it again where no process survives.
+    async fn upgrade(
+        &self, index: usize, counts: &Mutex<Upgrades>, rng: &mut fastrand::Rng,
+    ) -> io::Result<()> {
         let control = TcpListener::bind(self.network.at(1 + index as u8, 0)).await?.local_addr()?;
         self.configure(index)?;
         let (upgrader, process) = (&self.scenario.upgrader, &self.processes[index]);
-        if !upgrade(upgrader, process, &self.recorder, (self.agent(index)?, control), to, rng).await? {
+        if !upgrade(upgrader, process, &self.recorder, (self.discovery_address(index)?, control), counts, rng)
+            .await?
+        {
             self.restart(index).await?;
         }
         Ok(())
     }
 
-    async fn outage(&self, turn: &FaultEvent, trouble: Ill, door: Sockets) -> io::Result<()> {
-        let partner = &self.partners[turn.target];
-        let refusing = door == Sockets::Refusing;
+    /// Makes a partner unavailable for the duration of a fault, then lets it recover cold.
+    async fn outage(
+        &self, fault: &FaultEvent, partner_fault: PartnerFault, socket_state: Sockets,
+    ) -> io::Result<()> {
+        let partner = &self.partners[fault.target];
+        let refusing = socket_state == Sockets::Refusing;
         self.recorder.add(What::Out { dest: partner.dest(), refusing });
-        partner.set(trouble);
-        self.doors(turn.target, door).await?;
-        sleep(Duration::from_micros(turn.duration)).await;
+        partner.set(partner_fault);
+        self.set_socket_states(fault.target, socket_state).await?;
+        sleep(Duration::from_micros(fault.duration)).await;
         partner.come_back();
-        self.doors(turn.target, Sockets::Open).await
+        self.set_socket_states(fault.target, Sockets::Open).await
     }
 
-    async fn turn(&self, turn: &FaultEvent) -> io::Result<()> {
-        let span = Duration::from_micros(turn.duration);
-        match turn.kind {
+    /// Injects one fault and waits for its end.
+    async fn inject(&self, fault: &FaultEvent) -> io::Result<()> {
+        let duration = Duration::from_micros(fault.duration);
+        match fault.kind {
             FaultKind::Kill => {
-                let process = &self.processes[turn.target];
+                let process = &self.processes[fault.target];
                 process.signal(Sig::Kill);
-                let [least, most] = self.scenario.clients.failure_detection_ms;
-                let notice = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(least..=most);
-                tokio::join!(self.restart(turn.target), async {
-                    sleep(Duration::from_millis(notice)).await;
-                    // Back before anybody noticed.
+                let [min, max] = self.scenario.clients.failure_detection_ms;
+                let detection_ms = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(min..=max);
+                tokio::join!(self.restart(fault.target), async {
+                    sleep(Duration::from_millis(detection_ms)).await;
+                    // It may have restarted before the load balancer detected its death.
                     if process.pid().is_none() {
-                        self.crowd.believe(turn.target, false);
+                        self.clients.believe(fault.target, false);
                     }
                 })
                 .0
             }
             FaultKind::Term => {
-                let process = &self.processes[turn.target];
+                let process = &self.processes[fault.target];
                 process.signal(Sig::Term);
-                sleep(FRONT_AFTER_TERM).await;
-                self.crowd.believe(turn.target, false);
-                if !process.wait_for_exit(KILL_AFTER - FRONT_AFTER_TERM).await {
+                sleep(ROUTING_AFTER_TERM).await;
+                self.clients.believe(fault.target, false);
+                if !process.wait_for_exit(KILL_AFTER - ROUTING_AFTER_TERM).await {
                     process.signal(Sig::Kill);
                 }
-                self.restart(turn.target).await
+                self.restart(fault.target).await
             }
             FaultKind::Stop => {
-                self.processes[turn.target].signal(Sig::Stop);
-                sleep(span).await;
-                self.processes[turn.target].signal(Sig::Cont);
+                self.processes[fault.target].signal(Sig::Stop);
+                sleep(duration).await;
+                self.processes[fault.target].signal(Sig::Cont);
                 Ok(())
             }
             FaultKind::Reload => {
-                let host = 1 + turn.target as u8;
-                self.platform.agent(turn.target, self.network.at(host, 0)).await?;
-                self.configure(turn.target)?;
-                self.processes[turn.target].signal(Sig::Hup);
+                let host = 1 + fault.target as u8;
+                self.platform.agent(fault.target, self.network.at(host, 0)).await?;
+                self.configure(fault.target)?;
+                self.processes[fault.target].signal(Sig::Hup);
                 Ok(())
             }
-            FaultKind::Down => self.outage(turn, Ill::None, Sockets::Refusing).await,
-            FaultKind::Silent => self.outage(turn, Ill::None, Sockets::Silent).await,
-            FaultKind::Hang => self.outage(turn, Ill::Hang, Sockets::Open).await,
-            FaultKind::Shut => self.outage(turn, Ill::Shut, Sockets::Open).await,
-            FaultKind::Errors => self.outage(turn, Ill::Errors, Sockets::Open).await,
+            FaultKind::Down => self.outage(fault, PartnerFault::None, Sockets::Refusing).await,
+            FaultKind::Silent => self.outage(fault, PartnerFault::None, Sockets::Silent).await,
+            FaultKind::Hang => self.outage(fault, PartnerFault::Hang, Sockets::Open).await,
+            FaultKind::Shut => self.outage(fault, PartnerFault::Shut, Sockets::Open).await,
+            FaultKind::Errors => self.outage(fault, PartnerFault::Errors, Sockets::Open).await,
             FaultKind::Slow | FaultKind::Cuts | FaultKind::Spoilt => {
-                let partner = &self.partners[turn.target];
-                partner.set(match turn.kind {
-                    FaultKind::Slow => Ill::Slow(turn.factor),
-                    FaultKind::Cuts => Ill::Cuts,
-                    _ => Ill::Spoilt,
+                let partner = &self.partners[fault.target];
+                partner.set(match fault.kind {
+                    FaultKind::Slow => PartnerFault::Slow(fault.factor),
+                    FaultKind::Cuts => PartnerFault::Cuts,
+                    _ => PartnerFault::Spoilt,
                 });
-                sleep(span).await;
-                partner.set(Ill::None);
+                sleep(duration).await;
+                partner.set(PartnerFault::None);
                 Ok(())
             }
             FaultKind::Drain => {
-                let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
+                let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
                 let Some(mut host) = self.platform.host(endpoint.name()) else { return Ok(()) };
                 host.state = Listed::Draining;
                 self.platform.list(host.clone());
-                sleep(span).await;
+                sleep(duration).await;
                 host.state = Listed::Removed;
                 self.platform.list(host);
-                // Gone from the list, it still stands for the rule's grace; then a new one comes.
+                // A removed endpoint still accepts calls for the grace period of the rules; then a new one replaces it.
                 sleep(Duration::from_millis(1500)).await;
-                self.newcomer(turn, endpoint).await
+                self.replace_endpoint(fault, endpoint).await
             }
             FaultKind::Replace => {
-                let Some(endpoint) = self.endpoints(turn.target).get(turn.endpoint).cloned() else {
+                let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
                 let Some(host) = self.platform.host(endpoint.name()) else { return Ok(()) };
                 self.platform.list(Host { state: Listed::Removed, ..host });
-                self.newcomer(turn, endpoint).await
+                self.replace_endpoint(fault, endpoint).await
             }
             FaultKind::PlatformSilent => {
                 self.platform.set(|mood| mood.silent = true);
-                sleep(span).await;
+                sleep(duration).await;
                 self.platform.set(|mood| mood.silent = false);
                 Ok(())
             }
             FaultKind::PlatformTorn => {
                 self.platform.set(|mood| mood.torn = true);
-                sleep(span).await;
+                sleep(duration).await;
                 self.platform.set(|mood| mood.torn = false);
                 Ok(())
             }
             FaultKind::PlatformLate => {
-                self.platform.set(|mood| mood.late = Duration::from_secs_f64(turn.factor));
-                sleep(span).await;
+                self.platform.set(|mood| mood.late = Duration::from_secs_f64(fault.factor));
+                sleep(duration).await;
                 self.platform.set(|mood| mood.late = Duration::ZERO);
                 Ok(())
             }
         }
     }
 
-    /// Trouble between the members of a fleet, until `stop`; then all is whole again.
-    async fn trouble(self: Arc<Stage>, mut rng: fastrand::Rng, stop: std::time::Instant) {
+    /// Injects random faults between the members of a fleet until `latest_start`, then restores all links.
+    async fn inject_fleet_faults(
+        self: Arc<TestBed>, mut rng: fastrand::Rng, latest_start: std::time::Instant,
+    ) {
         let fleet = &self.scenario.fleet;
         let count = self.processes.len();
-        let (mut ends, mut folders) = (Vec::new(), 0);
+        let (mut tasks, mut lost_state_dirs) = (Vec::new(), 0);
         sleep(Duration::from_secs_f64(fleet.first_fault_s)).await;
         for _ in 0..fleet.fault_count {
             sleep(Duration::from_micros(rng.u64(fleet.interval_ms[0] * 1000..=fleet.interval_ms[1] * 1000)))
                 .await;
-            if std::time::Instant::now() >= stop {
+            if std::time::Instant::now() >= latest_start {
                 break;
             }
-            let (stage, one, other) = (self.clone(), rng.usize(0..count), rng.usize(0..count));
-            let mut trouble = Trouble::draw(&mut rng);
-            while fleet.only_kind.as_ref().is_some_and(|only| !trouble.is(only)) {
-                trouble = Trouble::draw(&mut rng);
+            let (test_bed, member, peer) = (self.clone(), rng.usize(0..count), rng.usize(0..count));
+            let mut fault = Trouble::draw(&mut rng);
+            while fleet.only_kind.as_ref().is_some_and(|only_kind| !fault.is(only_kind)) {
+                fault = Trouble::draw(&mut rng);
             }
-            // A folder that is gone costs its fleet a voter until another is in its place.
-            if matches!(trouble, Trouble::Kill(Folder::Older | Folder::Emptied)) {
-                folders += 1;
-                if folders > 1 {
-                    trouble = Trouble::Kill(Folder::Kept);
+            // A member that loses its state is no voter until it has joined again, so only one member loses it in a run.
+            if matches!(fault, Trouble::Kill(Folder::Older | Folder::Emptied)) {
+                lost_state_dirs += 1;
+                if lost_state_dirs > 1 {
+                    fault = Trouble::Kill(Folder::Kept);
                 }
             }
             if rng.bool() {
                 fleet_faults::copy_aside(&self.processes[rng.usize(0..count)]);
             }
-            ends.push(tokio::spawn(async move { stage.one_trouble(trouble, one, other).await }));
+            tasks.push(tokio::spawn(async move { test_bed.inject_fleet_fault(fault, member, peer).await }));
         }
-        for end in ends {
-            let _ = end.await;
+        for task in tasks {
+            let _ = task.await;
         }
         fleet_faults::heal(&self.relays);
     }
 
-    async fn one_trouble(&self, trouble: Trouble, one: usize, other: usize) {
-        let process = &self.processes[one];
-        let after = |span: f64| sleep(Duration::from_secs_f64(span));
-        match trouble {
-            Trouble::Kill(folder) => {
+    /// Injects one fault into the fleet and waits for its end.
+    async fn inject_fleet_fault(&self, fault: Trouble, member: usize, peer: usize) {
+        let process = &self.processes[member];
+        let wait = |duration_s: f64| sleep(Duration::from_secs_f64(duration_s));
+        match fault {
+            Trouble::Kill(dir_fate) => {
                 if process.pid().is_none() {
                     return;
                 }
                 process.signal(Sig::Kill);
                 process.wait_for_exit(Duration::from_secs(10)).await;
-                fleet_faults::turn_back(process, folder);
-                if let Err(error) = self.restart(one).await {
-                    eprintln!("dispatcher {one} after a kill: {error}");
+                fleet_faults::turn_back(process, dir_fate);
+                if let Err(error) = self.restart(member).await {
+                    eprintln!("dispatcher {member}: restart after a kill failed: {error}");
                 }
             }
-            Trouble::Stop(span) => fleet_faults::stop(process, span).await,
-            Trouble::CutOff(says, hears, span) => {
-                fleet_faults::cut_off(&self.relays, one, says, hears);
-                after(span).await;
-                fleet_faults::cut_off(&self.relays, one, false, false);
+            Trouble::Stop(duration_s) => fleet_faults::stop(process, duration_s).await,
+            Trouble::CutOff(outgoing, incoming, duration_s) => {
+                fleet_faults::cut_off(&self.relays, member, outgoing, incoming);
+                wait(duration_s).await;
+                fleet_faults::cut_off(&self.relays, member, false, false);
             }
-            Trouble::Pair(there, back, span) => {
-                if let Some(relay) = self.relays.get(&(one, other)) {
-                    relay.set(|way| (way.forward_blocked, way.backward_blocked) = (there, back));
-                    after(span).await;
-                    relay.set(|way| (way.forward_blocked, way.backward_blocked) = (false, false));
+            Trouble::Pair(forward, backward, duration_s) => {
+                if let Some(relay) = self.relays.get(&(member, peer)) {
+                    relay.set(|link| (link.forward_blocked, link.backward_blocked) = (forward, backward));
+                    wait(duration_s).await;
+                    relay.set(|link| (link.forward_blocked, link.backward_blocked) = (false, false));
                 }
             }
-            Trouble::SlowThenCut(delay, span) => {
-                fleet_faults::slow(&self.relays, one, delay);
-                after(1.0).await;
-                // Answers to what it has asked are on their way yet.
-                fleet_faults::cut_off(&self.relays, one, true, false);
-                after(1.0).await;
-                fleet_faults::slow(&self.relays, one, 0.0);
-                after(span).await;
-                fleet_faults::cut_off(&self.relays, one, false, false);
+            Trouble::SlowThenCut(delay_s, duration_s) => {
+                fleet_faults::slow(&self.relays, member, delay_s);
+                wait(1.0).await;
+                // Responses to its earlier requests are still on their way.
+                fleet_faults::cut_off(&self.relays, member, true, false);
+                wait(1.0).await;
+                fleet_faults::slow(&self.relays, member, 0.0);
+                wait(duration_s).await;
+                fleet_faults::cut_off(&self.relays, member, false, false);
             }
-            Trouble::Slow(span, delay) => {
+            Trouble::Slow(duration_s, delay_s) => {
                 self.relays.values().for_each(|relay| {
-                    relay.set(|way| (way.delay_s, way.resets) = (delay, way.resets + 1));
+                    relay.set(|link| (link.delay_s, link.resets) = (delay_s, link.resets + 1));
                 });
-                after(span).await;
-                self.relays.values().for_each(|relay| relay.set(|way| way.delay_s = 0.0));
+                wait(duration_s).await;
+                self.relays.values().for_each(|relay| relay.set(|link| link.delay_s = 0.0));
             }
         }
     }
 
-    /// A new endpoint under a new name, at the address of one that is gone.
-    async fn newcomer(&self, turn: &FaultEvent, old: Arc<Endpoint>) -> io::Result<()> {
-        old.set_door(Sockets::Refusing).await?;
-        let spec = &self.scenario.partners[turn.target];
-        let count = self.scenario.dispatchers.count;
-        let at: Vec<_> = (0..count).filter_map(|dispatcher| old.at(dispatcher)).collect();
-        let number = self.renamed.fetch_add(1, Ordering::SeqCst);
-        let name = format!("{}-{}-new{number}", spec.name, turn.endpoint);
-        let partner = &self.partners[turn.target];
+    /// Starts a new endpoint with a new name at the addresses of a removed one.
+    async fn replace_endpoint(&self, fault: &FaultEvent, removed: Arc<Endpoint>) -> io::Result<()> {
+        removed.set_door(Sockets::Refusing).await?;
+        let partner_spec = &self.scenario.partners[fault.target];
+        let dispatcher_count = self.scenario.dispatchers.count;
+        let addresses: Vec<_> =
+            (0..dispatcher_count).filter_map(|dispatcher| removed.at(dispatcher)).collect();
+        let number = self.replacement_count.fetch_add(1, Ordering::SeqCst);
+        let name = format!("{}-{}-new{number}", partner_spec.name, fault.endpoint);
+        let partner = &self.partners[fault.target];
         let traits = Traits {
-            idle: Some(Duration::from_secs_f64(spec.idle_timeout_s)),
-            connections: spec.max_connections,
+            idle: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
+            connections: partner_spec.max_connections,
         };
-        let door = Door(partner.clone(), turn.endpoint);
-        let (recorder, numbers) = (self.recorder.clone(), self.numbers.clone());
-        let endpoint = Endpoint::start(&name, partner.dest(), &at, traits, door, recorder, numbers).await?;
-        self.platform.list(host(&self.scenario, turn.target, &endpoint, count));
+        let endpoint_script = Door(partner.clone(), fault.endpoint);
+        let (recorder, next_call_number) = (self.recorder.clone(), self.next_call_number.clone());
+        let endpoint = Endpoint::start(
+            &name,
+            partner.dest(),
+            &addresses,
+            traits,
+            endpoint_script,
+            recorder,
+            next_call_number,
+        )
+        .await?;
+        self.platform.list(list_entry(&self.scenario, fault.target, &endpoint, dispatcher_count));
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(place) = endpoints[turn.target].get_mut(turn.endpoint) {
-            *place = Arc::new(endpoint);
+        if let Some(slot) = endpoints[fault.target].get_mut(fault.endpoint) {
+            *slot = Arc::new(endpoint);
         }
         Ok(())
     }
 }
 
-/// Follows a record as it grows: what is under way, for the end of the run and for who watches it.
+/// Follows a growing record: which messages are pending, for the end of the run and for progress reports.
 #[derive(Default)]
 struct Progress {
-    seen: usize,
-    /// Taken on and not yet over.
-    open: HashMap<String, ()>,
+    processed: usize,
+    /// Messages that were accepted and have not ended yet.
+    pending: HashMap<String, ()>,
     calls: HashMap<u64, Vec<String>>,
-    /// Over before the client had read that they were taken.
-    early: HashMap<String, ()>,
-    taken: u64,
+    /// Messages that ended before the client had read the response that accepted them.
+    ended_early: HashMap<String, ()>,
+    accepted: u64,
     delivered: u64,
-    noticed: u64,
-    refused: u64,
+    notices: u64,
+    rejected: u64,
 }
 
 impl Progress {
-    fn follow(&mut self, entries: &[Entry]) {
-        for entry in &entries[self.seen.min(entries.len())..] {
+    fn update(&mut self, entries: &[Entry]) {
+        for entry in &entries[self.processed.min(entries.len())..] {
             match &entry.what {
                 What::Answered { id, status: 200 | 202 } => {
-                    self.taken += 1;
-                    if self.early.remove(id).is_none() {
-                        self.open.insert(id.clone(), ());
+                    self.accepted += 1;
+                    if self.ended_early.remove(id).is_none() {
+                        self.pending.insert(id.clone(), ());
                     }
                 }
-                What::Answered { status: 429 | 503, .. } => self.refused += 1,
+                What::Answered { status: 429 | 503, .. } => self.rejected += 1,
                 What::Call { call, items, .. } => {
                     self.calls.insert(*call, items.iter().map(|item| item.id.clone()).collect());
                 }
                 What::Ended { call, how, fates, .. } => {
                     let ids = self.calls.remove(call).unwrap_or_default();
                     for (i, id) in ids.iter().enumerate() {
-                        let alone = ids.len() == 1;
-                        let over = match (how, fates.get(i)) {
-                            (End::Answered(200) | End::Cut(200), _) if alone => true,
+                        let single = ids.len() == 1;
+                        let ended = match (how, fates.get(i)) {
+                            (End::Answered(200) | End::Cut(200), _) if single => true,
                             (End::Answered(200), Some(fate)) => {
                                 matches!(fate, record::Fate::Delivered | record::Fate::Over)
                             }
                             (End::Answered(410), _) => true,
                             _ => false,
                         };
-                        if over {
+                        if ended {
                             self.delivered += 1;
-                            self.close(id);
+                            self.finish(id);
                         }
                     }
                 }
                 What::Notice { id, status: 204, .. } => {
-                    self.noticed += 1;
-                    self.close(id);
+                    self.notices += 1;
+                    self.finish(id);
                 }
                 _ => {}
             }
         }
-        self.seen = entries.len();
+        self.processed = entries.len();
     }
 
-    fn close(&mut self, id: &str) {
-        if self.open.remove(id).is_none() {
-            self.early.insert(id.into(), ());
+    fn finish(&mut self, id: &str) {
+        if self.pending.remove(id).is_none() {
+            self.ended_early.insert(id.into(), ());
         }
     }
 }
 
-/// Tells how the run goes, and keeps the dispatchers' highest memory.
-async fn watch(stage: Arc<Stage>, progress: bool, began: Micros) {
-    let mut state = Progress::default();
-    let mut turns = 0;
+/// Reports progress, and tracks the dispatchers' peak memory.
+async fn monitor(test_bed: Arc<TestBed>, progress: bool, run_start: Micros) {
+    let mut counts = Progress::default();
+    let mut ticks = 0;
     loop {
         sleep(Duration::from_millis(250)).await;
-        for (i, process) in stage.processes.iter().enumerate() {
+        for (i, process) in test_bed.processes.iter().enumerate() {
             if let Some(kb) = process.resident_kb() {
-                let mut peaks = stage.peaks.lock().unwrap_or_else(PoisonError::into_inner);
-                let peak = peaks.entry(i).or_default();
+                let mut peak_memory = test_bed.peak_memory.lock().unwrap_or_else(PoisonError::into_inner);
+                let peak = peak_memory.entry(i).or_default();
                 *peak = kb.max(*peak);
             }
         }
-        turns += 1;
-        if progress && turns % 4 == 0 {
-            stage.recorder.with(|entries| state.follow(entries));
-            let seconds = (stage.recorder.now() - began) as f64 / 1e6;
-            let up = stage.processes.iter().filter(|process| process.pid().is_some()).count();
+        ticks += 1;
+        if progress && ticks % 4 == 0 {
+            test_bed.recorder.with(|entries| counts.update(entries));
+            let seconds = (test_bed.recorder.now() - run_start) as f64 / 1e6;
+            let up = test_bed.processes.iter().filter(|process| process.pid().is_some()).count();
             eprintln!(
-                "{seconds:5.1} s  {up} of {} dispatchers up  taken {}  delivered {}  notices {}  refused {}  held {}",
-                stage.processes.len(),
-                state.taken,
-                state.delivered,
-                state.noticed,
-                state.refused,
-                state.open.len()
+                "{seconds:5.1} s  {up} of {} dispatchers up  accepted {}  delivered {}  notices {}  rejected {}  pending {}",
+                test_bed.processes.len(),
+                counts.accepted,
+                counts.delivered,
+                counts.notices,
+                counts.rejected,
+                counts.pending.len()
             );
         }
     }
 }
 
-/// A folder for one run below `parent`, made anew.
+/// Creates a new directory for one run below `parent`.
 ///
 /// # Errors
 /// Those of the file system.
@@ -776,4 +817,4 @@
     Ok(folder)
 }
 
-type Peaks = Mutex<BTreeMap<usize, u64>>;
+type PeakMemory = Mutex<BTreeMap<usize, u64>>;
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -1,52 +1,52 @@
-//! The script of a run: all arrivals and faults, drawn from the scenario and its seed before anything starts.
-//! The same seed gives the same script, to the letter.
+//! The script of a run: all arrivals and faults, generated from a scenario and a seed before anything starts.
+//! The same seed generates exactly the same script.
 
 use crate::record::{Micros, digest};
 use crate::scenario::{FaultKind, RandomFaults, Scenario};
 use std::fmt::Write;
 
-/// One message that comes to be handed in.
+/// One message that a client submits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time of the first submission.
     pub at: Micros,
-    /// Its id at its first hand-in; later ones add to it.
+    /// Message id of the first submission; later submissions append a number to it.
     pub id: String,
-    /// Its class, an index of the scenario's.
+    /// Index of its class in the scenario.
     pub class: usize,
-    /// Its partner, an index of the scenario's.
+    /// Index of its partner in the scenario.
     pub partner: usize,
     /// Length of its body.
     pub body_bytes: usize,
-    /// What its client draws from: whom it asks, whether it comes again.
+    /// Seed of the client's own choices: which dispatcher it calls and whether it retries.
     pub seed: u64,
 }
 
-/// One thing that goes wrong, or ends to.
+/// One fault with its start and duration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FaultEvent {
-    /// When.
+    /// Start of the fault.
     pub at: Micros,
-    /// What.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// For how long.
+    /// Duration of the fault.
     pub duration: Micros,
-    /// The dispatcher, or the partner.
+    /// Index of the target dispatcher or partner.
     pub target: usize,
-    /// The endpoint.
+    /// Index of the partner's endpoint.
     pub endpoint: usize,
-    /// How much.
+    /// Slowdown factor, or seconds of delay.
     pub factor: f64,
 }
 
-/// All that is set before a run begins.
+/// Everything that is determined before a run begins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
     /// The seed.
     pub seed: u64,
-    /// Messages, by time.
+    /// Arrivals in the order of their times.
     pub arrivals: Vec<Arrival>,
-    /// Faults, by time.
+    /// Faults in the order of their starts.
     pub faults: Vec<FaultEvent>,
 }
 
@@ -54,12 +54,12 @@
     (seconds * 1e6) as Micros
 }
 
-/// An index drawn by weight.
-fn pick(rng: &mut fastrand::Rng, weights: &[f64]) -> usize {
-    let mut left = rng.f64() * weights.iter().sum::<f64>();
+/// Draws an index with a probability proportional to its weight.
+fn weighted_index(rng: &mut fastrand::Rng, weights: &[f64]) -> usize {
+    let mut remaining = rng.f64() * weights.iter().sum::<f64>();
     for (i, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return i;
         }
     }
@@ -67,35 +67,35 @@
 }
 
 impl Script {
-    /// Draws the script of a scenario.
+    /// Generates the script of a scenario.
     pub fn generate(scenario: &Scenario, seed: u64) -> Script {
-        // Faults and arrivals draw from streams of their own: more of one moves none of the other.
+        // Arrivals and faults use separate random streams: a change of one does not change the other.
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut coming, mut failing) = (rng.fork(), rng.fork());
-        let classes: Vec<f64> = scenario.classes.iter().map(|class| class.weight).collect();
-        let partners: Vec<f64> = scenario.partners.iter().map(|partner| partner.weight).collect();
+        let (mut arrival_rng, mut fault_rng) = (rng.fork(), rng.fork());
+        let class_weights: Vec<f64> = scenario.classes.iter().map(|class| class.weight).collect();
+        let partner_weights: Vec<f64> = scenario.partners.iter().map(|partner| partner.weight).collect();
         let mut arrivals = Vec::new();
         let mut at = 0.0;
         loop {
-            at += -(1.0 - coming.f64()).ln() / scenario.clients.messages_per_s;
+            at += -(1.0 - arrival_rng.f64()).ln() / scenario.clients.messages_per_s;
             if at >= scenario.duration_s {
                 break;
             }
-            let class = pick(&mut coming, &classes);
-            let partner = pick(&mut coming, &partners);
-            let body = scenario.classes[class].body_bytes;
-            let length = coming.usize(body[0]..=body[1]);
-            let id = format!("{:012x}{:04x}", arrivals.len(), coming.u16(..));
+            let class = weighted_index(&mut arrival_rng, &class_weights);
+            let partner = weighted_index(&mut arrival_rng, &partner_weights);
+            let body_range = scenario.classes[class].body_bytes;
+            let body_bytes = arrival_rng.usize(body_range[0]..=body_range[1]);
+            let id = format!("{:012x}{:04x}", arrivals.len(), arrival_rng.u16(..));
             arrivals.push(Arrival {
                 at: micros(at),
                 id,
                 class,
                 partner,
-                body_bytes: length,
-                seed: coming.u64(..),
+                body_bytes,
+                seed: arrival_rng.u64(..),
             });
         }
-        let mut turns: Vec<FaultEvent> = scenario
+        let mut faults: Vec<FaultEvent> = scenario
             .faults
             .iter()
             .map(|fault| {
@@ -110,74 +110,76 @@
                 }
             })
             .collect();
-        add_random_faults(scenario, &scenario.random_faults, &mut failing, &mut turns);
-        turns.sort_by_key(|turn| turn.at);
-        Script { seed, arrivals, faults: turns }
+        add_random_faults(scenario, &scenario.random_faults, &mut fault_rng, &mut faults);
+        faults.sort_by_key(|fault| fault.at);
+        Script { seed, arrivals, faults }
     }
 
-    /// The script as text, a line an event; equal texts are equal scripts.
+    /// The script as text, one line per event. Equal texts mean equal scripts.
     pub fn text(&self, scenario: &Scenario) -> String {
         let mut text = format!("seed {}\n", self.seed);
         let seconds = |at: Micros| at as f64 / 1e6;
-        let mut turns = self.faults.iter().peekable();
+        let mut faults = self.faults.iter().peekable();
         for arrival in &self.arrivals {
-            while let Some(turn) = turns.next_if(|turn| turn.at <= arrival.at) {
-                describe(&mut text, scenario, turn);
+            while let Some(fault) = faults.next_if(|fault| fault.at <= arrival.at) {
+                describe(&mut text, scenario, fault);
             }
             let (class, partner) =
                 (&scenario.classes[arrival.class].name, &scenario.partners[arrival.partner].name);
-            let Arrival { id, body_bytes: length, seed, .. } = arrival;
+            let Arrival { id, body_bytes, seed, .. } = arrival;
             // Writing to a string cannot fail.
             let _ = writeln!(
                 text,
-                "{:.6} {id} {class} to {partner}, {length} bytes, {seed:016x}",
+                "{:.6} {id} {class} to {partner}, {body_bytes} bytes, {seed:016x}",
                 seconds(arrival.at)
             );
         }
-        turns.for_each(|turn| describe(&mut text, scenario, turn));
+        faults.for_each(|fault| describe(&mut text, scenario, fault));
         text
     }
 
-    /// A digest of the script's text.
+    /// Digest of the script's text.
     pub fn digest(&self, scenario: &Scenario) -> u64 {
         digest(self.text(scenario).as_bytes())
     }
 }
 
-/// Whom a turn befalls, in words.
-pub fn target_name(scenario: &Scenario, turn: &FaultEvent) -> String {
-    if turn.kind.targets_dispatcher() {
-        format!("dispatcher {}", turn.target)
-    } else if turn.kind.targets_platform() {
+/// Names a fault's target.
+pub fn target_name(scenario: &Scenario, fault: &FaultEvent) -> String {
+    if fault.kind.targets_dispatcher() {
+        format!("dispatcher {}", fault.target)
+    } else if fault.kind.targets_platform() {
         "the platform".into()
     } else {
-        let name = &scenario.partners[turn.target].name;
-        match turn.kind {
-            FaultKind::Drain | FaultKind::Replace => format!("endpoint {} of {name}", turn.endpoint),
+        let name = &scenario.partners[fault.target].name;
+        match fault.kind {
+            FaultKind::Drain | FaultKind::Replace => format!("endpoint {} of {name}", fault.endpoint),
             _ => name.clone(),
         }
     }
 }
 
-fn describe(text: &mut String, scenario: &Scenario, turn: &FaultEvent) {
-    let (at, span) = (turn.at as f64 / 1e6, turn.duration as f64 / 1e6);
+/// Appends the line of one fault.
+fn describe(text: &mut String, scenario: &Scenario, fault: &FaultEvent) {
+    let (start, duration) = (fault.at as f64 / 1e6, fault.duration as f64 / 1e6);
     // Writing to a string cannot fail.
     let _ = writeln!(
         text,
-        "{at:.6} ! {:?} of {} for {span:.3} s, {:.2}",
-        turn.kind,
-        target_name(scenario, turn),
-        turn.factor
+        "{start:.6} ! {:?} of {} for {duration:.3} s, {:.2}",
+        fault.kind,
+        target_name(scenario, fault),
+        fault.factor
     );
 }
 
-/// Faults by chance: none in the first tenth of the run, all over before its last tenth.
+/// Adds the scenario's random faults. None starts in the first tenth of the run, and all end before its last
+/// tenth.
 fn add_random_faults(
-    scenario: &Scenario, random: &RandomFaults, rng: &mut fastrand::Rng, turns: &mut Vec<FaultEvent>,
+    scenario: &Scenario, random: &RandomFaults, rng: &mut fastrand::Rng, faults: &mut Vec<FaultEvent>,
 ) {
-    let length = scenario.duration_s;
+    let run_s = scenario.duration_s;
     let outages = [FaultKind::Down, FaultKind::Silent, FaultKind::Hang, FaultKind::Shut, FaultKind::Errors];
-    let wishes: [(usize, &[FaultKind]); 9] = [
+    let requests: [(usize, &[FaultKind]); 9] = [
         (random.kills, &[FaultKind::Kill]),
         (random.planned_restarts, &[FaultKind::Term]),
         (random.pauses, &[FaultKind::Stop]),
@@ -191,42 +193,42 @@
             &[FaultKind::PlatformSilent, FaultKind::PlatformTorn, FaultKind::PlatformLate],
         ),
     ];
-    for (count, kinds) in wishes {
+    for (count, kinds) in requests {
         for _ in 0..count.min(1000) {
             let kind = kinds[rng.usize(..kinds.len())];
-            let span = match kind {
+            let duration_s = match kind {
                 FaultKind::Kill | FaultKind::Term | FaultKind::Reload | FaultKind::Replace => 0.0,
                 FaultKind::Stop => 0.2 + rng.f64(),
                 FaultKind::Drain => 1.5 + rng.f64() * 2.0,
-                _ => length * (0.1 + 0.15 * rng.f64()),
+                _ => run_s * (0.1 + 0.15 * rng.f64()),
             };
             let factor = match kind {
                 FaultKind::Slow => 3.0 + rng.f64() * 9.0,
                 FaultKind::PlatformLate => 0.5 + rng.f64() * 3.0,
                 _ => 1.0,
             };
-            // A place that is free: some tries, then the wish is left out.
+            // Looks for a time and a target that are free; the fault is skipped when none is found.
             for _ in 0..50 {
-                let at = length * 0.1 + rng.f64() * (length * 0.8 - span).max(0.0);
-                let whom = if kind.targets_dispatcher() {
+                let at = run_s * 0.1 + rng.f64() * (run_s * 0.8 - duration_s).max(0.0);
+                let target = if kind.targets_dispatcher() {
                     rng.usize(..scenario.dispatchers.count)
                 } else if kind.targets_platform() {
                     0
                 } else {
                     rng.usize(..scenario.partners.len())
                 };
-                let endpoints = scenario.partners.get(whom).map_or(1, |partner| partner.endpoints);
+                let endpoints = scenario.partners.get(target).map_or(1, |partner| partner.endpoints);
                 let endpoint = rng.usize(..endpoints);
-                let turn = FaultEvent {
+                let fault = FaultEvent {
                     at: micros(at),
                     kind,
-                    duration: micros(span),
-                    target: whom,
+                    duration: micros(duration_s),
+                    target,
                     endpoint,
                     factor,
                 };
-                if !turns.iter().any(|other| collide(other, &turn)) {
-                    turns.push(turn);
+                if !faults.iter().any(|other| conflicts(other, &fault)) {
+                    faults.push(fault);
                     break;
                 }
             }
@@ -234,12 +236,13 @@
     }
 }
 
-/// Whether two faults befall the same one at the same time, or one dispatcher again before it can be back.
-fn collide(one: &FaultEvent, other: &FaultEvent) -> bool {
-    let domain = |turn: &FaultEvent| (turn.kind.targets_dispatcher(), turn.kind.targets_platform());
-    let room = if one.kind.targets_dispatcher() { 5_500_000 } else { 200_000 };
+/// Whether two faults overlap on the same target, with a margin for the target's recovery.
+fn conflicts(one: &FaultEvent, other: &FaultEvent) -> bool {
+    let domain = |fault: &FaultEvent| (fault.kind.targets_dispatcher(), fault.kind.targets_platform());
+    // Microseconds. A dispatcher may take 3.7 s to shut down and needs time to restart.
+    let margin_micros = if one.kind.targets_dispatcher() { 5_500_000 } else { 200_000 };
     domain(one) == domain(other)
         && one.target == other.target
-        && one.at < other.at + other.duration + room
-        && other.at < one.at + one.duration + room
+        && one.at < other.at + other.duration + margin_micros
+        && other.at < one.at + one.duration + margin_micros
 }
