--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -1,7 +1,7 @@
 //! The lab's subcommands.
 
 use crate::auditor::audit as judge;
-use crate::fleet_measurements::{self, Fault};
+use crate::fleet_measurements::{self, HolderFault};
 use crate::killer::Kills;
 use crate::process::Program;
 use crate::record;
@@ -85,8 +85,8 @@
     match record::load(path) {
         Ok(entries) => {
             let verdict = judge(&entries);
-            print!("{}{}", summary::classes(&verdict), summary::verdict(&verdict));
-            code(verdict.clean())
+            print!("{}{}", summary::format_classes(&verdict), summary::format_verdict(&verdict));
+            code(verdict.is_clean())
         }
         Err(error) => wrong(error),
     }
@@ -107,7 +107,10 @@
 pub fn losses(folder: &Path, before: Option<&Path>, json: bool) -> ExitCode {
     const SPAN: f64 = 1.0;
     let read = |folder: &Path| {
-        Ok::<_, String>(loss::losses(&fleet_counters::FleetCounters::read_logs(folder, SPAN)?, SPAN))
+        Ok::<_, String>(loss::losses_by_destination(
+            &fleet_counters::FleetCounters::read_logs(folder, SPAN)?,
+            SPAN,
+        ))
     };
     let (after, before) = match (read(folder), before.map(read).transpose()) {
         (Ok(after), Ok(before)) => (after, before),
@@ -116,7 +119,7 @@
     if json {
         println!("{}", serde_json::json!({ "before": before, "after": after }));
     } else {
-        print!("{}", loss::text(before.as_ref(), &after));
+        print!("{}", loss::format_losses(before.as_ref(), &after));
     }
     ExitCode::SUCCESS
 }
@@ -134,7 +137,7 @@
 }
 
 /// Measures throughput and latency beside a plain proxy.
-pub fn bench(settings: &bench::Settings) -> ExitCode {
+pub fn bench(settings: &bench::BenchSettings) -> ExitCode {
     let folder = match runner::create_run_dir(&std::env::temp_dir()) {
         Ok(folder) => folder,
         Err(error) => return wrong(error),
@@ -144,7 +147,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     match measured {
         Ok(measured) => {
-            print!("{}", bench::text(&measured));
+            print!("{}", bench::format_results(&measured));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -160,10 +163,11 @@
         let folder = runner::create_run_dir(&std::env::temp_dir())?;
         let mut clean = true;
         for term in terms {
-            for fault in [Fault::Kill, Fault::Stall, Fault::Cut, Fault::Word] {
-                let measured = fleet_measurements::handing_on(&program, &folder, *term, fault, times)?;
+            for fault in [HolderFault::Kill, HolderFault::Stall, HolderFault::Cut, HolderFault::Word] {
+                let measured =
+                    fleet_measurements::measure_duty_failover(&program, &folder, *term, fault, times)?;
                 println!("{measured}");
-                clean &= measured.faults.is_empty();
+                clean &= measured.violations.is_empty();
             }
         }
         std::fs::remove_dir_all(folder)?;
@@ -177,7 +181,10 @@
     let measured = std::env::current_exe().and_then(|program| {
         let folder = runner::create_run_dir(&std::env::temp_dir())?;
         for fleet in [false, true] {
-            println!("{}", fleet_measurements::tried(&program, &folder, count, fleet, out_s, a_second)?);
+            println!(
+                "{}",
+                fleet_measurements::measure_outage_cost(&program, &folder, count, fleet, out_s, a_second)?
+            );
         }
         std::fs::remove_dir_all(folder)
     });
@@ -190,7 +197,16 @@
         let folder = runner::create_run_dir(&std::env::temp_dir())?;
         for count in counts {
             for fleet in [false, true] {
-                println!("{}", fleet_measurements::rest(&program, &folder, *count as usize, fleet, seconds)?);
+                println!(
+                    "{}",
+                    fleet_measurements::measure_idle_cost(
+                        &program,
+                        &folder,
+                        *count as usize,
+                        fleet,
+                        seconds
+                    )?
+                );
             }
         }
         std::fs::remove_dir_all(folder)
@@ -278,7 +294,7 @@
         record::save(path, &outcome.entries)?;
     }
     let verdict = judge(&outcome.entries);
-    print!("{}", summary::classes(&verdict));
+    print!("{}", summary::format_classes(&verdict));
     let memory: Vec<String> =
         outcome.resident_kb.iter().map(|kb| format!("{:.1}", *kb as f64 / 1024.0)).collect();
     println!("resident memory of the dispatchers at most: {} MB", memory.join(", "));
@@ -298,11 +314,11 @@
     if !outcome.collapsed_partners.is_empty() {
         println!("fell over: {}", outcome.collapsed_partners.join(", "));
     }
-    print!("{}", summary::verdict(&verdict));
+    print!("{}", summary::format_verdict(&verdict));
     let told = outcome.fleet.unwrap_or_default();
     if told.epochs > 0 {
         println!("the fleet: {} acts under {} epochs, {} breaks", told.acts, told.epochs, told.faults.len());
         told.faults.iter().take(FAULTS_SHOWN).for_each(|fault| println!("  {fault}"));
     }
-    Ok(verdict.clean() && told.faults.is_empty())
+    Ok(verdict.is_clean() && told.faults.is_empty())
 }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -1,15 +1,17 @@
 //! Plays a scenario: starts all stand-ins and the dispatchers, injects the script's faults, and returns the
 //! record of what the stand-ins observed.
 
-use crate::clients::Crowd;
-use crate::endpoint::{Door as Sockets, Endpoint, Traits};
+use crate::clients::SimulatedClients;
+use crate::endpoint::{ConnectionLimits, Endpoint, SocketState};
 use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
 use crate::killer::{Counter, Kills};
-use crate::message_registry::Ledger;
-use crate::partner::{Door, Partner, Trouble as PartnerFault};
-use crate::platform::{Host, Platform};
+use crate::message_registry::MessageRegistry;
+use crate::partner::{Partner, PartnerEndpoint, PartnerFault};
+use crate::platform::{EndpointEntry, Platform};
 use crate::process::{Process, Program};
-use crate::record::{self, Effect, End, Entry, Listed, Micros, Recorder, Rules, Sig, What};
+use crate::record::{
+    self, CallEnd, Effect, EndpointState, Entry, Event, Micros, ProcessSignal, Recorder, Rules,
+};
 use crate::scenario::{FaultKind, RateLimit, Scenario, ValueDecay};
 use crate::script::{FaultEvent, Script, target_name};
 use crate::upgrader::{Upgrades, upgrade};
@@ -100,7 +102,7 @@
     endpoints: Mutex<Vec<Vec<Arc<Endpoint>>>>,
     processes: Vec<Process>,
     configs: Vec<Value>,
-    clients: Arc<Crowd>,
+    clients: Arc<SimulatedClients>,
     network: Network,
     next_call_number: Arc<AtomicU64>,
     replacement_count: AtomicU64,
@@ -125,22 +127,22 @@
     let class = |class: &crate::scenario::Class| record::Class {
         name: class.name.clone(),
         effect: class.effect,
-        window: micros(class.key_window_s),
-        aim: micros(class.target_latency_s),
+        key_window: micros(class.key_window_s),
+        target_latency: micros(class.target_latency_s),
         ordered: false,
     };
-    let destination = |(i, partner): (usize, &crate::scenario::Partner)| record::Place {
-        dest: i as u32 + 1,
+    let destination = |(i, partner): (usize, &crate::scenario::Partner)| record::DestinationCapacity {
+        destination: i as u32 + 1,
         capacity: partner.capacity_per_s,
     };
     Rules {
         classes: scenario.classes.iter().map(class).collect(),
-        places: scenario.partners.iter().enumerate().map(destination).collect(),
-        cold: micros(scenario.recovery.warm_up_s),
-        cold_share: scenario.recovery.initial_capacity_share,
-        multiple: scenario.recovery.overload_multiple,
-        fall: micros(scenario.recovery.overload_s),
-        slack: scenario.slack_ms * 1000,
+        capacities: scenario.partners.iter().enumerate().map(destination).collect(),
+        warm_up: micros(scenario.recovery.warm_up_s),
+        initial_capacity_share: scenario.recovery.initial_capacity_share,
+        overload_multiple: scenario.recovery.overload_multiple,
+        overload_time: micros(scenario.recovery.overload_s),
+        tolerance: scenario.slack_ms * 1000,
         ..Rules::default()
     }
 }
@@ -201,7 +203,7 @@
     scenario: &Scenario, script: &Script, options: &RunOptions,
 ) -> io::Result<RunOutcome> {
     let recorder = Recorder::new(MAX_RECORD_ENTRIES);
-    recorder.add(What::Rules(audit_rules(scenario)));
+    recorder.add(Event::Rules(audit_rules(scenario)));
     let test_bed = set_up(scenario, script, options, recorder.clone()).await?;
     let test_bed = Arc::new(test_bed);
     for index in 0..test_bed.processes.len() {
@@ -214,7 +216,8 @@
         process.start(test_bed.discovery_address(index)?).await?;
     }
     let run_start = recorder.now();
-    let arrivals_task = tokio::spawn(test_bed.clients.clone().arrive(script.arrivals.clone(), run_start));
+    let arrivals_task =
+        tokio::spawn(test_bed.clients.clone().submit_arrivals(script.arrivals.clone(), run_start));
     let monitor_task = tokio::spawn(monitor(test_bed.clone(), options.progress, run_start));
     let mut tasks = Vec::new();
     for fault in script.faults.clone() {
@@ -274,15 +277,17 @@
     let mut progress = Progress::default();
     loop {
         sleep(Duration::from_millis(100)).await;
-        recorder.with(|entries| progress.update(entries));
-        if (test_bed.clients.active() == 0 && progress.pending.is_empty()) || recorder.now() > latest_end {
+        recorder.with_entries(|entries| progress.update(entries));
+        if (test_bed.clients.active_submissions() == 0 && progress.pending.is_empty())
+            || recorder.now() > latest_end
+        {
             break;
         }
     }
-    recorder.add(What::Done);
+    recorder.add(Event::RunEnded);
     monitor_task.abort();
     let entries = recorder.entries();
-    if recorder.full() {
+    if recorder.is_full() {
         return Err(io::Error::other("the record is full: the scenario is too large to be audited"));
     }
     let resident_kb = {
@@ -290,13 +295,13 @@
         (0..test_bed.processes.len()).map(|i| peak_memory.get(&i).copied().unwrap_or(0)).collect()
     };
     for process in &test_bed.processes {
-        process.signal(Sig::Kill);
+        process.signal(ProcessSignal::Kill);
     }
     for process in &test_bed.processes {
         process.wait_for_exit(Duration::from_secs(10)).await;
     }
     let collapsed_partners =
-        test_bed.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.fallen());
+        test_bed.partners.iter().zip(&scenario.partners).filter(|(partner, _)| partner.has_collapsed());
     let collapsed_partners = collapsed_partners.map(|(_, partner_spec)| partner_spec.name.clone()).collect();
     let kills = kill_counter.kills();
     let mut upgrades = std::mem::take(&mut *upgrades.lock().unwrap_or_else(PoisonError::into_inner));
@@ -308,7 +313,7 @@
     Ok(RunOutcome {
         entries,
         resident_kb,
-        unreached_messages: test_bed.clients.never(),
+        unreached_messages: test_bed.clients.unreached_messages(),
         collapsed_partners,
         kills,
         upgrades,
@@ -322,7 +327,8 @@
 ) -> io::Result<TestBed> {
     let network = Network::draw().await?;
     let dispatcher_count = scenario.dispatchers.count;
-    let (message_registry, next_call_number) = (Arc::new(Ledger::default()), Arc::new(AtomicU64::new(1)));
+    let (message_registry, next_call_number) =
+        (Arc::new(MessageRegistry::default()), Arc::new(AtomicU64::new(1)));
     let (mut partners, mut endpoints, mut list_entries) = (Vec::new(), Vec::new(), Vec::new());
     for (i, partner_spec) in scenario.partners.iter().enumerate() {
         let destination = i as u32 + 1;
@@ -340,11 +346,11 @@
             // Each partner has an address of its own; its endpoints differ by port.
             let addresses = vec![network.at(20 + (i % 200) as u8, 0); dispatcher_count];
             let name = format!("{}-{endpoint_index}", partner_spec.name);
-            let traits = Traits {
-                idle: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
-                connections: partner_spec.max_connections,
+            let traits = ConnectionLimits {
+                idle_timeout: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
+                max_connections: partner_spec.max_connections,
             };
-            let endpoint_script = Door(partner.clone(), endpoint_index);
+            let endpoint_script = PartnerEndpoint(partner.clone(), endpoint_index);
             let endpoint = Endpoint::start(
                 &name,
                 destination,
@@ -365,7 +371,7 @@
     let (mut processes, mut configs, mut listen_addresses) = (Vec::new(), Vec::new(), Vec::new());
     for index in 0..dispatcher_count {
         let host = 1 + index as u8;
-        platform.agent(index, network.at(host, 0)).await?;
+        platform.start_agent(index, network.at(host, 0)).await?;
         // The port stays free: no other run uses this network.
         let listen = TcpListener::bind(network.at(host, 0)).await?.local_addr()?;
         let log = options.folder.join(format!("n{index}.log"));
@@ -382,8 +388,9 @@
                 .await?
         }
     };
-    let clients = Crowd::new(scenario.clone(), recorder.clone(), message_registry, listen_addresses);
-    tokio::spawn(clients.clone().hear(notices));
+    let clients =
+        SimulatedClients::new(scenario.clone(), recorder.clone(), message_registry, listen_addresses);
+    tokio::spawn(clients.clone().handle_notices(notices));
     Ok(TestBed {
         scenario: scenario.clone(),
         recorder,
@@ -403,35 +410,37 @@
 }
 
 /// The entry of a partner's endpoint in discovery's list.
-fn list_entry(scenario: &Scenario, partner: usize, endpoint: &Endpoint, dispatcher_count: usize) -> Host {
+fn list_entry(
+    scenario: &Scenario, partner: usize, endpoint: &Endpoint, dispatcher_count: usize,
+) -> EndpointEntry {
     let partner_spec = &scenario.partners[partner];
     let share = if partner_spec.rate_limit == RateLimit::None {
         partner_spec.capacity_per_s
     } else {
         partner_spec.limit_per_s.min(partner_spec.capacity_per_s)
     };
-    Host {
+    EndpointEntry {
         name: endpoint.name().into(),
-        dial: (0..dispatcher_count).filter_map(|dispatcher| endpoint.at(dispatcher)).collect(),
-        site: "lab".into(),
-        class: destination_kind(partner_spec.max_batch),
-        block: partner as u32 + 1,
-        state: Listed::Up,
-        share,
+        addresses: (0..dispatcher_count).filter_map(|dispatcher| endpoint.address(dispatcher)).collect(),
+        zone: "lab".into(),
+        destination_kind: destination_kind(partner_spec.max_batch),
+        destination: partner as u32 + 1,
+        state: EndpointState::Up,
+        rate_limit_per_s: share,
     }
 }
 
 impl TestBed {
     /// The address at which a dispatcher reaches the platform.
     fn discovery_address(&self, index: usize) -> io::Result<SocketAddr> {
-        self.platform.at(index).ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.platform.agent_address(index).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     /// Writes a dispatcher's configuration as the platform would at this moment.
     fn configure(&self, index: usize) -> io::Result<()> {
         let mut config = self.configs[index].clone();
         config["discovery"] = self.discovery_address(index)?.to_string().into();
-        config["known"] = self.platform.known(index);
+        config["known"] = self.platform.known_list(index);
         let seed = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(..);
         config["seed"] = format!("{seed:016x}").into();
         self.processes[index].write_config(&config)
@@ -443,9 +452,9 @@
     }
 
     /// Sets how the sockets of all endpoints of a partner behave.
-    async fn set_socket_states(&self, partner: usize, state: Sockets) -> io::Result<()> {
+    async fn set_socket_states(&self, partner: usize, state: SocketState) -> io::Result<()> {
         for endpoint in self.endpoints(partner) {
-            endpoint.set_door(state).await?;
+            endpoint.set_socket_state(state).await?;
         }
         Ok(())
     }
@@ -457,7 +466,7 @@
         sleep(Duration::from_millis(self.scenario.dispatchers.restart_delay_ms)).await;
         self.configure(index)?;
         process.start(self.discovery_address(index)?).await?;
-        self.clients.believe(index, true);
+        self.clients.set_alive(index, true);
         Ok(())
     }
 
@@ -478,16 +487,17 @@
 
     /// Makes a partner unavailable for the duration of a fault, then lets it recover cold.
     async fn outage(
-        &self, fault: &FaultEvent, partner_fault: PartnerFault, socket_state: Sockets,
+        &self, fault: &FaultEvent, partner_fault: PartnerFault, socket_state: SocketState,
     ) -> io::Result<()> {
         let partner = &self.partners[fault.target];
-        let refusing = socket_state == Sockets::Refusing;
-        self.recorder.add(What::Out { dest: partner.dest(), refusing });
-        partner.set(partner_fault);
+        let refusing = socket_state == SocketState::Refusing;
+        self.recorder
+            .add(Event::OutageStarted { destination: partner.destination(), refuses_connections: refusing });
+        partner.set_fault(partner_fault);
         self.set_socket_states(fault.target, socket_state).await?;
         sleep(Duration::from_micros(fault.duration)).await;
-        partner.come_back();
-        self.set_socket_states(fault.target, Sockets::Open).await
+        partner.recover();
+        self.set_socket_states(fault.target, SocketState::Open).await
     }
 
     /// Injects one fault and waits for its end.
@@ -496,67 +506,67 @@
         match fault.kind {
             FaultKind::Kill => {
                 let process = &self.processes[fault.target];
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 let [min, max] = self.scenario.clients.failure_detection_ms;
                 let detection_ms = self.rng.lock().unwrap_or_else(PoisonError::into_inner).u64(min..=max);
                 tokio::join!(self.restart(fault.target), async {
                     sleep(Duration::from_millis(detection_ms)).await;
                     // It may have restarted before the load balancer detected its death.
                     if process.pid().is_none() {
-                        self.clients.believe(fault.target, false);
+                        self.clients.set_alive(fault.target, false);
                     }
                 })
                 .0
             }
             FaultKind::Term => {
                 let process = &self.processes[fault.target];
-                process.signal(Sig::Term);
+                process.signal(ProcessSignal::Term);
                 sleep(ROUTING_AFTER_TERM).await;
-                self.clients.believe(fault.target, false);
+                self.clients.set_alive(fault.target, false);
                 if !process.wait_for_exit(KILL_AFTER - ROUTING_AFTER_TERM).await {
-                    process.signal(Sig::Kill);
+                    process.signal(ProcessSignal::Kill);
                 }
                 self.restart(fault.target).await
             }
             FaultKind::Stop => {
-                self.processes[fault.target].signal(Sig::Stop);
+                self.processes[fault.target].signal(ProcessSignal::Stop);
                 sleep(duration).await;
-                self.processes[fault.target].signal(Sig::Cont);
+                self.processes[fault.target].signal(ProcessSignal::Cont);
                 Ok(())
             }
             FaultKind::Reload => {
                 let host = 1 + fault.target as u8;
-                self.platform.agent(fault.target, self.network.at(host, 0)).await?;
+                self.platform.start_agent(fault.target, self.network.at(host, 0)).await?;
                 self.configure(fault.target)?;
-                self.processes[fault.target].signal(Sig::Hup);
+                self.processes[fault.target].signal(ProcessSignal::Hup);
                 Ok(())
             }
-            FaultKind::Down => self.outage(fault, PartnerFault::None, Sockets::Refusing).await,
-            FaultKind::Silent => self.outage(fault, PartnerFault::None, Sockets::Silent).await,
-            FaultKind::Hang => self.outage(fault, PartnerFault::Hang, Sockets::Open).await,
-            FaultKind::Shut => self.outage(fault, PartnerFault::Shut, Sockets::Open).await,
-            FaultKind::Errors => self.outage(fault, PartnerFault::Errors, Sockets::Open).await,
+            FaultKind::Down => self.outage(fault, PartnerFault::None, SocketState::Refusing).await,
+            FaultKind::Silent => self.outage(fault, PartnerFault::None, SocketState::Silent).await,
+            FaultKind::Hang => self.outage(fault, PartnerFault::Hang, SocketState::Open).await,
+            FaultKind::Shut => self.outage(fault, PartnerFault::RejectAll, SocketState::Open).await,
+            FaultKind::Errors => self.outage(fault, PartnerFault::Errors, SocketState::Open).await,
             FaultKind::Slow | FaultKind::Cuts | FaultKind::Spoilt => {
                 let partner = &self.partners[fault.target];
-                partner.set(match fault.kind {
+                partner.set_fault(match fault.kind {
                     FaultKind::Slow => PartnerFault::Slow(fault.factor),
-                    FaultKind::Cuts => PartnerFault::Cuts,
-                    _ => PartnerFault::Spoilt,
+                    FaultKind::Cuts => PartnerFault::TruncatedResponses,
+                    _ => PartnerFault::MalformedResponses,
                 });
                 sleep(duration).await;
-                partner.set(PartnerFault::None);
+                partner.set_fault(PartnerFault::None);
                 Ok(())
             }
             FaultKind::Drain => {
                 let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(mut host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                host.state = Listed::Draining;
-                self.platform.list(host.clone());
+                let Some(mut host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                host.state = EndpointState::Draining;
+                self.platform.update_entry(host.clone());
                 sleep(duration).await;
-                host.state = Listed::Removed;
-                self.platform.list(host);
+                host.state = EndpointState::Removed;
+                self.platform.update_entry(host);
                 // A removed endpoint still accepts calls for the grace period of the rules; then a new one replaces it.
                 sleep(Duration::from_millis(1500)).await;
                 self.replace_endpoint(fault, endpoint).await
@@ -565,26 +575,26 @@
                 let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(host) = self.platform.host(endpoint.name()) else { return Ok(()) };
-                self.platform.list(Host { state: Listed::Removed, ..host });
+                let Some(host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                self.platform.update_entry(EndpointEntry { state: EndpointState::Removed, ..host });
                 self.replace_endpoint(fault, endpoint).await
             }
             FaultKind::PlatformSilent => {
-                self.platform.set(|mood| mood.silent = true);
+                self.platform.set_behavior(|mood| mood.silent = true);
                 sleep(duration).await;
-                self.platform.set(|mood| mood.silent = false);
+                self.platform.set_behavior(|mood| mood.silent = false);
                 Ok(())
             }
             FaultKind::PlatformTorn => {
-                self.platform.set(|mood| mood.torn = true);
+                self.platform.set_behavior(|mood| mood.truncate_updates = true);
                 sleep(duration).await;
-                self.platform.set(|mood| mood.torn = false);
+                self.platform.set_behavior(|mood| mood.truncate_updates = false);
                 Ok(())
             }
             FaultKind::PlatformLate => {
-                self.platform.set(|mood| mood.late = Duration::from_secs_f64(fault.factor));
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::from_secs_f64(fault.factor));
                 sleep(duration).await;
-                self.platform.set(|mood| mood.late = Duration::ZERO);
+                self.platform.set_behavior(|mood| mood.update_delay = Duration::ZERO);
                 Ok(())
             }
         }
@@ -636,7 +646,7 @@
                 if process.pid().is_none() {
                     return;
                 }
-                process.signal(Sig::Kill);
+                process.signal(ProcessSignal::Kill);
                 process.wait_for_exit(Duration::from_secs(10)).await;
                 fleet_faults::turn_back(process, dir_fate);
                 if let Err(error) = self.restart(member).await {
@@ -678,23 +688,23 @@
 
     /// Starts a new endpoint with a new name at the addresses of a removed one.
     async fn replace_endpoint(&self, fault: &FaultEvent, removed: Arc<Endpoint>) -> io::Result<()> {
-        removed.set_door(Sockets::Refusing).await?;
+        removed.set_socket_state(SocketState::Refusing).await?;
         let partner_spec = &self.scenario.partners[fault.target];
         let dispatcher_count = self.scenario.dispatchers.count;
         let addresses: Vec<_> =
-            (0..dispatcher_count).filter_map(|dispatcher| removed.at(dispatcher)).collect();
+            (0..dispatcher_count).filter_map(|dispatcher| removed.address(dispatcher)).collect();
         let number = self.replacement_count.fetch_add(1, Ordering::SeqCst);
         let name = format!("{}-{}-new{number}", partner_spec.name, fault.endpoint);
         let partner = &self.partners[fault.target];
-        let traits = Traits {
-            idle: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
-            connections: partner_spec.max_connections,
+        let traits = ConnectionLimits {
+            idle_timeout: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
+            max_connections: partner_spec.max_connections,
         };
-        let endpoint_script = Door(partner.clone(), fault.endpoint);
+        let endpoint_script = PartnerEndpoint(partner.clone(), fault.endpoint);
         let (recorder, next_call_number) = (self.recorder.clone(), self.next_call_number.clone());
         let endpoint = Endpoint::start(
             &name,
-            partner.dest(),
+            partner.destination(),
             &addresses,
             traits,
             endpoint_script,
@@ -702,7 +712,7 @@
             next_call_number,
         )
         .await?;
-        self.platform.list(list_entry(&self.scenario, fault.target, &endpoint, dispatcher_count));
+        self.platform.update_entry(list_entry(&self.scenario, fault.target, &endpoint, dispatcher_count));
         let mut endpoints = self.endpoints.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(slot) = endpoints[fault.target].get_mut(fault.endpoint) {
             *slot = Arc::new(endpoint);
@@ -729,27 +739,30 @@
 impl Progress {
     fn update(&mut self, entries: &[Entry]) {
         for entry in &entries[self.processed.min(entries.len())..] {
-            match &entry.what {
-                What::Answered { id, status: 200 | 202 } => {
+            match &entry.event {
+                Event::Answered { id, status: 200 | 202 } => {
                     self.accepted += 1;
                     if self.ended_early.remove(id).is_none() {
                         self.pending.insert(id.clone(), ());
                     }
                 }
-                What::Answered { status: 429 | 503, .. } => self.rejected += 1,
-                What::Call { call, items, .. } => {
+                Event::Answered { status: 429 | 503, .. } => self.rejected += 1,
+                Event::Call { call, items, .. } => {
                     self.calls.insert(*call, items.iter().map(|item| item.id.clone()).collect());
                 }
-                What::Ended { call, how, fates, .. } => {
+                Event::CallEnded { call, end, results, .. } => {
                     let ids = self.calls.remove(call).unwrap_or_default();
                     for (i, id) in ids.iter().enumerate() {
                         let single = ids.len() == 1;
-                        let ended = match (how, fates.get(i)) {
-                            (End::Answered(200) | End::Cut(200), _) if single => true,
-                            (End::Answered(200), Some(fate)) => {
-                                matches!(fate, record::Fate::Delivered | record::Fate::Over)
+                        let ended = match (end, results.get(i)) {
+                            (CallEnd::Answered(200) | CallEnd::Truncated(200), _) if single => true,
+                            (CallEnd::Answered(200), Some(result)) => {
+                                matches!(
+                                    result,
+                                    record::MessageResult::Delivered | record::MessageResult::Expired
+                                )
                             }
-                            (End::Answered(410), _) => true,
+                            (CallEnd::Answered(410), _) => true,
                             _ => false,
                         };
                         if ended {
@@ -758,7 +771,7 @@
                         }
                     }
                 }
-                What::Notice { id, status: 204, .. } => {
+                Event::Notice { id, status: 204, .. } => {
                     self.notices += 1;
                     self.finish(id);
                 }
@@ -790,7 +803,7 @@
         }
         ticks += 1;
         if progress && ticks % 4 == 0 {
-            test_bed.recorder.with(|entries| counts.update(entries));
+            test_bed.recorder.with_entries(|entries| counts.update(entries));
             let seconds = (test_bed.recorder.now() - run_start) as f64 / 1e6;
             let up = test_bed.processes.iter().filter(|process| process.pid().is_some()).count();
             eprintln!(
