--- a/crates/lab/src/blocking.rs
+++ b/crates/lab/src/blocking.rs
@@ -1,11 +1,11 @@
-//! The stand-ins for tests that are not asynchronous themselves: scripted endpoints, a platform, clients, and a
-//! dispatcher as a process. They run on one thread of their own, however many tests use them.
+//! Blocking API of the stand-ins for tests that are not asynchronous: scripted endpoints, a platform, clients,
+//! and a dispatcher as a process. All stand-ins run on one shared background thread.
 
 use crate::endpoint::{self, Call, ConnectionLimits, EndpointResponse};
 use crate::http::HttpConnection;
 use crate::platform::{self, PlatformBehavior};
 use crate::record::{CallEnd, Recorder};
-use fawnspoke_control::protocol::{Request as DoorCall, Response as DoorReply};
+use fawnspoke_control::protocol::{Request as ControlRequest, Response as ControlResponse};
 use serde_json::{Value, json};
 use std::fs;
 use std::io::{self, BufRead, BufReader};
@@ -21,20 +21,21 @@
 
 pub use crate::http::HttpMessage;
 
-/// Far longer than anything takes that is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Entries that a test's record may have.
-const ENTRIES_MOST: usize = 100_000;
+/// Timeout of every wait; much longer than any of them takes.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Most entries of a test's record.
+const MAX_RECORD_ENTRIES: usize = 100_000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The runtime on which the stand-ins live.
+/// The runtime on which the stand-ins run.
 pub(crate) fn runtime_handle() -> &'static Handle {
     static HANDLE: OnceLock<Handle> = OnceLock::new();
     HANDLE.get_or_init(|| {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime =
+            tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
         let handle = runtime.handle().clone();
         thread::spawn(move || runtime.block_on(std::future::pending::<()>()));
         handle
@@ -44,108 +45,110 @@
 /// Waits until the condition holds.
 ///
 /// # Panics
-/// Where it does not within 30 s.
-pub fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+/// Where it does not hold within 30 s.
+pub fn eventually(condition: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "never came: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {condition}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What a scripted endpoint does with a request.
+/// How a scripted endpoint responds to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// A status, further header lines, a body.
+    /// A response with a status, header lines and a body.
     Answer(u16, String, String),
-    /// A bare status after a while.
+    /// A response with this status and nothing else, after a delay.
     Delayed(Duration, u16),
-    /// An answer after which the connection is closed without a word of it.
+    /// A response after which the connection is closed without a `Connection: close`.
     AnswerAndClose(u16),
-    /// Bytes as they are; the connection stays open for more calls.
+    /// These bytes as they are; the connection stays open for more calls.
     Raw(Vec<u8>),
-    /// The first bytes, then the second ones over and over until the other side has had enough.
+    /// The first bytes, then the second ones repeatedly until the peer closes the connection.
     Endless(Vec<u8>, Vec<u8>),
-    /// Breaks the connection.
+    /// Closes the connection.
     Disconnect,
-    /// Never answers; reads on until the other side closes.
+    /// Never responds, and reads until the peer closes the connection.
     Hang,
 }
 
 impl Reply {
-    /// A bare status.
+    /// A response with this status and nothing else.
     pub fn status(status: u16) -> Reply {
         Reply::Answer(status, String::new(), String::new())
     }
 
-    fn carried_out(self) -> endpoint::Reply {
-        use endpoint::Reply as Out;
+    fn into_endpoint_reply(self) -> endpoint::Reply {
+        use endpoint::Reply as EndpointReply;
         match self {
             Reply::Answer(status, headers, body) => {
-                Out::immediate(EndpointResponse::Complete(status, headers, body.into_bytes()))
+                EndpointReply::immediate(EndpointResponse::Complete(status, headers, body.into_bytes()))
             }
-            Reply::Delayed(after, status) => Out::status(status).delayed(after),
-            Reply::AnswerAndClose(status) => Out::immediate(EndpointResponse::CompleteAndClose(status)),
-            // How it counts is of no concern: tests look at what follows.
-            Reply::Raw(bytes) => Out::immediate(EndpointResponse::Raw(bytes, CallEnd::Broken)),
-            Reply::Endless(first, more) => Out::immediate(EndpointResponse::Endless(first, more)),
-            Reply::Disconnect => Out::immediate(EndpointResponse::Disconnect),
-            Reply::Hang => Out::immediate(EndpointResponse::Hang),
+            Reply::Delayed(delay, status) => EndpointReply::status(status).delayed(delay),
+            Reply::AnswerAndClose(status) => {
+                EndpointReply::immediate(EndpointResponse::CompleteAndClose(status))
+            }
+            // The recorded end of the call does not matter: tests check what follows it.
+            Reply::Raw(bytes) => EndpointReply::immediate(EndpointResponse::Raw(bytes, CallEnd::Broken)),
+            Reply::Endless(first, more) => EndpointReply::immediate(EndpointResponse::Endless(first, more)),
+            Reply::Disconnect => EndpointReply::immediate(EndpointResponse::Disconnect),
+            Reply::Hang => EndpointReply::immediate(EndpointResponse::Hang),
         }
     }
 }
 
-/// A request as an endpoint saw it.
+/// A request that an endpoint has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
     /// The request.
     pub request: HttpMessage,
-    /// The connection it came on, counted from 0.
+    /// Number of its connection, counted from 0.
     pub connection: usize,
-    /// When it was there in full.
+    /// When its last byte was received.
     pub received_at: Instant,
 }
 
 impl ReceivedRequest {
-    /// The message's id; `-` where it has none.
+    /// The message's id; `-` where the request has none.
     pub fn message_id(&self) -> &str {
         self.request.header("request-id").unwrap_or("-")
     }
 }
 
-type Decide = dyn Fn(usize, &HttpMessage) -> Reply + Send + Sync;
+type DecideReply = dyn Fn(usize, &HttpMessage) -> Reply + Send + Sync;
 
-struct Scripted {
-    decide: Box<Decide>,
-    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
+struct ScriptedHandler {
+    decide: Box<DecideReply>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl endpoint::CallHandler for Scripted {
+impl endpoint::CallHandler for ScriptedHandler {
     fn handle(&self, call: &Call) -> endpoint::Reply {
-        let number = {
-            let mut seen = lock(&self.seen);
-            seen.push(ReceivedRequest {
+        let index = {
+            let mut requests = lock(&self.requests);
+            requests.push(ReceivedRequest {
                 request: call.request.clone(),
                 connection: call.connection,
                 received_at: call.request.last_byte_at,
             });
-            seen.len() - 1
+            requests.len() - 1
         };
-        (self.decide)(number, &call.request).carried_out()
+        (self.decide)(index, &call.request).into_endpoint_reply()
     }
 }
 
-/// A scripted endpoint. Its script is asked with the number of the request, from 0.
+/// A scripted endpoint. Its script receives the number of each request, from 0, and the request.
 #[derive(Clone)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    seen: Arc<Mutex<Vec<ReceivedRequest>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     endpoint: Arc<endpoint::Endpoint>,
 }
 
 impl Endpoint {
-    /// Starts one at an address that is free.
+    /// Starts an endpoint at a free address.
     ///
     /// # Panics
     /// Where there is none.
@@ -153,21 +156,21 @@
         Endpoint::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), script)
     }
 
-    /// Starts one at this address.
+    /// Starts an endpoint at this address.
     ///
     /// # Panics
     /// Where it can't listen there.
     pub fn start_at(
-        at: SocketAddr, script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
+        address: SocketAddr, script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
     ) -> Endpoint {
-        let seen = Arc::new(Mutex::new(Vec::new()));
-        let script = Scripted { decide: Box::new(script), seen: seen.clone() };
-        let recorder = Recorder::new(ENTRIES_MOST);
-        let started = async {
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let script = ScriptedHandler { decide: Box::new(script), requests: requests.clone() };
+        let recorder = Recorder::new(MAX_RECORD_ENTRIES);
+        let starting = async {
             endpoint::Endpoint::start(
                 "e",
                 0,
-                &[at],
+                &[address],
                 ConnectionLimits::default(),
                 script,
                 recorder,
@@ -175,118 +178,124 @@
             )
             .await
         };
-        let endpoint = runtime_handle().block_on(started).expect("an endpoint that listens");
-        Endpoint { address: endpoint.address(0).expect("its address"), seen, endpoint: Arc::new(endpoint) }
+        let endpoint = runtime_handle().block_on(starting).expect("the endpoint listens");
+        Endpoint {
+            address: endpoint.address(0).expect("the endpoint's address"),
+            requests,
+            endpoint: Arc::new(endpoint),
+        }
     }
 
-    /// What it has seen.
+    /// All requests so far.
     pub fn requests(&self) -> Vec<ReceivedRequest> {
-        lock(&self.seen).clone()
+        lock(&self.requests).clone()
     }
 
-    /// The ids of what it has seen.
+    /// The message ids of all requests so far.
     pub fn message_ids(&self) -> Vec<String> {
-        self.requests().iter().map(|seen| seen.message_id().to_string()).collect()
+        self.requests().iter().map(|request| request.message_id().to_string()).collect()
     }
 
-    /// Connections that are open.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
         let counters = self.endpoint.counters();
         counters.accepted_connections.load(Ordering::SeqCst)
             - counters.closed_connections.load(Ordering::SeqCst)
     }
 
-    /// Calls that the other side gave up.
+    /// Number of calls that the peer abandoned.
     pub fn abandoned_calls(&self) -> usize {
         self.endpoint.counters().abandoned_calls.load(Ordering::SeqCst)
     }
 
-    /// Its line in discovery's list.
-    pub fn list_entry(&self, name: &str, dest: u32, health: &str) -> Value {
-        list_entry(name, self.address, dest, "single", health)
+    /// Its entry in discovery's list.
+    pub fn list_entry(&self, name: &str, destination: u32, health: &str) -> Value {
+        list_entry(name, self.address, destination, "single", health)
     }
 }
 
-/// A line of discovery's list.
-pub fn list_entry(name: &str, at: SocketAddr, dest: u32, class: &str, health: &str) -> Value {
-    json!({"host": name, "dial": at.to_string(), "site": "a", "class": class, "block": dest,
+/// An entry of discovery's list.
+pub fn list_entry(name: &str, address: SocketAddr, destination: u32, class: &str, health: &str) -> Value {
+    json!({"host": name, "dial": address.to_string(), "site": "a", "class": class, "block": destination,
         "health": health, "share": 50.0, "born_ms": 0})
 }
 
-/// An endpoint that gets nothing: what is for its destination is held.
-pub fn draining_endpoint(dest: u32) -> Value {
-    list_entry("held", SocketAddr::from(([127, 0, 0, 9], 9)), dest, "single", "draining")
+/// The entry of an endpoint that is draining: it receives no calls, so messages for its destination stay
+/// pending.
+pub fn draining_endpoint(destination: u32) -> Value {
+    list_entry("held", SocketAddr::from(([127, 0, 0, 9], 9)), destination, "single", "draining")
 }
 
-/// Discovery and the place where notices go. It says what it is told to say and nothing else.
+/// Discovery, and the receiver of notices. It sends only what a test tells it to send.
 pub struct Platform {
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
     platform: platform::Platform,
 }
 
 impl Platform {
-    /// Starts one.
+    /// Starts a platform.
     ///
     /// # Panics
     /// Where it can't listen.
     pub fn start() -> Platform {
-        let (platform, _) = platform::Platform::new(Vec::new(), Recorder::new(ENTRIES_MOST));
-        platform.set_behavior(|mood| mood.heartbeats = false);
-        let at = SocketAddr::from(([127, 0, 0, 1], 0));
-        let at = runtime_handle().block_on(platform.start_agent(0, at)).expect("a platform that listens");
-        Platform { address: at, platform }
+        let (platform, _) = platform::Platform::new(Vec::new(), Recorder::new(MAX_RECORD_ENTRIES));
+        platform.set_behavior(|behavior| behavior.heartbeats = false);
+        let address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let address =
+            runtime_handle().block_on(platform.start_agent(0, address)).expect("the platform listens");
+        Platform { address, platform }
     }
 
-    /// Changes its mood.
+    /// Changes its behavior.
     pub fn set(&self, change: impl FnOnce(&mut PlatformBehavior)) {
         self.platform.set_behavior(change);
     }
 
-    /// Connections are taken and nothing but notices is answered.
+    /// Whether it leaves everything but notices unanswered.
     pub fn set_silent(&self, on: bool) {
-        self.set(|mood| mood.silent = on);
+        self.set(|behavior| behavior.silent = on);
     }
 
-    /// What a notice is answered from now on.
+    /// Sets the status with which it responds to notices.
     pub fn set_notice_status(&self, status: u16) {
-        self.set(|mood| mood.notice_status = status);
+        self.set(|behavior| behavior.notice_status = status);
     }
 
     /// Writes a line to all watches, once there is one.
     ///
     /// # Panics
-    /// Where there is none in 30 s.
+    /// Where there is none within 30 s.
     pub fn push_line(&self, line: &str) {
-        self.say(None, line);
+        self.push_to_watches(None, line);
     }
 
-    /// Writes changed lines of the list to all watches, once there is one.
+    /// Writes changed entries of the list to all watches, once there is one.
     ///
     /// # Panics
-    /// Where there is none in 30 s.
+    /// Where there is none within 30 s.
     pub fn push_changes(&self, seq: u64, hosts: &[Value]) {
-        self.say(Some(seq), &json!({"seq": seq, "whole": false, "hosts": hosts}).to_string());
+        self.push_to_watches(Some(seq), &json!({"seq": seq, "whole": false, "hosts": hosts}).to_string());
     }
 
-    fn say(&self, seq: Option<u64>, line: &str) {
-        let said = async { timeout(PATIENCE, self.platform.push_line(seq, line)).await };
-        runtime_handle().block_on(said).expect("a watch");
+    fn push_to_watches(&self, seq: Option<u64>, line: &str) {
+        let pushed = async { timeout(WAIT_TIMEOUT, self.platform.push_line(seq, line)).await };
+        runtime_handle().block_on(pushed).expect("a watch");
     }
 
-    /// The paths of the watches that were asked for.
+    /// The paths of all requests for a watch.
     pub fn watch_paths(&self) -> Vec<String> {
         self.platform.watch_requests().into_iter().map(|(_, path)| path).collect()
     }
 
-    /// The outcomes told for a message.
+    /// The outcomes that were reported for a message.
     pub fn outcomes(&self, id: &str) -> Vec<String> {
         let notices = self.notices();
-        let told = notices.iter().filter(|notice| notice["message"] == id);
-        told.map(|notice| notice["outcome"].as_str().unwrap_or_default().to_string()).collect()
+        let matching = notices.iter().filter(|notice| notice["message"] == id);
+        matching.map(|notice| notice["outcome"].as_str().unwrap_or_default().to_string()).collect()
     }
 
-    /// All notices.
+    /// All notices so far.
     pub fn notices(&self) -> Vec<Value> {
         let notices = self.platform.notices().into_iter();
         notices
@@ -295,34 +304,34 @@
     }
 }
 
-/// The dispatcher: its configuration, its folder, and the process while it runs.
+/// A dispatcher under test: its configuration, its directory, and its process while it runs.
 pub struct Dispatcher {
     /// Its configuration, written at each start.
     pub config: Value,
     program: PathBuf,
-    folder: PathBuf,
+    dir: PathBuf,
     child: Option<Child>,
-    at: Option<SocketAddr>,
+    listen_address: Option<SocketAddr>,
     log: Arc<Mutex<Vec<String>>>,
-    /// A shell line that runs before the program.
+    /// Shell commands that run before the program.
     pub shell_prelude: String,
-    /// Whether it has a door for operators.
+    /// Whether it opens a control port.
     pub control_enabled: bool,
     control: Option<SocketAddr>,
-    /// Where other members of its fleet reach it.
-    members: Arc<Mutex<Option<SocketAddr>>>,
+    /// The address at which other members of its fleet reach it.
+    member_address: Arc<Mutex<Option<SocketAddr>>>,
 }
 
 impl Dispatcher {
-    /// One that is not started yet, with its folder below `parent`.
+    /// A dispatcher that is not started yet, with its directory below `parent`.
     ///
     /// # Panics
-    /// Where the folder can't be made.
+    /// Where the directory can't be created.
     pub fn new(program: &Path, parent: &Path, platform: &Platform, known: &[Value]) -> Dispatcher {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let number = COUNT.fetch_add(1, Ordering::SeqCst);
-        let folder = parent.join(format!("sockets-{}-{number}", std::process::id()));
-        fs::create_dir_all(folder.join("state")).expect("a folder");
+        let dir = parent.join(format!("sockets-{}-{number}", std::process::id()));
+        fs::create_dir_all(dir.join("state")).expect("the directory");
         let class = |name: &str, effect: &str| {
             json!({"name": name, "deadline": 20.0, "effect": effect, "gain": 1.0, "goal_time": 2.0,
                 "group": "all", "late_share": 0.3, "repeat_window": 15.0, "stream": false})
@@ -349,20 +358,20 @@
         Dispatcher {
             config,
             program,
-            folder,
+            dir,
             child: None,
-            at: None,
+            listen_address: None,
             log: Arc::default(),
             shell_prelude: String::new(),
             control_enabled: false,
             control: None,
-            members: Arc::default(),
+            member_address: Arc::default(),
         }
     }
 
-    /// Where other members of its fleet reach it, once it has said so.
+    /// The address at which other members of its fleet reach it, once it has logged it.
     pub fn member_address(&self) -> Arc<Mutex<Option<SocketAddr>>> {
-        self.members.clone()
+        self.member_address.clone()
     }
 
     /// Its log so far, over all its processes.
@@ -375,14 +384,14 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Whether it runs, as far as this side has not ended it.
+    /// Whether it was started and has not been killed or waited for.
     pub fn is_running(&self) -> bool {
         self.child.is_some()
     }
 
-    /// The folder that outlasts its processes.
+    /// The directory that persists across its processes.
     pub fn state_dir(&self) -> PathBuf {
-        self.folder.join("state")
+        self.dir.join("state")
     }
 
     /// The last segment of its journal.
@@ -390,22 +399,22 @@
     /// # Panics
     /// Where there is none.
     pub fn last_segment(&self) -> PathBuf {
-        let files = fs::read_dir(self.state_dir()).expect("a folder").flatten().map(|file| file.path());
+        let files = fs::read_dir(self.state_dir()).expect("the directory").flatten().map(|file| file.path());
         let segments = files.filter(|file| file.extension().is_some_and(|end| end == "journal"));
-        segments.max().expect("a segment")
+        segments.max().expect("a journal segment")
     }
 
-    /// Writes the file of the configuration.
+    /// Writes the configuration file.
     ///
     /// # Panics
     /// Where it can't be written.
     pub fn write_config(&self, text: &str) -> PathBuf {
-        let config = self.folder.join("config.json");
-        fs::write(&config, text).expect("a file for the configuration");
+        let config = self.dir.join("config.json");
+        fs::write(&config, text).expect("the configuration file");
         config
     }
 
-    /// Whether a line of the log holds the text.
+    /// Whether a line of the log contains the text.
     pub fn log_contains(&self, text: &str) -> bool {
         lock(&self.log).iter().any(|line| line.contains(text))
     }
@@ -431,58 +440,60 @@
     /// Where it doesn't.
     pub fn start(&mut self) {
         let command = self.command();
-        self.child = Some(self.begin(command));
+        self.child = Some(self.spawn_process(command));
     }
 
-    /// Starts a process beside the one that runs and waits until it has taken over; the old one.
+    /// Starts a second process, waits until it has taken over, and returns the first one.
     ///
     /// # Panics
     /// Where none runs, or the new one doesn't listen.
     pub fn upgrade(&mut self) -> Child {
         let command = self.command();
-        let child = self.begin(command);
+        let child = self.spawn_process(command);
         self.child.replace(child).expect("a process")
     }
 
-    fn begin(&mut self, mut command: Command) -> Child {
+    /// Spawns a process, waits until it logs its listen address, and collects its log in the background.
+    fn spawn_process(&mut self, mut command: Command) -> Child {
         if self.control_enabled {
             command.env("GW_CONTROL", "127.0.0.1:0");
         }
         let mut child = command.spawn().expect("a process");
-        let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-        let mut at = None;
+        let mut lines = BufReader::new(child.stdout.take().expect("its standard output")).lines();
+        let mut listen_address = None;
         for line in lines.by_ref().map_while(Result::ok) {
-            let said = |text: &str| line.split_once(text).and_then(|(_, at)| at.parse().ok());
-            self.control = said("answers operators at ").or(self.control);
-            at = said("listens at ");
-            if at.is_some() {
+            let parse_address =
+                |text: &str| line.split_once(text).and_then(|(_, address)| address.parse().ok());
+            self.control = parse_address("answers operators at ").or(self.control);
+            listen_address = parse_address("listens at ");
+            if listen_address.is_some() {
                 break;
             }
-            note(&self.members, &line);
+            record_member_address(&self.member_address, &line);
             lock(&self.log).push(line);
         }
-        // The log is read on, or the process would stand still once the pipe is full.
-        let (log, members) = (self.log.clone(), self.members.clone());
+        // Keeps reading the log: the process would block once the pipe is full.
+        let (log, member_address) = (self.log.clone(), self.member_address.clone());
         thread::spawn(move || {
             lines.map_while(Result::ok).for_each(|line| {
-                note(&members, &line);
+                record_member_address(&member_address, &line);
                 lock(&log).push(line);
             });
         });
-        self.at = Some(at.expect("the process listens"));
+        self.listen_address = Some(listen_address.expect("the process listens"));
         child
     }
 
-    /// Asks its door.
+    /// Sends a request to its control port.
     ///
     /// # Panics
-    /// Where it has none, or no answer comes in 30 s.
-    pub fn send_control_request(&self, call: &DoorCall) -> DoorReply {
-        let at = self.control.expect("a door");
-        fawnspoke_control::client::send_request(at, call, PATIENCE).expect("an answer")
+    /// Where it has none, or does not respond within 30 s.
+    pub fn send_control_request(&self, call: &ControlRequest) -> ControlResponse {
+        let address = self.control.expect("the control port is enabled");
+        fawnspoke_control::client::send_request(address, call, WAIT_TIMEOUT).expect("a response")
     }
 
-    /// Where its door is.
+    /// The address of its control port.
     pub fn control_address(&self) -> Option<SocketAddr> {
         self.control
     }
@@ -492,123 +503,126 @@
     /// # Panics
     /// Where it doesn't run.
     pub fn signal(&self, name: &str) {
-        let id = self.child.as_ref().expect("a process").id();
-        let done = Command::new("sh").arg("-c").arg(format!("kill -{name} {id}")).status();
-        assert!(done.is_ok_and(|status| status.success()));
+        let process_id = self.child.as_ref().expect("a process").id();
+        let result = Command::new("sh").arg("-c").arg(format!("kill -{name} {process_id}")).status();
+        assert!(result.is_ok_and(|status| status.success()));
     }
 
-    /// SIGKILL, at once.
+    /// Kills it with SIGKILL.
     ///
     /// # Panics
     /// Where it doesn't run.
     pub fn kill(&mut self) {
         let mut child = self.child.take().expect("a process");
-        child.kill().expect("it can be killed");
-        child.wait().expect("it ends");
+        child.kill().expect("the process is killed");
+        child.wait().expect("the process exits");
     }
 
-    /// Waits for the process to end by itself; whether it says that all went well.
+    /// Waits for the process to exit by itself; returns whether it succeeded.
     ///
     /// # Panics
-    /// Where it doesn't within 30 s.
+    /// Where it doesn't exit within 30 s.
     pub fn wait(&mut self) -> bool {
         let mut child = self.child.take().expect("a process");
         let mut status = None;
-        eventually("the end of the process", || {
-            status = child.try_wait().expect("its status");
+        eventually("the process to exit", || {
+            status = child.try_wait().expect("the exit status");
             status.is_some()
         });
         status.is_some_and(|status| status.success())
     }
 
-    /// A client's connection.
+    /// Opens a client connection.
     ///
     /// # Panics
-    /// Where it doesn't come up.
+    /// Where it can't connect.
     pub fn connect(&self) -> Client {
-        let at = self.at.expect("a process that listens");
-        let wire = runtime_handle().block_on(async { HttpConnection::connect(at, PATIENCE).await });
-        Client(wire.expect("a connection"))
+        let address = self.listen_address.expect("the process listens");
+        let connection =
+            runtime_handle().block_on(async { HttpConnection::connect(address, WAIT_TIMEOUT).await });
+        Client(connection.expect("a connection"))
     }
 
-    /// Hands in a small message as soon as a list that names its destination has come.
-    pub fn submit_once_listed(&self, class: &str, id: &str, dest: u32) {
-        eventually("the list", || self.submit(class, id, dest) == 202);
+    /// Submits a small message as soon as the dispatcher knows an endpoint of its destination.
+    pub fn submit_once_listed(&self, class: &str, id: &str, destination: u32) {
+        eventually("the endpoint list", || self.submit(class, id, destination) == 202);
     }
 
-    /// Hands in a small message on a connection of its own; returns the status.
-    pub fn submit(&self, class: &str, id: &str, dest: u32) -> u16 {
-        self.connect().submit(class, id, dest, 15_000, b"hello").status()
+    /// Submits a small message on a connection of its own; returns the status.
+    pub fn submit(&self, class: &str, id: &str, destination: u32) -> u16 {
+        self.connect().submit(class, id, destination, 15_000, b"hello").status()
     }
 }
 
-/// Takes note of where other members of a fleet reach a process.
-fn note(members: &Mutex<Option<SocketAddr>>, line: &str) {
-    if let Some(at) = line.split_once("members are heard at ").and_then(|(_, at)| at.parse().ok()) {
-        *lock(members) = Some(at);
+/// Stores the address for other members when a log line reports it.
+fn record_member_address(member_address: &Mutex<Option<SocketAddr>>, line: &str) {
+    if let Some(address) =
+        line.split_once("members are heard at ").and_then(|(_, address)| address.parse().ok())
+    {
+        *lock(member_address) = Some(address);
     }
 }
 
 impl Drop for Dispatcher {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself; and what can't be removed is below the build's own folder.
+            // The process may have exited already; a directory that can't be removed lies within the build directory.
             let _ = child.kill();
             let _ = child.wait();
         }
-        let _ = fs::remove_dir_all(&self.folder);
+        let _ = fs::remove_dir_all(&self.dir);
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Client(HttpConnection);
 
 impl Client {
     /// Writes bytes.
     ///
     /// # Panics
-    /// Where the connection has ended.
+    /// Where the connection is closed.
     pub fn write(&mut self, bytes: &[u8]) {
         runtime_handle().block_on(self.0.write(bytes)).expect("an open connection");
     }
 
-    /// Ends its sending.
+    /// Shuts down the writing side.
     ///
     /// # Panics
-    /// Where the connection has ended.
+    /// Where the connection is closed.
     pub fn shutdown_write(&mut self) {
         runtime_handle().block_on(self.0.shutdown_write()).expect("an open connection");
     }
 
-    /// Sends a message and doesn't wait.
-    pub fn send(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) {
+    /// Sends a message and doesn't wait for the response.
+    pub fn send(&mut self, class: &str, id: &str, destination: u32, timeout_ms: u32, body: &[u8]) {
         let head = format!(
             "POST /{class} HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
              Request-Timeout-Ms: {timeout_ms}\r\nIdempotency-Key: key-{id}\r\nContent-Length: {}\r\n\
-             X-Consignee: dest={dest}\r\n\r\n",
+             X-Consignee: dest={destination}\r\n\r\n",
             body.len()
         );
         self.write(&[head.as_bytes(), body].concat());
     }
 
-    /// The next answer.
+    /// Reads the next response.
     ///
     /// # Panics
-    /// Where none comes in 30 s.
+    /// Where none arrives within 30 s.
     pub fn read_response(&mut self) -> HttpMessage {
-        let answered = async { timeout(PATIENCE, self.0.read_response()).await };
-        runtime_handle().block_on(answered).expect("an answer in time").expect("an answer")
+        let answered = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
+        runtime_handle().block_on(answered).expect("a response in time").expect("a response")
     }
 
-    /// The next answer; none where the connection ends without one.
+    /// Reads the next response; none where the connection ends without one.
     pub fn try_read_response(&mut self) -> Option<HttpMessage> {
-        let answered = async { timeout(PATIENCE, self.0.read_response()).await };
+        let answered = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
         runtime_handle().block_on(answered).ok()?.ok()
     }
 
-    /// Whether the other side ends the connection; what it still says is passed over.
+    /// Waits for the peer to close the connection; whatever it still sends is discarded.
     pub fn is_closed_by_peer(&mut self) -> bool {
-        let closed = async {
+        let closing = async {
             loop {
                 match self.0.read_available().await {
                     Ok(piece) if piece.is_empty() => return true,
@@ -617,12 +631,14 @@
                 }
             }
         };
-        runtime_handle().block_on(async { timeout(PATIENCE, closed).await }).unwrap_or(false)
+        runtime_handle().block_on(async { timeout(WAIT_TIMEOUT, closing).await }).unwrap_or(false)
     }
 
-    /// Sends a message and waits for its answer.
-    pub fn submit(&mut self, class: &str, id: &str, dest: u32, timeout_ms: u32, body: &[u8]) -> HttpMessage {
-        self.send(class, id, dest, timeout_ms, body);
+    /// Sends a message and waits for its response.
+    pub fn submit(
+        &mut self, class: &str, id: &str, destination: u32, timeout_ms: u32, body: &[u8],
+    ) -> HttpMessage {
+        self.send(class, id, destination, timeout_ms, body);
         self.read_response()
     }
 }
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -1,6 +1,6 @@
-//! The lab's subcommands.
+//! The `lab` subcommands of the program.
 
-use crate::auditor::audit as judge;
+use crate::auditor::audit as audit_record;
 use crate::fleet_measurements::{self, HolderFault};
 use crate::killer::Kills;
 use crate::process::Program;
@@ -13,37 +13,37 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The scenario of `demo`.
+/// The scenario of the subcommand `demo`.
 pub const DEMO: &str = include_str!("../scenarios/demo.toml");
 
-/// Breaks of a fleet's promises that are shown of one run.
-const FAULTS_SHOWN: usize = 10;
+/// Most violations of a fleet's guarantees that are printed for one run.
+const MAX_VIOLATIONS_SHOWN: usize = 10;
 
-/// How a scenario is to be played.
+/// Options for playing a scenario.
 #[derive(Clone, Debug)]
 pub struct PlayOptions {
-    /// In place of the scenario's own seed.
+    /// Replaces the scenario's own seed.
     pub seed: Option<u64>,
-    /// How many seeds, counted up.
+    /// Number of consecutive seeds to play.
     pub seeds: u64,
-    /// The fault of the naive dispatcher that takes the place of the real one.
+    /// Runs the naive dispatcher with this fault in place of the real dispatcher.
     pub naive_fault: Option<String>,
-    /// The program that is run in place of this one.
+    /// Program to run as the dispatcher in place of this one.
     pub program: Option<PathBuf>,
-    /// Where the record is kept.
+    /// File in which the record is kept.
     pub record: Option<PathBuf>,
-    /// Where the dispatchers' logs are kept.
+    /// Directory in which the dispatchers' logs are kept.
     pub logs: Option<PathBuf>,
 }
 
-/// Wrong input: one line, exit code 2.
-fn wrong(text: impl std::fmt::Display) -> ExitCode {
+/// Reports invalid input in one line; exit code 2.
+fn input_error(text: impl std::fmt::Display) -> ExitCode {
     eprintln!("fawnspoke: {text}");
     ExitCode::from(2)
 }
 
-/// Exit code 0 where no rule was broken, 1 where one was.
-fn code(clean: bool) -> ExitCode {
+/// Exit code 0 where no rule was violated, 1 otherwise.
+fn exit_code(clean: bool) -> ExitCode {
     if clean { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -54,20 +54,20 @@
 /// Plays the embedded scenario.
 pub fn demo(play: &PlayOptions) -> ExitCode {
     match Scenario::parse("demo.toml", DEMO) {
-        Ok(scenario) => played(&scenario, play),
-        Err(error) => wrong(error),
+        Ok(scenario) => play_seeds(&scenario, play),
+        Err(error) => input_error(error),
     }
 }
 
-/// Plays a scenario of the user's own.
+/// Plays a scenario file.
 pub fn run(scenario: &Path, play: &PlayOptions) -> ExitCode {
     match Scenario::read(scenario) {
-        Ok(scenario) => played(&scenario, play),
-        Err(error) => wrong(error),
+        Ok(scenario) => play_seeds(&scenario, play),
+        Err(error) => input_error(error),
     }
 }
 
-/// Prints a scenario's script.
+/// Prints the script of a scenario file.
 pub fn script(scenario: &Path, seed: Option<u64>) -> ExitCode {
     match Scenario::read(scenario) {
         Ok(scenario) => {
@@ -76,45 +76,46 @@
             println!("digest {:016x}", script.digest(&scenario));
             ExitCode::SUCCESS
         }
-        Err(error) => wrong(error),
+        Err(error) => input_error(error),
     }
 }
 
-/// Judges a record that was kept.
+/// Audits a record that an earlier run kept.
 pub fn audit(path: &Path) -> ExitCode {
     match record::load(path) {
         Ok(entries) => {
-            let verdict = judge(&entries);
+            let verdict = audit_record(&entries);
             print!("{}{}", summary::format_classes(&verdict), summary::format_verdict(&verdict));
-            code(verdict.is_clean())
+            exit_code(verdict.is_clean())
         }
-        Err(error) => wrong(error),
+        Err(error) => input_error(error),
     }
 }
 
-/// Sums the counts in a fleet's logs over spans of `every` seconds.
-pub fn fleet(folder: &Path, every: f64) -> ExitCode {
-    match fleet_counters::FleetCounters::read_logs(folder, every) {
+/// Sums the traffic counters in a fleet's logs by intervals of `interval_s` seconds.
+pub fn fleet(dir: &Path, interval_s: f64) -> ExitCode {
+    match fleet_counters::FleetCounters::read_logs(dir, interval_s) {
         Ok(fleet) => {
-            print!("{}", fleet.text(every));
+            print!("{}", fleet.text(interval_s));
             ExitCode::SUCCESS
         }
-        Err(error) => wrong(error),
+        Err(error) => input_error(error),
     }
 }
 
-/// What a fleet lost by destination, by the second; beside another folder's, where one is given.
-pub fn losses(folder: &Path, before: Option<&Path>, json: bool) -> ExitCode {
-    const SPAN: f64 = 1.0;
-    let read = |folder: &Path| {
+/// Prints what a fleet lost by destination, in intervals of a second; compared with the logs of another
+/// directory where one is given.
+pub fn losses(dir: &Path, before: Option<&Path>, json: bool) -> ExitCode {
+    const INTERVAL_S: f64 = 1.0;
+    let read_losses = |dir: &Path| {
         Ok::<_, String>(loss::losses_by_destination(
-            &fleet_counters::FleetCounters::read_logs(folder, SPAN)?,
-            SPAN,
+            &fleet_counters::FleetCounters::read_logs(dir, INTERVAL_S)?,
+            INTERVAL_S,
         ))
     };
-    let (after, before) = match (read(folder), before.map(read).transpose()) {
+    let (after, before) = match (read_losses(dir), before.map(read_losses).transpose()) {
         (Ok(after), Ok(before)) => (after, before),
-        (Err(error), _) | (_, Err(error)) => return wrong(error),
+        (Err(error), _) | (_, Err(error)) => return input_error(error),
     };
     if json {
         println!("{}", serde_json::json!({ "before": before, "after": after }));
@@ -126,7 +127,7 @@
 
 /// Runs the naive dispatcher with a fault.
 pub fn naive(fault: &str) -> ExitCode {
-    let Ok(fault) = fault.parse::<naive::Fault>() else { return wrong(naive::Fault::EXPECTED) };
+    let Ok(fault) = fault.parse::<naive::Fault>() else { return input_error(naive::Fault::EXPECTED) };
     match runtime().and_then(|runtime| runtime.block_on(naive::serve(fault))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -136,18 +137,18 @@
     }
 }
 
-/// Measures throughput and latency beside a plain proxy.
+/// Measures throughput and latency compared with a plain proxy.
 pub fn bench(settings: &bench::BenchSettings) -> ExitCode {
-    let folder = match runner::create_run_dir(&std::env::temp_dir()) {
-        Ok(folder) => folder,
-        Err(error) => return wrong(error),
+    let dir = match runner::create_run_dir(&std::env::temp_dir()) {
+        Ok(dir) => dir,
+        Err(error) => return input_error(error),
     };
-    let measured = std::env::current_exe().and_then(|program| bench::run(&program, &folder, settings));
-    // What is left of it is only in the way.
-    let _ = std::fs::remove_dir_all(&folder);
-    match measured {
-        Ok(measured) => {
-            print!("{}", bench::format_results(&measured));
+    let result = std::env::current_exe().and_then(|program| bench::run(&program, &dir, settings));
+    // Removal is best effort.
+    let _ = std::fs::remove_dir_all(&dir);
+    match result {
+        Ok(result) => {
+            print!("{}", bench::format_results(&result));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -157,71 +158,78 @@
     }
 }
 
-/// Measures how long duties take to be another one's, at terms in seconds.
-pub fn measure_duty_failover(terms: &[f64], times: usize) -> ExitCode {
-    let measured = std::env::current_exe().and_then(|program| {
-        let folder = runner::create_run_dir(&std::env::temp_dir())?;
+/// Measures how long a duty takes to fail over to another member, for lease terms in seconds.
+pub fn measure_duty_failover(terms: &[f64], repetitions: usize) -> ExitCode {
+    let result = std::env::current_exe().and_then(|program| {
+        let dir = runner::create_run_dir(&std::env::temp_dir())?;
         let mut clean = true;
         for term in terms {
             for fault in [HolderFault::Kill, HolderFault::Stall, HolderFault::Cut, HolderFault::Word] {
-                let measured =
-                    fleet_measurements::measure_duty_failover(&program, &folder, *term, fault, times)?;
-                println!("{measured}");
-                clean &= measured.violations.is_empty();
+                let result =
+                    fleet_measurements::measure_duty_failover(&program, &dir, *term, fault, repetitions)?;
+                println!("{result}");
+                clean &= result.violations.is_empty();
             }
         }
-        std::fs::remove_dir_all(folder)?;
+        std::fs::remove_dir_all(dir)?;
         Ok(clean)
     });
-    measured.map_or_else(failed, code)
+    result.map_or_else(runtime_error, exit_code)
 }
 
-/// Counts tries and list calls of dispatchers alone and as a fleet.
-pub fn measure_trials(count: usize, out_s: f64, a_second: f64) -> ExitCode {
-    let measured = std::env::current_exe().and_then(|program| {
-        let folder = runner::create_run_dir(&std::env::temp_dir())?;
-        for fleet in [false, true] {
+/// Counts trial calls and list requests during an outage, of standalone dispatchers and of a fleet.
+pub fn measure_trials(count: usize, outage_s: f64, messages_per_s: f64) -> ExitCode {
+    let result = std::env::current_exe().and_then(|program| {
+        let dir = runner::create_run_dir(&std::env::temp_dir())?;
+        for as_fleet in [false, true] {
             println!(
                 "{}",
-                fleet_measurements::measure_outage_cost(&program, &folder, count, fleet, out_s, a_second)?
+                fleet_measurements::measure_outage_cost(
+                    &program,
+                    &dir,
+                    count,
+                    as_fleet,
+                    outage_s,
+                    messages_per_s
+                )?
             );
         }
-        std::fs::remove_dir_all(folder)
+        std::fs::remove_dir_all(dir)
     });
-    measured.map_or_else(failed, |()| ExitCode::SUCCESS)
+    result.map_or_else(runtime_error, |()| ExitCode::SUCCESS)
 }
 
-/// Measures what members cost at rest, beside dispatchers alone.
+/// Measures the cost of idle fleet members, compared with standalone dispatchers.
 pub fn measure_idle_cost(counts: &[u64], seconds: f64) -> ExitCode {
-    let measured = std::env::current_exe().and_then(|program| {
-        let folder = runner::create_run_dir(&std::env::temp_dir())?;
+    let result = std::env::current_exe().and_then(|program| {
+        let dir = runner::create_run_dir(&std::env::temp_dir())?;
         for count in counts {
-            for fleet in [false, true] {
+            for as_fleet in [false, true] {
                 println!(
                     "{}",
                     fleet_measurements::measure_idle_cost(
                         &program,
-                        &folder,
+                        &dir,
                         *count as usize,
-                        fleet,
+                        as_fleet,
                         seconds
                     )?
                 );
             }
         }
-        std::fs::remove_dir_all(folder)
+        std::fs::remove_dir_all(dir)
     });
-    measured.map_or_else(failed, |()| ExitCode::SUCCESS)
+    result.map_or_else(runtime_error, |()| ExitCode::SUCCESS)
 }
 
-fn failed(error: std::io::Error) -> ExitCode {
+fn runtime_error(error: std::io::Error) -> ExitCode {
     eprintln!("fawnspoke: {error}");
     ExitCode::FAILURE
 }
 
 /// Runs the plain proxy.
-pub fn proxy(listen: SocketAddr, to: SocketAddr) -> ExitCode {
-    match runtime().and_then(|runtime| runtime.block_on(proxy::serve(listen, to))) {
+pub fn proxy(listen: SocketAddr, target: SocketAddr) -> ExitCode {
+    match runtime().and_then(|runtime| runtime.block_on(proxy::serve(listen, target))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("proxy: {error}");
@@ -230,11 +238,12 @@
     }
 }
 
+/// The program to run as the dispatcher, with its arguments.
 fn program(play: &PlayOptions) -> Result<Program, String> {
-    let own = || std::env::current_exe().map_err(|error| format!("this program's own path: {error}"));
-    let path = play.program.clone().map_or_else(own, Ok)?;
+    let own_path = || std::env::current_exe().map_err(|error| format!("path of this program: {error}"));
+    let path = play.program.clone().map_or_else(own_path, Ok)?;
     let arguments = match play.naive_fault.as_deref() {
-        // Bare, as the platform starts it.
+        // Without arguments, as the platform starts it.
         None => Vec::new(),
         Some(fault) => {
             fault.parse::<naive::Fault>().map_err(|()| format!("--broken: {}", naive::Fault::EXPECTED))?;
@@ -244,17 +253,18 @@
     Ok(Program { path, arguments })
 }
 
-fn played(scenario: &Scenario, play: &PlayOptions) -> ExitCode {
+/// Plays all requested seeds.
+fn play_seeds(scenario: &Scenario, play: &PlayOptions) -> ExitCode {
     let program = match program(play) {
         Ok(program) => program,
-        Err(error) => return wrong(error),
+        Err(error) => return input_error(error),
     };
-    let first = play.seed.unwrap_or(scenario.seed);
-    let mut broken = Vec::new();
-    for seed in first..first.saturating_add(play.seeds) {
-        match one(scenario, seed, play, &program) {
+    let first_seed = play.seed.unwrap_or(scenario.seed);
+    let mut failed_seeds = Vec::new();
+    for seed in first_seed..first_seed.saturating_add(play.seeds) {
+        match play_seed(scenario, seed, play, &program) {
             Ok(true) => {}
-            Ok(_) => broken.push(seed),
+            Ok(_) => failed_seeds.push(seed),
             Err(error) => {
                 eprintln!("fawnspoke: {error}");
                 return ExitCode::FAILURE;
@@ -262,12 +272,17 @@
         }
     }
     if play.seeds > 1 {
-        println!("{} of {} seeds clean; broken: {broken:?}", play.seeds - broken.len() as u64, play.seeds);
+        println!(
+            "{} of {} seeds clean; failed: {failed_seeds:?}",
+            play.seeds - failed_seeds.len() as u64,
+            play.seeds
+        );
     }
-    code(broken.is_empty())
+    exit_code(failed_seeds.is_empty())
 }
 
-fn one(scenario: &Scenario, seed: u64, play: &PlayOptions, program: &Program) -> std::io::Result<bool> {
+/// Plays one seed and prints its results; returns whether no rule was violated.
+fn play_seed(scenario: &Scenario, seed: u64, play: &PlayOptions, program: &Program) -> std::io::Result<bool> {
     let script = Script::generate(scenario, seed);
     println!(
         "{}: seed {seed}, {} messages in {} s to {} partners, {} dispatchers, {} faults, script {:016x}",
@@ -279,46 +294,51 @@
         script.faults.len(),
         script.digest(scenario)
     );
-    let parent = play.logs.clone().unwrap_or_else(std::env::temp_dir);
-    let folder = runner::create_run_dir(&parent)?;
-    let options = RunOptions { program: program.clone(), folder: folder.clone(), progress: play.seeds == 1 };
+    let parent_dir = play.logs.clone().unwrap_or_else(std::env::temp_dir);
+    let dir = runner::create_run_dir(&parent_dir)?;
+    let options = RunOptions { program: program.clone(), dir: dir.clone(), progress: play.seeds == 1 };
     let outcome = runtime()?.block_on(runner::run_scenario(scenario, &script, &options));
     if play.logs.is_none() {
-        // What is left of it is only in the way.
-        let _ = std::fs::remove_dir_all(&folder);
+        // Removal is best effort.
+        let _ = std::fs::remove_dir_all(&dir);
     } else {
-        println!("logs: {}", folder.display());
+        println!("logs: {}", dir.display());
     }
     let outcome = outcome?;
     if let Some(path) = &play.record {
         record::save(path, &outcome.entries)?;
     }
-    let verdict = judge(&outcome.entries);
+    let verdict = audit_record(&outcome.entries);
     print!("{}", summary::format_classes(&verdict));
-    let memory: Vec<String> =
+    let memory_mb: Vec<String> =
         outcome.resident_kb.iter().map(|kb| format!("{:.1}", *kb as f64 / 1024.0)).collect();
-    println!("resident memory of the dispatchers at most: {} MB", memory.join(", "));
-    let Kills { count, compacting, found, damaged } = outcome.kills;
+    println!("peak resident memory of the dispatchers: {} MB", memory_mb.join(", "));
+    let Kills { count, compacting, recovered, damaged } = outcome.kills;
     if count > 0 {
         println!(
-            "{count} kills, {compacting} of them while the journal was winning room back; {found} messages found by \
-             the next lives; {damaged} folders damaged"
+            "{count} kills, {compacting} of them during journal compaction; {recovered} messages found by \
+             the next processes; {damaged} journals damaged"
         );
     }
     if outcome.upgrades.count > 0 {
         print!("{}", outcome.upgrades);
     }
     if outcome.unreached_messages > 0 {
-        println!("{} messages found no dispatcher that would listen", outcome.unreached_messages);
+        println!("{} messages reached no dispatcher", outcome.unreached_messages);
     }
     if !outcome.collapsed_partners.is_empty() {
-        println!("fell over: {}", outcome.collapsed_partners.join(", "));
+        println!("collapsed under overload: {}", outcome.collapsed_partners.join(", "));
     }
     print!("{}", summary::format_verdict(&verdict));
-    let told = outcome.fleet.unwrap_or_default();
-    if told.epochs > 0 {
-        println!("the fleet: {} acts under {} epochs, {} breaks", told.acts, told.epochs, told.faults.len());
-        told.faults.iter().take(FAULTS_SHOWN).for_each(|fault| println!("  {fault}"));
+    let fleet = outcome.fleet.unwrap_or_default();
+    if fleet.last_epoch > 0 {
+        println!(
+            "fleet: {} duty actions, last epoch {}, {} violations",
+            fleet.actions,
+            fleet.last_epoch,
+            fleet.violations.len()
+        );
+        fleet.violations.iter().take(MAX_VIOLATIONS_SHOWN).for_each(|violation| println!("  {violation}"));
     }
-    Ok(verdict.is_clean() && told.faults.is_empty())
+    Ok(verdict.is_clean() && fleet.violations.is_empty())
 }
--- a/crates/lab/src/fleet_faults.rs
+++ b/crates/lab/src/fleet_faults.rs
@@ -1,5 +1,6 @@
-//! Members of a fleet in a scenario, and trouble between them by seed: kills, stalls, cuts of each kind, slow and broken
-//! links, folders that come back older or empty. What came of it is read from the logs.
+//! Faults between members of a fleet, drawn from a seed: kills, pauses, partitions, slow and broken links, and
+//! state directories that are rolled back or deleted. Their effect on the fleet's guarantees is read from the
+//! members' logs.
 
 use crate::history;
 use crate::process::Process;
@@ -16,179 +17,193 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// The relays between members, by who calls whom.
+/// The relays between members, by caller and callee.
 pub type Relays = BTreeMap<(usize, usize), Relay>;
 
-/// One thing that goes wrong.
+/// One fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
-    /// Killed, and started again; its folder of the fleet first put back to an older copy, or emptied.
-    Kill(Folder),
-    /// Stopped for so long, in seconds.
-    Stop(f64),
-    /// Cut off from all others for so long: what it says, what it hears, or both.
-    CutOff(bool, bool, f64),
-    /// One pair, one way or both, for so long.
-    Pair(bool, bool, f64),
-    /// One member's links are slow by so much for a while; then nobody hears it for so long, and it hears late answers.
-    SlowThenCut(f64, f64),
-    /// All links break off at once, and are slow for so long by so much.
-    Slow(f64, f64),
+pub enum FleetFault {
+    /// A member is killed and restarted; its fleet state may be rolled back or deleted first.
+    Kill(StateDirFate),
+    /// A member is paused for this many seconds.
+    Pause(f64),
+    /// A member is partitioned from all others for this many seconds: what it sends, what it receives, or
+    /// both.
+    Partition(bool, bool, f64),
+    /// One link is blocked in one direction or both for this many seconds.
+    BlockLink(bool, bool, f64),
+    /// A member's links are delayed by the first number of seconds; then nothing that it sends arrives for the
+    /// second number of seconds, while delayed responses still reach it.
+    DelayThenPartition(f64, f64),
+    /// All connections are reset, and all links are delayed: duration and delay, in seconds.
+    ResetAndDelay(f64, f64),
 }
 
-/// What becomes of a folder while its process is dead.
+/// What happens to a member's fleet state while its process is down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Folder {
+pub enum StateDirFate {
     /// It stays.
     Kept,
-    /// It comes back as it was when it was copied last.
-    Older,
-    /// It is gone.
-    Emptied,
+    /// It is replaced by the last copy.
+    RolledBack,
+    /// It is deleted.
+    Deleted,
 }
 
-impl Trouble {
-    /// Whether it is of the kind of this name.
-    pub fn is(&self, kind: &str) -> bool {
+impl FleetFault {
+    /// Whether the fault belongs to the kind with this name.
+    pub fn is_kind(&self, kind: &str) -> bool {
         match self {
-            Trouble::Kill(_) => kind == "kill",
-            Trouble::Stop(_) => kind == "stop",
-            Trouble::CutOff(..) | Trouble::Pair(..) => kind == "cut",
-            Trouble::Slow(..) | Trouble::SlowThenCut(..) => kind == "slow",
+            FleetFault::Kill(_) => kind == "kill",
+            FleetFault::Pause(_) => kind == "stop",
+            FleetFault::Partition(..) | FleetFault::BlockLink(..) => kind == "cut",
+            FleetFault::ResetAndDelay(..) | FleetFault::DelayThenPartition(..) => kind == "slow",
         }
     }
 
-    /// The next one, by chance.
-    pub fn draw(rng: &mut fastrand::Rng) -> Trouble {
-        let span = 0.2 + 2.5 * rng.f64();
+    /// Draws a random fault.
+    pub fn draw(rng: &mut fastrand::Rng) -> FleetFault {
+        let duration_s = 0.2 + 2.5 * rng.f64();
         match rng.u8(0..14) {
-            0..3 => Trouble::Kill(Folder::Kept),
-            3 => Trouble::Kill([Folder::Older, Folder::Emptied][rng.usize(0..2)]),
-            4..7 => Trouble::Stop(span),
-            7 => Trouble::CutOff(true, true, span),
-            8 => Trouble::CutOff(true, false, span),
-            9 => Trouble::CutOff(false, true, span),
-            10 => Trouble::Pair(true, rng.bool(), span),
-            11 | 12 => Trouble::SlowThenCut(0.1 + 0.5 * rng.f64(), span),
-            _ => Trouble::Slow(span, 0.3 * rng.f64()),
+            0..3 => FleetFault::Kill(StateDirFate::Kept),
+            3 => FleetFault::Kill([StateDirFate::RolledBack, StateDirFate::Deleted][rng.usize(0..2)]),
+            4..7 => FleetFault::Pause(duration_s),
+            7 => FleetFault::Partition(true, true, duration_s),
+            8 => FleetFault::Partition(true, false, duration_s),
+            9 => FleetFault::Partition(false, true, duration_s),
+            10 => FleetFault::BlockLink(true, rng.bool(), duration_s),
+            11 | 12 => FleetFault::DelayThenPartition(0.1 + 0.5 * rng.f64(), duration_s),
+            _ => FleetFault::ResetAndDelay(duration_s, 0.3 * rng.f64()),
         }
     }
 }
 
-/// Writes each member's file, and starts the relays between those that speak.
+/// Writes each member's fleet configuration and starts the relays between members that connect to each other.
 ///
 /// # Errors
 /// Those of files and sockets.
-pub async fn set_up(
-    fleet: &FleetSettings, folders: &[PathBuf], at: impl Fn(usize) -> SocketAddr,
+pub async fn start_relays(
+    fleet: &FleetSettings, member_dirs: &[PathBuf], listen_address: impl Fn(usize) -> SocketAddr,
 ) -> io::Result<Relays> {
-    let layout = Topology { members: folders.len(), voters: fleet.voters };
+    let topology = Topology { members: member_dirs.len(), voters: fleet.voters };
     let mut relays = Relays::new();
-    for (i, j) in layout.connections() {
-        relays.insert((i, j), Relay::start_async(Arc::new(Mutex::new(Some(at(j))))).await?);
+    for (caller, callee) in topology.connections() {
+        relays.insert(
+            (caller, callee),
+            Relay::start_async(Arc::new(Mutex::new(Some(listen_address(callee))))).await?,
+        );
     }
-    for (i, folder) in folders.iter().enumerate() {
-        let at = |j: usize| (relays.get(&(i, j)).map_or(at(j), |relay| relay.address), at(j));
-        if let Some(rate) = fleet.clock_rates.get(i) {
-            fs::write(folder.join("clock"), rate.to_string())?;
+    for (member, dir) in member_dirs.iter().enumerate() {
+        let addresses = |callee: usize| {
+            (
+                relays.get(&(member, callee)).map_or(listen_address(callee), |relay| relay.address),
+                listen_address(callee),
+            )
+        };
+        if let Some(clock_rate) = fleet.clock_rates.get(member) {
+            fs::write(dir.join("clock"), clock_rate.to_string())?;
         }
-        fs::write(folder.join("fleet.hcl"), layout.config_file(&fleet.extra_config, at))?;
+        fs::write(dir.join("fleet.hcl"), topology.config_file(&fleet.extra_config, addresses))?;
     }
     Ok(relays)
 }
 
-/// Has the first member found the fleet.
+/// Bootstraps the fleet with the first member as its founder.
 ///
 /// # Errors
-/// What the program says.
-pub async fn found(program: &Path, folder: &Path) -> io::Result<()> {
+/// What the program reports.
+pub async fn bootstrap(program: &Path, dir: &Path) -> io::Result<()> {
     let mut command = Command::new(program);
-    command.args(["fleet", "found"]).arg(folder.join("fleet.hcl")).arg("n0").arg(folder.join("state"));
-    let done = command.output().await?;
-    let said = String::from_utf8_lossy(&done.stderr);
-    if done.status.success() { Ok(()) } else { Err(io::Error::other(said.into_owned())) }
+    command.args(["fleet", "found"]).arg(dir.join("fleet.hcl")).arg("n0").arg(dir.join("state"));
+    let output = command.output().await?;
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    if output.status.success() { Ok(()) } else { Err(io::Error::other(stderr.into_owned())) }
 }
 
-/// Changes what one member says to all others and hears from them.
-pub fn cut_off(relays: &Relays, one: usize, says: bool, hears: bool) {
-    for ((caller, called), relay) in relays {
-        if *caller == one {
-            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (says, hears));
-        } else if *called == one {
-            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (hears, says));
+/// Blocks or unblocks what one member sends to all others and what it receives from them.
+pub fn partition(relays: &Relays, member: usize, outgoing: bool, incoming: bool) {
+    for ((caller, callee), relay) in relays {
+        if *caller == member {
+            relay.set(|link| (link.forward_blocked, link.backward_blocked) = (outgoing, incoming));
+        } else if *callee == member {
+            relay.set(|link| (link.forward_blocked, link.backward_blocked) = (incoming, outgoing));
         }
     }
 }
 
-/// What one member says and hears comes so much later, in seconds.
-pub fn slow(relays: &Relays, one: usize, delay_s: f64) {
-    let own = relays.iter().filter(|((caller, called), _)| [caller, called].contains(&&one));
-    own.for_each(|(_, relay)| relay.set(|way| way.delay_s = delay_s));
+/// Delays everything that one member sends and receives, in seconds.
+pub fn set_delay(relays: &Relays, member: usize, delay_s: f64) {
+    let own = relays.iter().filter(|((caller, callee), _)| [caller, callee].contains(&&member));
+    own.for_each(|(_, relay)| relay.set(|link| link.delay_s = delay_s));
 }
 
-/// All links are whole again.
-pub fn heal(relays: &Relays) {
+/// Removes all blocks and delays.
+pub fn restore_links(relays: &Relays) {
     relays.values().for_each(|relay| {
-        relay.set(|way| (way.forward_blocked, way.backward_blocked, way.delay_s) = (false, false, 0.0));
+        relay.set(|link| (link.forward_blocked, link.backward_blocked, link.delay_s) = (false, false, 0.0));
     });
 }
 
-/// Copies the fleet's folder of a member, for [`Folder::Older`]. The process may run: a copy of that kind is one that
-/// somebody makes of a living machine.
-pub fn copy_aside(process: &Process) {
-    let (from, to) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
-    let _ = fs::remove_dir_all(&to);
-    let _ = fs::create_dir_all(&to);
-    for file in fs::read_dir(from).into_iter().flatten().flatten() {
-        let _ = fs::copy(file.path(), to.join(file.file_name()));
+/// Copies a member's fleet state for [`StateDirFate::RolledBack`]. The process may be running, as when an operator copies
+/// the directory of a live machine.
+pub fn copy_fleet_state(process: &Process) {
+    let (source, copy) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
+    let _ = fs::remove_dir_all(&copy);
+    let _ = fs::create_dir_all(&copy);
+    for file in fs::read_dir(source).into_iter().flatten().flatten() {
+        let _ = fs::copy(file.path(), copy.join(file.file_name()));
     }
 }
 
-/// What becomes of the folder of a process that is dead.
-pub fn turn_back(process: &Process, folder: Folder) {
-    let (fleet, aside) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
-    match folder {
-        Folder::Kept => {}
-        Folder::Emptied => drop(fs::remove_dir_all(fleet)),
-        Folder::Older if aside.join("log").exists() => {
-            let _ = fs::remove_dir_all(&fleet);
-            let _ = fs::rename(aside, fleet);
+/// Changes the fleet state of a process that is down.
+pub fn apply_state_dir_fate(process: &Process, fate: StateDirFate) {
+    let (state, copy) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
+    match fate {
+        StateDirFate::Kept => {}
+        StateDirFate::Deleted => drop(fs::remove_dir_all(state)),
+        StateDirFate::RolledBack if copy.join("log").exists() => {
+            let _ = fs::remove_dir_all(&state);
+            let _ = fs::rename(copy, state);
         }
-        Folder::Older => {}
+        StateDirFate::RolledBack => {}
     }
 }
 
-/// Stops a process for a while.
-pub async fn stop(process: &Process, span: f64) {
+/// Pauses a process for this many seconds.
+pub async fn pause(process: &Process, duration_s: f64) {
     process.signal(ProcessSignal::Stop);
-    tokio::time::sleep(Duration::from_secs_f64(span)).await;
+    tokio::time::sleep(Duration::from_secs_f64(duration_s)).await;
     process.signal(ProcessSignal::Cont);
 }
 
-/// What the members' logs tell.
+/// Summary of what the members logged.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Told {
-    /// Acts under a duty.
-    pub acts: usize,
-    /// The last epoch that was given.
-    pub epochs: u64,
-    /// What is wrong with the history.
-    pub faults: Vec<String>,
+pub struct FleetSummary {
+    /// Number of actions under a duty.
+    pub actions: usize,
+    /// The last epoch that was granted.
+    pub last_epoch: u64,
+    /// Violations of the fleet's guarantees.
+    pub violations: Vec<String>,
 }
 
-/// Reads the history of `count` members from their logs.
-pub fn read_logs(folder: &Path, count: usize) -> Told {
+/// Summarizes the logs of `count` members.
+pub fn summarize_logs(dir: &Path, count: usize) -> FleetSummary {
     let mut histories = BTreeMap::new();
     for i in 0..count {
-        let text = fs::read_to_string(folder.join(format!("n{i}.log"))).unwrap_or_default();
+        let text = fs::read_to_string(dir.join(format!("n{i}.log"))).unwrap_or_default();
         let lines: Vec<_> = text.lines().filter_map(history::parse_line).collect();
         histories.insert(format!("n{i}"), lines);
     }
-    let all = || histories.values().flatten();
-    let acts = all().filter(|line| matches!(line, history::LogLine::DutyAction { .. })).count();
-    let epoch = |line: &history::LogLine| match line {
+    let all_lines = || histories.values().flatten();
+    let actions = all_lines().filter(|line| matches!(line, history::LogLine::DutyAction { .. })).count();
+    let granted_epoch = |line: &history::LogLine| match line {
         history::LogLine::DutyGranted { epoch, .. } => *epoch,
         _ => 0,
     };
-    Told { acts, epochs: all().map(epoch).max().unwrap_or(0), faults: history::find_violations(&histories) }
+    FleetSummary {
+        actions,
+        last_epoch: all_lines().map(granted_epoch).max().unwrap_or(0),
+        violations: history::find_violations(&histories),
+    }
 }
--- a/crates/lab/src/killer.rs
+++ b/crates/lab/src/killer.rs
@@ -1,5 +1,5 @@
-//! Kills dispatchers over and over, from outside and at moments that a seed draws, and tells how many of the kills
-//! came while the journal was winning room back.
+//! Repeatedly kills dispatchers at random moments, and counts how many of the kills interrupted a journal
+//! compaction.
 
 use crate::process::Process;
 use crate::record::ProcessSignal;
@@ -10,54 +10,56 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// A process that was killed is gone by then.
-const GONE: Duration = Duration::from_secs(10);
+/// Time within which a killed process has exited.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the kills met.
+/// Results of all kills of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kills {
-    /// Kills of a process that was ready.
+    /// Kills of processes that were ready.
     pub count: usize,
-    /// Of these, in how many a segment was half emptied, or emptied and not yet removed, or one half begun.
+    /// Kills that interrupted a compaction: a segment was partly or fully copied and not yet removed, or a new
+    /// one was incomplete.
     pub compacting: usize,
-    /// Messages that the next lives found.
-    pub found: usize,
-    /// In how many lives the folder was damaged: no kill may do that.
+    /// Messages found in the journals after the kills.
+    pub recovered: usize,
+    /// Kills after which the journal was damaged, which must never happen.
     pub damaged: usize,
 }
 
-/// Counts for all dispatchers of a run.
+/// Counters shared by the killers of all dispatchers.
 #[derive(Default)]
-pub struct Counter {
-    begun: AtomicUsize,
+pub struct KillCounter {
+    started: AtomicUsize,
     count: AtomicUsize,
     compacting: AtomicUsize,
-    found: AtomicUsize,
+    recovered: AtomicUsize,
     damaged: AtomicUsize,
 }
 
-impl Counter {
-    /// The kills so far.
+impl KillCounter {
+    /// The results so far.
     pub fn kills(&self) -> Kills {
-        let of = |count: &AtomicUsize| count.load(Ordering::SeqCst);
+        let load = |counter: &AtomicUsize| counter.load(Ordering::SeqCst);
         Kills {
-            count: of(&self.count),
-            compacting: of(&self.compacting),
-            found: of(&self.found),
-            damaged: of(&self.damaged),
+            count: load(&self.count),
+            compacting: load(&self.compacting),
+            recovered: load(&self.recovered),
+            damaged: load(&self.damaged),
         }
     }
 
-    /// Kills a process after a while, where one is due still, and looks at what it left. False where none is.
+    /// Waits a random time, kills the process and examines its journal. Returns false where the requested
+    /// number of kills is reached.
     pub async fn kill(&self, killer: &KillerSettings, process: &Process, rng: &mut fastrand::Rng) -> bool {
-        if self.begun.fetch_add(1, Ordering::SeqCst) >= killer.kills {
+        if self.started.fetch_add(1, Ordering::SeqCst) >= killer.kills {
             return false;
         }
-        let [least, most] = killer.interval_ms;
-        sleep(Duration::from_micros(rng.u64(least * 1000..=most * 1000))).await;
-        let until = Instant::now() + Duration::from_millis(killer.max_compaction_wait_ms);
-        while Instant::now() < until {
-            // Held still, so that what is seen is what the kill meets.
+        let [min, max] = killer.interval_ms;
+        sleep(Duration::from_micros(rng.u64(min * 1000..=max * 1000))).await;
+        let deadline = Instant::now() + Duration::from_millis(killer.max_compaction_wait_ms);
+        while Instant::now() < deadline {
+            // Paused, so that the journal does not change between the scan and the kill.
             process.signal(ProcessSignal::Stop);
             if scan(&Disk::new(&process.state_dir()), 0).is_ok_and(|scan| scan.interrupted_compaction()) {
                 break;
@@ -66,12 +68,12 @@
             sleep(Duration::from_micros(rng.u64(500..5000))).await;
         }
         process.signal(ProcessSignal::Kill);
-        process.wait_for_exit(GONE).await;
+        process.wait_for_exit(EXIT_TIMEOUT).await;
         self.count.fetch_add(1, Ordering::SeqCst);
-        // A folder that can't be read keeps the next life from starting, which the record tells.
+        // An unreadable journal keeps the next process from starting, which shows in the record.
         if let Ok(scan) = scan(&Disk::new(&process.state_dir()), 0) {
             self.compacting.fetch_add(usize::from(scan.interrupted_compaction()), Ordering::SeqCst);
-            self.found.fetch_add(scan.index.len(), Ordering::SeqCst);
+            self.recovered.fetch_add(scan.index.len(), Ordering::SeqCst);
             self.damaged.fetch_add(usize::from(!scan.recovery.damage.is_empty()), Ordering::SeqCst);
         }
         true
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! Dispatchers as processes: started, watched, signalled, started again.
+//! Dispatchers as processes: starts, signals, observes and restarts them, and records what happens to them.
 
 use crate::http::HttpConnection;
 use crate::record::{Event, ProcessSignal, Recorder};
@@ -18,138 +18,141 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A dispatcher that is not ready by then has failed to start.
-const READY_MOST: Duration = Duration::from_secs(20);
+/// A dispatcher that is not ready within this time has failed to start.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What is run as a dispatcher.
+/// The program that is run as a dispatcher.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The program.
+    /// Path of the program.
     pub path: PathBuf,
     /// Its arguments.
     pub arguments: Vec<String>,
 }
 
-/// One dispatcher, over all its lives.
+/// One dispatcher, across all its operating system processes.
 pub struct Process {
     index: usize,
     program: Program,
     listen: SocketAddr,
-    folder: PathBuf,
+    dir: PathBuf,
     log: PathBuf,
     recorder: Recorder,
-    /// The end of the process that runs is what it was told.
-    asked: Mutex<Arc<AtomicBool>>,
-    /// The process that runs.
-    running: watch::Sender<Option<u32>>,
-    /// Where operators call the process that runs.
+    /// Whether the exit of the current process is expected.
+    exit_expected: Mutex<Arc<AtomicBool>>,
+    /// Id of the current process.
+    current_pid: watch::Sender<Option<u32>>,
+    /// Address of the current process's control port.
     control: Mutex<Option<SocketAddr>>,
 }
 
-/// A process that was started beside the one that runs, to take over.
+/// A process that was started for a dispatcher and may take over from the current one.
 pub struct SpawnedProcess {
-    /// Its id.
+    /// Its process id.
     pub pid: u32,
-    /// Where operators call it.
+    /// Address of its control port.
     pub control: SocketAddr,
-    asked: Arc<AtomicBool>,
-    ended: watch::Receiver<bool>,
+    exit_expected: Arc<AtomicBool>,
+    exited: watch::Receiver<bool>,
 }
 
 impl SpawnedProcess {
-    /// Whether it has ended.
+    /// Whether it has exited.
     pub fn has_exited(&self) -> bool {
-        *self.ended.borrow()
+        *self.exited.borrow()
     }
 
-    /// Kills it, as nobody may be surprised at.
+    /// Kills it; the exit counts as expected.
     pub fn kill(&self) {
-        self.asked.store(true, Ordering::SeqCst);
+        self.exit_expected.store(true, Ordering::SeqCst);
         if let Some(pid) = Pid::from_raw(self.pid as i32) {
             let _ = kill_process(pid, Signal::KILL);
         }
     }
 }
 
-/// Whether the process behind a door says that it serves.
+/// Whether the process with this control port reports that it is serving.
 pub async fn is_serving(control: SocketAddr) -> bool {
-    let asked = tokio::task::spawn_blocking(move || {
+    let query = tokio::task::spawn_blocking(move || {
         send_request(control, &Request::Status, Duration::from_millis(500))
     });
-    matches!(asked.await, Ok(Ok(Response::Success(_))))
+    matches!(query.await, Ok(Ok(Response::Success(_))))
 }
 
 impl Process {
-    /// A dispatcher that keeps its state below `folder`.
+    /// A dispatcher that keeps its state below `dir`.
     ///
     /// # Errors
-    /// Those of the folder.
+    /// Those of the directory.
     pub fn new(
-        index: usize, program: Program, listen: SocketAddr, folder: &Path, log: PathBuf, recorder: Recorder,
+        index: usize, program: Program, listen: SocketAddr, dir: &Path, log: PathBuf, recorder: Recorder,
     ) -> io::Result<Process> {
-        let folder = folder.join(format!("n{index}"));
-        fs::create_dir_all(folder.join("state"))?;
+        let dir = dir.join(format!("n{index}"));
+        fs::create_dir_all(dir.join("state"))?;
         File::create(&log)?;
-        let (asked, running, control) = (Mutex::default(), watch::Sender::new(None), Mutex::default());
-        Ok(Process { index, program, listen, folder, log, recorder, asked, running, control })
+        let (exit_expected, current_pid, control) =
+            (Mutex::default(), watch::Sender::new(None), Mutex::default());
+        Ok(Process { index, program, listen, dir, log, recorder, exit_expected, current_pid, control })
     }
 
-    /// The folder that outlasts its processes.
+    /// The state directory, which persists across its processes.
     pub fn state_dir(&self) -> PathBuf {
-        self.folder.join("state")
+        self.dir.join("state")
     }
 
-    /// The folder of all that is its own.
+    /// The directory of everything that belongs to the dispatcher.
     pub fn dir(&self) -> PathBuf {
-        self.folder.clone()
+        self.dir.clone()
     }
 
-    /// Its number.
+    /// Its index.
     pub fn index(&self) -> usize {
         self.index
     }
 
-    /// Whether clients are answered that it is ready.
+    /// Whether it reports itself as ready to clients.
     pub async fn is_ready(&self) -> bool {
-        self.ready().await
+        self.query_readiness().await
     }
 
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub fn listen_address(&self) -> SocketAddr {
         self.listen
     }
 
-    /// The id of the process that runs.
+    /// Id of the current process.
     pub fn pid(&self) -> Option<u32> {
-        *self.running.borrow()
+        *self.current_pid.borrow()
     }
 
-    /// Replaces the file of its configuration at one go.
+    /// Replaces the configuration file atomically.
     ///
     /// # Errors
     /// Those of the file.
     pub fn write_config(&self, config: &Value) -> io::Result<()> {
-        let next = self.folder.join("config.next");
+        let next = self.dir.join("config.next");
         fs::write(&next, config.to_string())?;
-        fs::rename(next, self.folder.join("config.json"))
+        fs::rename(next, self.dir.join("config.json"))
     }
 
-    /// Starts it, and waits until it is ready.
+    /// Starts it and waits until it is ready.
     ///
     /// # Errors
-    /// Those of starting; `TimedOut` where it isn't ready in 20 s; `Other` where it ends before.
+    /// Those of starting; `TimedOut` where it isn't ready within 20 s; `Other` where it exits before.
     pub async fn start(&self, discovery: SocketAddr) -> io::Result<()> {
         self.recorder.add(Event::ProcessStarted { dispatcher: self.index });
-        let (second, index) = (self.spawn(discovery, None)?, self.index);
-        self.switch_to(&second);
-        let until = Instant::now() + READY_MOST;
-        while !self.ready().await {
+        let (spawned, index) = (self.spawn(discovery, None)?, self.index);
+        self.switch_to(&spawned);
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !self.query_readiness().await {
             if self.pid().is_none() {
-                let text =
-                    format!("dispatcher {index} ended before it was ready; its log: {}", self.log.display());
-                return Err(io::Error::other(text));
+                let message = format!(
+                    "dispatcher {index} exited before it was ready; see its log {}",
+                    self.log.display()
+                );
+                return Err(io::Error::other(message));
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Err(io::Error::new(
                     io::ErrorKind::TimedOut,
                     format!("dispatcher {index} is not ready"),
@@ -161,7 +164,7 @@
         Ok(())
     }
 
-    /// Starts one more process beside the one that runs, if any. `control`: where operators call it.
+    /// Starts a process, beside the current one if there is one. `control`: the address of its control port.
     ///
     /// # Errors
     /// Those of starting.
@@ -173,94 +176,97 @@
             .env("GW_NAME", format!("n{}", self.index))
             .env("GW_LISTEN", self.listen.to_string())
             .env("GW_DISCOVERY", discovery.to_string())
-            .env("GW_STATE", self.folder.join("state"))
-            .env("GW_CONFIG", self.folder.join("config.json"))
+            .env("GW_STATE", self.dir.join("state"))
+            .env("GW_CONFIG", self.dir.join("config.json"))
             .stdin(Stdio::null())
             .stdout(log.try_clone()?)
             .stderr(log)
             .kill_on_drop(true);
-        let fleet = self.folder.join("fleet.hcl");
+        let fleet = self.dir.join("fleet.hcl");
         if fleet.exists() {
             command.env("FAWNSPOKE_FLEET", fleet);
         }
-        if let Ok(rate) = fs::read_to_string(self.folder.join("clock")) {
+        if let Ok(rate) = fs::read_to_string(self.dir.join("clock")) {
             command.env("FAWNSPOKE_CLOCK_RATE", rate);
         }
         if let Some(control) = control {
             command.env("GW_CONTROL", control.to_string());
         }
         let mut child = command.spawn()?;
-        let id = child.id().ok_or(io::ErrorKind::NotFound)?;
-        let asked = Arc::new(AtomicBool::new(false));
-        let (told, running, recorder) = (asked.clone(), self.running.clone(), self.recorder.clone());
-        let (index, (ends, ended)) = (self.index, watch::channel(false));
+        let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
+        let exit_expected = Arc::new(AtomicBool::new(false));
+        let (expected_on_exit, current_pid, recorder) =
+            (exit_expected.clone(), self.current_pid.clone(), self.recorder.clone());
+        let (index, (exit_sender, exited)) = (self.index, watch::channel(false));
         tokio::spawn(async move {
             let status = child.wait().await;
-            let told = told.load(Ordering::SeqCst);
-            // A process that was told to stop has not crashed where it says that all went well, or was killed.
-            let well = status.is_ok_and(|status| status.code().is_none_or(|code| code == 0));
-            recorder.add(Event::ProcessExited { dispatcher: index, expected: told && well });
-            ends.send_replace(true);
-            running.send_if_modified(|now| now.take_if(|now| *now == id).is_some());
+            let expected_on_exit = expected_on_exit.load(Ordering::SeqCst);
+            // An expected exit counts as clean where the status is 0 or the process was killed by a signal.
+            let clean = status.is_ok_and(|status| status.code().is_none_or(|code| code == 0));
+            recorder.add(Event::ProcessExited { dispatcher: index, expected: expected_on_exit && clean });
+            exit_sender.send_replace(true);
+            current_pid.send_if_modified(|current| current.take_if(|current| *current == pid).is_some());
         });
         let control = control.unwrap_or(self.listen);
-        Ok(SpawnedProcess { pid: id, control, asked, ended })
+        Ok(SpawnedProcess { pid, control, exit_expected, exited })
     }
 
-    /// The process that is to be the one that runs from now on; the one before is told of by its end.
-    pub fn switch_to(&self, second: &SpawnedProcess) {
-        *self.asked.lock().unwrap_or_else(PoisonError::into_inner) = second.asked.clone();
-        *self.control.lock().unwrap_or_else(PoisonError::into_inner) = Some(second.control);
-        self.running.send_replace(Some(second.pid));
+    /// Makes this process the current one; the exit of the previous one is recorded on its own.
+    pub fn switch_to(&self, spawned: &SpawnedProcess) {
+        *self.exit_expected.lock().unwrap_or_else(PoisonError::into_inner) = spawned.exit_expected.clone();
+        *self.control.lock().unwrap_or_else(PoisonError::into_inner) = Some(spawned.control);
+        self.current_pid.send_replace(Some(spawned.pid));
     }
 
-    /// Where operators call the process that runs.
+    /// Address of the current process's control port.
     pub fn control_address(&self) -> Option<SocketAddr> {
         *self.control.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The end of the process that runs is no surprise from now on.
+    /// Marks the exit of the current process as expected.
     pub fn expect_exit(&self) {
-        self.asked.lock().unwrap_or_else(PoisonError::into_inner).store(true, Ordering::SeqCst);
+        self.exit_expected.lock().unwrap_or_else(PoisonError::into_inner).store(true, Ordering::SeqCst);
     }
 
-    async fn ready(&self) -> bool {
-        let asked = async {
-            let mut wire = HttpConnection::connect(self.listen, Duration::from_millis(500)).await?;
-            wire.write(b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n")
+    /// Asks the readiness endpoint.
+    async fn query_readiness(&self) -> bool {
+        let query = async {
+            let mut connection = HttpConnection::connect(self.listen, Duration::from_millis(500)).await?;
+            connection
+                .write(b"GET /health/ready HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n")
                 .await?;
-            wire.read_response().await
+            connection.read_response().await
         };
-        let answer = tokio::time::timeout(Duration::from_secs(1), asked).await;
-        matches!(answer, Ok(Ok(answer)) if answer.status() == 200)
+        let response = tokio::time::timeout(Duration::from_secs(1), query).await;
+        matches!(response, Ok(Ok(response)) if response.status() == 200)
     }
 
-    /// Sends it a signal; nothing where it does not run.
+    /// Sends it a signal; does nothing where it isn't running.
     pub fn signal(&self, signal: ProcessSignal) {
         let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) else { return };
         if matches!(signal, ProcessSignal::Kill | ProcessSignal::Term) {
             self.expect_exit();
         }
-        // On record first: what follows from it comes later in the record, too.
+        // Recorded first, so that its consequences come later in the record.
         self.recorder.add(Event::SignalSent { dispatcher: self.index, signal });
-        let number = match signal {
+        let signal_number = match signal {
             ProcessSignal::Kill => Signal::KILL,
             ProcessSignal::Term => Signal::TERM,
             ProcessSignal::Stop => Signal::STOP,
             ProcessSignal::Cont => Signal::CONT,
             ProcessSignal::Hup => Signal::HUP,
         };
-        // One that has just ended by itself is told of by its end.
-        let _ = kill_process(pid, number);
+        // It may have just exited by itself; its exit is recorded separately.
+        let _ = kill_process(pid, signal_number);
     }
 
-    /// Waits for it to end; whether it did so within the limit.
+    /// Waits for the current process to exit; returns whether it did within the limit.
     pub async fn wait_for_exit(&self, limit: Duration) -> bool {
-        let mut running = self.running.subscribe();
-        tokio::time::timeout(limit, running.wait_for(Option::is_none)).await.is_ok()
+        let mut running_pid = self.current_pid.subscribe();
+        tokio::time::timeout(limit, running_pid.wait_for(Option::is_none)).await.is_ok()
     }
 
-    /// Resident memory in KB, as the kernel counts it now.
+    /// Its resident memory in KB, as reported by the kernel.
     pub fn resident_kb(&self) -> Option<u64> {
         resident_kb(self.pid()?)
     }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes: what it carries each way may be held up, slowed or broken off, on demand.
+//! A TCP relay between two processes that can block, delay or reset its connections on demand.
 
 use crate::blocking::runtime_handle;
 use std::io;
@@ -12,33 +12,33 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Where a relay leads, once that is known.
+/// Address to which a relay connects, once it is known.
 pub type Target = Arc<Mutex<Option<SocketAddr>>>;
 
-/// What a relay does to what it carries.
+/// The faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// What the caller says is held up.
+    /// Whether data from the connecting side is held back.
     pub forward_blocked: bool,
-    /// What the called one says is held up.
+    /// Whether data from the accepting side is held back.
     pub backward_blocked: bool,
-    /// Each piece comes so much later, in seconds.
+    /// Delay of each chunk of data, in seconds.
     pub delay_s: f64,
-    /// Counts the times at which all connections break off; in the middle of a frame, if one is under way.
+    /// Counter of resets: each increment breaks all open connections, even in the middle of a frame.
     pub resets: u64,
 }
 
-/// A relay. It ends with its process.
+/// A running relay; it runs until the test process exits.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    way: Arc<watch::Sender<LinkState>>,
-    carried: Arc<AtomicU64>,
+    link: Arc<watch::Sender<LinkState>>,
+    relayed_bytes: Arc<AtomicU64>,
 }
 
 impl Relay {
-    /// Starts one that carries all as it comes.
+    /// Starts a relay without faults on the stand-ins' runtime.
     ///
     /// # Errors
     /// Where it can't listen.
@@ -46,72 +46,81 @@
         runtime_handle().block_on(Relay::start_async(target))
     }
 
-    /// The same, on the runtime that runs.
+    /// Starts a relay without faults on the current runtime.
     ///
     /// # Errors
     /// Where it can't listen.
     pub async fn start_async(target: Target) -> io::Result<Relay> {
-        let way = Arc::new(watch::Sender::new(LinkState::default()));
+        let link = Arc::new(watch::Sender::new(LinkState::default()));
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-        let at = listener.local_addr()?;
-        let (ways, carried) = (way.clone(), Arc::new(AtomicU64::new(0)));
-        let counted = carried.clone();
+        let address = listener.local_addr()?;
+        let (link_sender, relayed_bytes) = (link.clone(), Arc::new(AtomicU64::new(0)));
+        let byte_counter = relayed_bytes.clone();
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(carry(caller, target.clone(), ways.subscribe(), counted.clone()));
+                tokio::spawn(relay_connection(
+                    caller,
+                    target.clone(),
+                    link_sender.subscribe(),
+                    byte_counter.clone(),
+                ));
             }
         });
-        Ok(Relay { address: at, way, carried })
+        Ok(Relay { address, link, relayed_bytes })
     }
 
-    /// Bytes that it has carried, both ways.
+    /// Bytes that it has relayed in both directions.
     pub fn relayed_bytes(&self) -> u64 {
-        self.carried.load(Ordering::Relaxed)
+        self.relayed_bytes.load(Ordering::Relaxed)
     }
 
-    /// From now on.
+    /// Changes the faults of the link.
     pub fn set(&self, change: impl FnOnce(&mut LinkState)) {
-        self.way.send_modify(change);
+        self.link.send_modify(change);
     }
 }
 
-async fn carry(
-    caller: TcpStream, target: Target, mut way: watch::Receiver<LinkState>, carried: Arc<AtomicU64>,
+/// Relays one connection until it ends or is reset.
+async fn relay_connection(
+    caller: TcpStream, target: Target, mut link: watch::Receiver<LinkState>, relayed_bytes: Arc<AtomicU64>,
 ) {
-    // A connection comes up only where both ways are open.
-    if way.wait_for(|way| !way.forward_blocked && !way.backward_blocked).await.is_err() {
+    // A connection is established only while neither direction is blocked.
+    if link.wait_for(|link| !link.forward_blocked && !link.backward_blocked).await.is_err() {
         return;
     }
-    let resets = way.borrow().resets;
-    let at = *target.lock().unwrap_or_else(PoisonError::into_inner);
-    let Some(at) = at else { return };
-    let Ok(called) = TcpStream::connect(at).await else { return };
-    let _ = (caller.set_nodelay(true), called.set_nodelay(true));
-    let ((caller_in, caller_out), (called_in, called_out)) = (caller.into_split(), called.into_split());
-    let mut reset = way.clone();
+    let resets = link.borrow().resets;
+    let address = *target.lock().unwrap_or_else(PoisonError::into_inner);
+    let Some(address) = address else { return };
+    let Ok(callee) = TcpStream::connect(address).await else { return };
+    let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
+    let ((caller_in, caller_out), (callee_in, callee_out)) = (caller.into_split(), callee.into_split());
+    let mut reset = link.clone();
     tokio::select! {
-        () = pump(caller_in, called_out, way.clone(), &carried, |way| way.forward_blocked) => {}
-        () = pump(called_in, caller_out, way, &carried, |way| way.backward_blocked) => {}
-        _ = reset.wait_for(|way| way.resets != resets) => {}
+        () = copy_direction(caller_in, callee_out, link.clone(), &relayed_bytes, |link| link.forward_blocked) => {}
+        () = copy_direction(callee_in, caller_out, link, &relayed_bytes, |link| link.backward_blocked) => {}
+        _ = reset.wait_for(|link| link.resets != resets) => {}
     }
 }
 
-async fn pump(
-    mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut way: watch::Receiver<LinkState>,
-    carried: &AtomicU64, cut: fn(&LinkState) -> bool,
+/// Copies data in one direction.
+async fn copy_direction(
+    mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut link: watch::Receiver<LinkState>,
+    relayed_bytes: &AtomicU64, is_blocked: fn(&LinkState) -> bool,
 ) {
-    let mut piece = vec![0; 16 << 10];
-    while let Ok(read) = from.read(&mut piece).await {
+    let mut chunk = vec![0; 16 << 10];
+    while let Ok(read) = from.read(&mut chunk).await {
         if read == 0 {
             return;
         }
-        carried.fetch_add(read as u64, Ordering::Relaxed);
-        let delay = way.borrow().delay_s;
+        relayed_bytes.fetch_add(read as u64, Ordering::Relaxed);
+        let delay = link.borrow().delay_s;
         if delay > 0.0 {
             sleep(Duration::from_secs_f64(delay)).await;
         }
-        // It is held up and not lost, as by a network that comes back.
-        if way.wait_for(|way| !cut(way)).await.is_err() || to.write_all(&piece[..read]).await.is_err() {
+        // Blocked data is delayed and not lost, as in a network that recovers.
+        if link.wait_for(|link| !is_blocked(link)).await.is_err()
+            || to.write_all(&chunk[..read]).await.is_err()
+        {
             return;
         }
     }
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -3,8 +3,8 @@
 
 use crate::clients::SimulatedClients;
 use crate::endpoint::{ConnectionLimits, Endpoint, SocketState};
-use crate::fleet_faults::{self, Folder, Relays, Told, Trouble};
-use crate::killer::{Counter, Kills};
+use crate::fleet_faults::{self, FleetFault, FleetSummary, Relays, StateDirFate};
+use crate::killer::{KillCounter, Kills};
 use crate::message_registry::MessageRegistry;
 use crate::partner::{Partner, PartnerEndpoint, PartnerFault};
 use crate::platform::{EndpointEntry, Platform};
@@ -43,7 +43,7 @@
     /// The program that is run as a dispatcher.
     pub program: Program,
     /// Directory for the dispatchers' state and logs.
-    pub folder: PathBuf,
+    pub dir: PathBuf,
     /// Whether to report progress on standard error, once per second.
     pub progress: bool,
 }
@@ -63,7 +63,7 @@
     /// Upgrades by the scenario's upgrader.
     pub upgrades: Upgrades,
     /// Summary of what the fleet's members logged, where the scenario has a fleet.
-    pub fleet: Option<Told>,
+    pub fleet: Option<FleetSummary>,
 }
 
 /// Addresses of one run: a random network within 127.0.0.0/8, so that concurrent runs do not collide.
@@ -210,7 +210,7 @@
         test_bed.configure(index)?;
     }
     if scenario.fleet.voters > 0 {
-        fleet_faults::found(&options.program.path, &test_bed.processes[0].dir()).await?;
+        fleet_faults::bootstrap(&options.program.path, &test_bed.processes[0].dir()).await?;
     }
     for (index, process) in test_bed.processes.iter().enumerate() {
         process.start(test_bed.discovery_address(index)?).await?;
@@ -230,7 +230,7 @@
             }
         }));
     }
-    let kill_counter = Arc::new(Counter::default());
+    let kill_counter = Arc::new(KillCounter::default());
     let latest_start = test_bed.recorder.instant(run_start + micros(scenario.duration_s * 0.9));
     for index in 0..test_bed.processes.len() {
         let (test_bed, kill_counter) = (test_bed.clone(), kill_counter.clone());
@@ -259,7 +259,7 @@
         tasks.push(tokio::spawn(async move {
             let upgrader = &test_bed.scenario.upgrader;
             let interval_micros = upgrader.interval_ms[0] * 1000..=upgrader.interval_ms[1] * 1000;
-            while std::time::Instant::now() < latest_start && Upgrades::begin(&upgrades, upgrader) {
+            while std::time::Instant::now() < latest_start && Upgrades::try_start(&upgrades, upgrader) {
                 sleep(Duration::from_micros(rng.u64(interval_micros.clone()))).await;
                 if let Err(error) = test_bed.upgrade(index, &upgrades, &mut rng).await {
                     eprintln!("dispatcher {index}: upgrade failed: {error}");
@@ -306,10 +306,10 @@
     let kills = kill_counter.kills();
     let mut upgrades = std::mem::take(&mut *upgrades.lock().unwrap_or_else(PoisonError::into_inner));
     for index in 0..test_bed.processes.len() {
-        upgrades.read_log(&options.folder.join(format!("n{index}.log")));
+        upgrades.read_log(&options.dir.join(format!("n{index}.log")));
     }
     let members = (scenario.fleet.voters > 0).then_some(test_bed.processes.len());
-    let fleet = members.map(|count| fleet_faults::read_logs(&options.folder, count));
+    let fleet = members.map(|count| fleet_faults::summarize_logs(&options.dir, count));
     Ok(RunOutcome {
         entries,
         resident_kb,
@@ -374,9 +374,9 @@
         platform.start_agent(index, network.at(host, 0)).await?;
         // The port stays free: no other run uses this network.
         let listen = TcpListener::bind(network.at(host, 0)).await?.local_addr()?;
-        let log = options.folder.join(format!("n{index}.log"));
+        let log = options.dir.join(format!("n{index}.log"));
         let program = options.program.clone();
-        processes.push(Process::new(index, program, listen, &options.folder, log, recorder.clone())?);
+        processes.push(Process::new(index, program, listen, &options.dir, log, recorder.clone())?);
         configs.push(dispatcher_config(scenario, index, listen));
         listen_addresses.push(listen);
     }
@@ -384,8 +384,10 @@
     let relays = match scenario.fleet.voters {
         0 => Relays::new(),
         _ => {
-            fleet_faults::set_up(&scenario.fleet, &state_dirs, |i| network.at(1 + i as u8, MEMBERS_PORT))
-                .await?
+            fleet_faults::start_relays(&scenario.fleet, &state_dirs, |i| {
+                network.at(1 + i as u8, MEMBERS_PORT)
+            })
+            .await?
         }
     };
     let clients =
@@ -414,7 +416,7 @@
     scenario: &Scenario, partner: usize, endpoint: &Endpoint, dispatcher_count: usize,
 ) -> EndpointEntry {
     let partner_spec = &scenario.partners[partner];
-    let share = if partner_spec.rate_limit == RateLimit::None {
+    let rate_limit_per_s = if partner_spec.rate_limit == RateLimit::None {
         partner_spec.capacity_per_s
     } else {
         partner_spec.limit_per_s.min(partner_spec.capacity_per_s)
@@ -426,7 +428,7 @@
         destination_kind: destination_kind(partner_spec.max_batch),
         destination: partner as u32 + 1,
         state: EndpointState::Up,
-        rate_limit_per_s: share,
+        rate_limit_per_s,
     }
 }
 
@@ -490,9 +492,8 @@
         &self, fault: &FaultEvent, partner_fault: PartnerFault, socket_state: SocketState,
     ) -> io::Result<()> {
         let partner = &self.partners[fault.target];
-        let refusing = socket_state == SocketState::Refusing;
-        self.recorder
-            .add(Event::OutageStarted { destination: partner.destination(), refuses_connections: refusing });
+        let refuses_connections = socket_state == SocketState::Refusing;
+        self.recorder.add(Event::OutageStarted { destination: partner.destination(), refuses_connections });
         partner.set_fault(partner_fault);
         self.set_socket_states(fault.target, socket_state).await?;
         sleep(Duration::from_micros(fault.duration)).await;
@@ -580,21 +581,22 @@
                 self.replace_endpoint(fault, endpoint).await
             }
             FaultKind::PlatformSilent => {
-                self.platform.set_behavior(|mood| mood.silent = true);
+                self.platform.set_behavior(|behavior| behavior.silent = true);
                 sleep(duration).await;
-                self.platform.set_behavior(|mood| mood.silent = false);
+                self.platform.set_behavior(|behavior| behavior.silent = false);
                 Ok(())
             }
             FaultKind::PlatformTorn => {
-                self.platform.set_behavior(|mood| mood.truncate_updates = true);
+                self.platform.set_behavior(|behavior| behavior.truncate_updates = true);
                 sleep(duration).await;
-                self.platform.set_behavior(|mood| mood.truncate_updates = false);
+                self.platform.set_behavior(|behavior| behavior.truncate_updates = false);
                 Ok(())
             }
             FaultKind::PlatformLate => {
-                self.platform.set_behavior(|mood| mood.update_delay = Duration::from_secs_f64(fault.factor));
+                self.platform
+                    .set_behavior(|behavior| behavior.update_delay = Duration::from_secs_f64(fault.factor));
                 sleep(duration).await;
-                self.platform.set_behavior(|mood| mood.update_delay = Duration::ZERO);
+                self.platform.set_behavior(|behavior| behavior.update_delay = Duration::ZERO);
                 Ok(())
             }
         }
@@ -615,68 +617,68 @@
                 break;
             }
             let (test_bed, member, peer) = (self.clone(), rng.usize(0..count), rng.usize(0..count));
-            let mut fault = Trouble::draw(&mut rng);
-            while fleet.only_kind.as_ref().is_some_and(|only_kind| !fault.is(only_kind)) {
-                fault = Trouble::draw(&mut rng);
+            let mut fault = FleetFault::draw(&mut rng);
+            while fleet.only_kind.as_ref().is_some_and(|only_kind| !fault.is_kind(only_kind)) {
+                fault = FleetFault::draw(&mut rng);
             }
             // A member that loses its state is no voter until it has joined again, so only one member loses it in a run.
-            if matches!(fault, Trouble::Kill(Folder::Older | Folder::Emptied)) {
+            if matches!(fault, FleetFault::Kill(StateDirFate::RolledBack | StateDirFate::Deleted)) {
                 lost_state_dirs += 1;
                 if lost_state_dirs > 1 {
-                    fault = Trouble::Kill(Folder::Kept);
+                    fault = FleetFault::Kill(StateDirFate::Kept);
                 }
             }
             if rng.bool() {
-                fleet_faults::copy_aside(&self.processes[rng.usize(0..count)]);
+                fleet_faults::copy_fleet_state(&self.processes[rng.usize(0..count)]);
             }
             tasks.push(tokio::spawn(async move { test_bed.inject_fleet_fault(fault, member, peer).await }));
         }
         for task in tasks {
             let _ = task.await;
         }
-        fleet_faults::heal(&self.relays);
+        fleet_faults::restore_links(&self.relays);
     }
 
     /// Injects one fault into the fleet and waits for its end.
-    async fn inject_fleet_fault(&self, fault: Trouble, member: usize, peer: usize) {
+    async fn inject_fleet_fault(&self, fault: FleetFault, member: usize, peer: usize) {
         let process = &self.processes[member];
         let wait = |duration_s: f64| sleep(Duration::from_secs_f64(duration_s));
         match fault {
-            Trouble::Kill(dir_fate) => {
+            FleetFault::Kill(dir_fate) => {
                 if process.pid().is_none() {
                     return;
                 }
                 process.signal(ProcessSignal::Kill);
                 process.wait_for_exit(Duration::from_secs(10)).await;
-                fleet_faults::turn_back(process, dir_fate);
+                fleet_faults::apply_state_dir_fate(process, dir_fate);
                 if let Err(error) = self.restart(member).await {
                     eprintln!("dispatcher {member}: restart after a kill failed: {error}");
                 }
             }
-            Trouble::Stop(duration_s) => fleet_faults::stop(process, duration_s).await,
-            Trouble::CutOff(outgoing, incoming, duration_s) => {
-                fleet_faults::cut_off(&self.relays, member, outgoing, incoming);
+            FleetFault::Pause(duration_s) => fleet_faults::pause(process, duration_s).await,
+            FleetFault::Partition(outgoing, incoming, duration_s) => {
+                fleet_faults::partition(&self.relays, member, outgoing, incoming);
                 wait(duration_s).await;
-                fleet_faults::cut_off(&self.relays, member, false, false);
+                fleet_faults::partition(&self.relays, member, false, false);
             }
-            Trouble::Pair(forward, backward, duration_s) => {
+            FleetFault::BlockLink(forward, backward, duration_s) => {
                 if let Some(relay) = self.relays.get(&(member, peer)) {
                     relay.set(|link| (link.forward_blocked, link.backward_blocked) = (forward, backward));
                     wait(duration_s).await;
                     relay.set(|link| (link.forward_blocked, link.backward_blocked) = (false, false));
                 }
             }
-            Trouble::SlowThenCut(delay_s, duration_s) => {
-                fleet_faults::slow(&self.relays, member, delay_s);
+            FleetFault::DelayThenPartition(delay_s, duration_s) => {
+                fleet_faults::set_delay(&self.relays, member, delay_s);
                 wait(1.0).await;
                 // Responses to its earlier requests are still on their way.
-                fleet_faults::cut_off(&self.relays, member, true, false);
+                fleet_faults::partition(&self.relays, member, true, false);
                 wait(1.0).await;
-                fleet_faults::slow(&self.relays, member, 0.0);
+                fleet_faults::set_delay(&self.relays, member, 0.0);
                 wait(duration_s).await;
-                fleet_faults::cut_off(&self.relays, member, false, false);
+                fleet_faults::partition(&self.relays, member, false, false);
             }
-            Trouble::Slow(duration_s, delay_s) => {
+            FleetFault::ResetAndDelay(duration_s, delay_s) => {
                 self.relays.values().for_each(|relay| {
                     relay.set(|link| (link.delay_s, link.resets) = (delay_s, link.resets + 1));
                 });
@@ -825,9 +827,9 @@
 /// Those of the file system.
 pub fn create_run_dir(parent: &Path) -> io::Result<PathBuf> {
     let mut rng = fastrand::Rng::new();
-    let folder = parent.join(format!("fawnspoke-lab-{}-{:08x}", std::process::id(), rng.u32(..)));
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+    let dir = parent.join(format!("fawnspoke-lab-{}-{:08x}", std::process::id(), rng.u32(..)));
+    std::fs::create_dir_all(&dir)?;
+    Ok(dir)
 }
 
 type PeakMemory = Mutex<BTreeMap<usize, u64>>;
--- a/crates/lab/src/test_fleet.rs
+++ b/crates/lab/src/test_fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program as one fleet, a relay between each two that speak, for tests and measures that are
-//! not asynchronous themselves.
+//! A fleet of processes with a relay on each link between two members, for tests and measurements that are not
+//! asynchronous.
 
 use crate::blocking::{Dispatcher, Platform, eventually};
 use crate::history::{self, LogLine};
@@ -15,76 +15,78 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-/// A member that is not stopped answers by then.
-const PATIENCE: Duration = Duration::from_millis(700);
+/// A member that is not stopped responds within this time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How a fleet is made.
+/// Size and configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
-    /// Members that vote, from the first on.
+    /// Number of voters, which are the first members.
     pub voters: usize,
-    /// Members that follow.
+    /// Number of observers.
     pub observers: usize,
-    /// Further lines of the fleet's file.
+    /// Further lines of the fleet's configuration file.
     pub extra_config: String,
 }
 
 /// A fleet of processes.
 pub struct TestFleet {
-    /// The processes, by number; `n0` and so on by name.
+    /// The members by index; named `n0` and so on.
     pub dispatchers: Vec<Dispatcher>,
     program: PathBuf,
-    folder: PathBuf,
+    dir: PathBuf,
     relays: BTreeMap<(usize, usize), Relay>,
-    /// How many are to vote.
+    /// Expected number of voters.
     voters: usize,
 }
 
 impl TestFleet {
-    /// Makes the folders, files and relays of a fleet; nothing runs yet. `known`: the list that each starts with.
+    /// Creates the directories, configuration files and relays of a fleet; no member runs yet. `known`: the
+    /// endpoint list with which each member starts.
     ///
     /// # Errors
-    /// Those of the folder and of relays.
+    /// Those of the directory and of the relays.
     pub fn new(
         program: &Path, parent: &Path, shape: &FleetShape, platforms: &[&Platform], known: &[Value],
     ) -> io::Result<TestFleet> {
-        let count = shape.voters + shape.observers;
-        let mut dispatchers: Vec<Dispatcher> = (0..count)
+        let members = shape.voters + shape.observers;
+        let mut dispatchers: Vec<Dispatcher> = (0..members)
             .map(|i| Dispatcher::new(program, parent, platforms[i % platforms.len()], known))
             .collect();
-        let folder = dispatchers[0].state_dir().with_file_name("fleet-files");
-        fs::create_dir_all(&folder)?;
-        let layout = Topology { members: count, voters: shape.voters };
+        let dir = dispatchers[0].state_dir().with_file_name("fleet-files");
+        fs::create_dir_all(&dir)?;
+        let topology = Topology { members, voters: shape.voters };
         let mut relays = BTreeMap::new();
-        for (i, j) in layout.connections() {
+        for (i, j) in topology.connections() {
             relays.insert((i, j), Relay::start(dispatchers[j].member_address())?);
         }
         for (i, dispatcher) in dispatchers.iter_mut().enumerate() {
-            let here = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
-            // Who is never called from here needs an address all the same.
-            let at = |j: usize| (relays.get(&(i, j)).map_or(here(1 + j), |relay| relay.address), here(0));
-            let text = layout.config_file(&shape.extra_config, at);
-            let file = folder.join(format!("n{i}.hcl"));
-            fs::write(&file, text)?;
+            let loopback = |port: usize| SocketAddr::from(([127, 0, 0, 1], port as u16));
+            // A member to which this one never connects needs an address in the file, too.
+            let addresses =
+                |j: usize| (relays.get(&(i, j)).map_or(loopback(1 + j), |relay| relay.address), loopback(0));
+            let config = topology.config_file(&shape.extra_config, addresses);
+            let file = dir.join(format!("n{i}.hcl"));
+            fs::write(&file, config)?;
             dispatcher.config["name"] = format!("n{i}").into();
             dispatcher.control_enabled = true;
             dispatcher.shell_prelude =
                 format!("FAWNSPOKE_FLEET='{}'; export FAWNSPOKE_FLEET;", file.display());
         }
-        Ok(TestFleet { dispatchers, program: program.to_path_buf(), folder, relays, voters: shape.voters })
+        Ok(TestFleet { dispatchers, program: program.to_path_buf(), dir, relays, voters: shape.voters })
     }
 
-    /// Where a member's file of the fleet is.
+    /// Path of a member's fleet configuration.
     pub fn config_file(&self, i: usize) -> PathBuf {
-        self.folder.join(format!("n{i}.hcl"))
+        self.dir.join(format!("n{i}.hcl"))
     }
 
-    /// Makes the first member the fleet's founder.
+    /// Makes the first member the founder of the fleet.
     ///
     /// # Errors
-    /// What the program says.
+    /// What the program reports.
     pub fn bootstrap(&self) -> Result<(), String> {
-        let found = Command::new(&self.program)
+        let output = Command::new(&self.program)
             .args(["fleet", "found"])
             .arg(self.config_file(0))
             .arg("n0")
@@ -92,20 +94,25 @@
             .stdout(Stdio::null())
             .output()
             .map_err(|error| error.to_string())?;
-        if found.status.success() { Ok(()) } else { Err(String::from_utf8_lossy(&found.stderr).into_owned()) }
+        if output.status.success() {
+            Ok(())
+        } else {
+            Err(String::from_utf8_lossy(&output.stderr).into_owned())
+        }
     }
 
-    /// Founds the fleet, starts all, and waits until all are members and the keeper's duty is held.
+    /// Bootstraps the fleet, starts all processes, and waits until all are members and the keeper's duty is
+    /// held.
     ///
     /// # Panics
-    /// Where that does not come.
+    /// Where that does not happen within 30 s.
     pub fn start(&mut self) {
-        self.bootstrap().expect("a founded fleet");
+        self.bootstrap().expect("the fleet is bootstrapped");
         self.dispatchers.iter_mut().for_each(Dispatcher::start);
-        let all = self.dispatchers.len();
-        eventually("all members, and a keeper", || {
-            (0..all).all(|i| {
-                self.status(i).is_some_and(|fleet| fleet["members"].as_array().map_or(0, Vec::len) == all)
+        let members = self.dispatchers.len();
+        eventually("all members and a holder of the keeper's duty", || {
+            (0..members).all(|i| {
+                self.status(i).is_some_and(|fleet| fleet["members"].as_array().map_or(0, Vec::len) == members)
             }) && self.voters(0) == self.voters
                 && self.duty_holder("keeper").is_some()
         });
@@ -116,86 +123,92 @@
         fleet["members"].as_array().into_iter().flatten().filter(|member| member["voter"] == true).count()
     }
 
-    /// How a member sees the fleet; nothing where it does not say.
+    /// The fleet's status as one member reports it; none where it does not respond.
     pub fn status(&self, i: usize) -> Option<Value> {
         let at = self.dispatchers[i].control_address().filter(|_| self.dispatchers[i].is_running())?;
-        match fawnspoke_control::client::send_request(at, &Request::Fleet, PATIENCE) {
+        match fawnspoke_control::client::send_request(at, &Request::Fleet, RESPONSE_TIMEOUT) {
             Ok(Response::Success(text)) => serde_json::from_str(&text).ok(),
             _ => None,
         }
     }
 
-    /// Who holds a duty, by its own word that its term runs: the member's number, and the epoch.
+    /// The member that reports to hold a duty within a valid lease term: its index and the epoch.
     pub fn duty_holder(&self, duty: &str) -> Option<(usize, u64)> {
         (0..self.dispatchers.len()).filter(|i| self.dispatchers[*i].is_running()).find_map(|i| {
             let fleet = self.status(i)?;
-            let held = fleet["part"]["duties"]
+            let lease = fleet["part"]["duties"]
                 .as_array()?
                 .iter()
-                .find(|one| one["name"] == duty && one["mine"] == true)?;
-            Some((i, held["epoch"].as_u64()?))
+                .find(|entry| entry["name"] == duty && entry["mine"] == true)?;
+            Some((i, lease["epoch"].as_u64()?))
         })
     }
 
-    /// Who leads, as a member sees it: the number.
+    /// Index of the leader as one member reports it.
     pub fn leader(&self, by: usize) -> Option<usize> {
         let fleet = self.status(by)?;
         fleet["leader"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 
-    /// Changes the relay between two members, whoever of them calls. `from_first`: as the one that is named first sees it,
-    /// what it says is `there`.
-    pub fn set_link_blocked(&self, one: usize, other: usize, cut: (bool, bool)) {
-        let set = |relay: &Relay, (there, back): (bool, bool)| {
-            relay.set(|way| (way.forward_blocked, way.backward_blocked) = (there, back));
+    /// Blocks or unblocks the link between two members, whichever of them connects. `blocked`: whether messages
+    /// from the first to the second are blocked, and those from the second to the first.
+    pub fn set_link_blocked(&self, first: usize, second: usize, blocked: (bool, bool)) {
+        let block = |relay: &Relay, (forward, backward): (bool, bool)| {
+            relay.set(|state| (state.forward_blocked, state.backward_blocked) = (forward, backward));
         };
-        if let Some(relay) = self.relays.get(&(one, other)) {
-            set(relay, cut);
+        if let Some(relay) = self.relays.get(&(first, second)) {
+            block(relay, blocked);
         }
-        if let Some(relay) = self.relays.get(&(other, one)) {
-            set(relay, (cut.1, cut.0));
+        if let Some(relay) = self.relays.get(&(second, first)) {
+            block(relay, (blocked.1, blocked.0));
         }
     }
 
-    /// Cuts a member off from all others: what it says, what it hears, or both.
-    pub fn partition(&self, one: usize, (says, hears): (bool, bool)) {
+    /// Partitions a member from all others: what it sends, what it receives, or both.
+    pub fn partition(&self, member: usize, (outgoing, incoming): (bool, bool)) {
         (0..self.dispatchers.len())
-            .filter(|i| *i != one)
-            .for_each(|other| self.set_link_blocked(one, other, (says, hears)));
+            .filter(|i| *i != member)
+            .for_each(|other| self.set_link_blocked(member, other, (outgoing, incoming)));
     }
 
-    /// Changes all relays.
+    /// Changes the state of all relays.
     pub fn update_relays(&self, change: impl Fn(&mut LinkState)) {
         self.relays.values().for_each(|relay| relay.set(&change));
     }
 
-    /// Bytes that passed between members so far.
+    /// Bytes that the members have exchanged so far.
     pub fn relayed_bytes(&self) -> u64 {
         self.relays.values().map(Relay::relayed_bytes).sum()
     }
 
-    /// The histories of all members, by name.
+    /// The history of each member, by name, as logged.
     pub fn histories(&self) -> BTreeMap<String, Vec<LogLine>> {
         let lines = |dispatcher: &Dispatcher| {
             dispatcher.log().iter().filter_map(|line| history::parse_line(line)).collect()
         };
-        self.dispatchers.iter().enumerate().map(|(i, one)| (format!("n{i}"), lines(one))).collect()
+        self.dispatchers
+            .iter()
+            .enumerate()
+            .map(|(i, dispatcher)| (format!("n{i}"), lines(dispatcher)))
+            .collect()
     }
 
-    /// What is wrong with them.
+    /// Violations of the fleet's guarantees in these histories.
     pub fn violations(&self) -> Vec<String> {
         history::find_violations(&self.histories())
     }
 
-    /// The first act as a duty under a later epoch than this: when, and which epoch.
+    /// The first action under a duty with a later epoch than this: its time and its epoch.
     pub fn first_action_after(&self, duty: &str, epoch: u64) -> Option<(f64, u64)> {
         let histories = self.histories();
-        let acts = histories.values().flatten().filter_map(|line| match line {
-            LogLine::DutyAction { at, duty: of, epoch: under } if of == duty && *under > epoch => {
-                Some((*at, *under))
+        let actions = histories.values().flatten().filter_map(|line| match line {
+            LogLine::DutyAction { at, duty: of_duty, epoch: action_epoch }
+                if of_duty == duty && *action_epoch > epoch =>
+            {
+                Some((*at, *action_epoch))
             }
             _ => None,
         });
-        acts.min_by(|one, other| one.0.total_cmp(&other.0))
+        actions.min_by(|first, second| first.0.total_cmp(&second.0))
     }
 }
--- a/crates/lab/src/topology.rs
+++ b/crates/lab/src/topology.rs
@@ -1,14 +1,14 @@
-//! How the members of a fleet in the lab lie to each other: who calls whom, and the fleet's file of each.
+//! Topology of a fleet in the lab: which member connects to which, and each member's configuration file.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The members of a fleet, by number; `n0` and so on by name. The first ones vote.
+/// The members of a fleet by index, named `n0` and so on. The first ones are voters.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
-    /// How many there are.
+    /// Number of members.
     pub members: usize,
-    /// How many vote.
+    /// Number of voters.
     pub voters: usize,
 }
 
@@ -17,25 +17,29 @@
         i < self.voters
     }
 
-    /// Who calls whom, as the program has it: who does not vote calls who does, and voters call those after them by name.
+    /// All pairs (caller, called), as the program connects them: observers connect to voters, and each voter
+    /// connects to the voters whose names follow its own.
     pub fn connections(self) -> Vec<(usize, usize)> {
-        let calls = |i: usize, j: usize| match (self.is_voter(i), self.is_voter(j)) {
+        let connects = |i: usize, j: usize| match (self.is_voter(i), self.is_voter(j)) {
             (false, voter) => voter,
             (true, true) => format!("n{i}") < format!("n{j}"),
             (true, false) => false,
         };
-        let all = (0..self.members).flat_map(|i| (0..self.members).map(move |j| (i, j)));
-        all.filter(|(i, j)| i != j && calls(*i, *j)).collect()
+        let pairs = (0..self.members).flat_map(|i| (0..self.members).map(move |j| (i, j)));
+        pairs.filter(|(i, j)| i != j && connects(*i, *j)).collect()
     }
 
-    /// The file of one member. `at`: where it calls another one, and where that one listens.
-    pub fn config_file(self, settings: &str, at: impl Fn(usize) -> (SocketAddr, SocketAddr)) -> String {
+    /// The configuration file of one member. `addresses`: the address at which that member reaches another one, and
+    /// the address at which the other one listens.
+    pub fn config_file(
+        self, settings: &str, addresses: impl Fn(usize) -> (SocketAddr, SocketAddr),
+    ) -> String {
         let mut text = format!("cluster = \"lab\"\nhistory = true\n{settings}\n");
         for j in 0..self.members {
-            let ((at, listen), votes) = (at(j), self.is_voter(j));
+            let ((address, listen), voter) = (addresses(j), self.is_voter(j));
             let _ = writeln!(
                 text,
-                "member \"n{j}\" {{\n  at = \"{at}\"\n  listen = \"{listen}\"\n  voter = {votes}\n}}"
+                "member \"n{j}\" {{\n  at = \"{address}\"\n  listen = \"{listen}\"\n  voter = {voter}\n}}"
             );
         }
         text
--- a/crates/lab/src/upgrader.rs
+++ b/crates/lab/src/upgrader.rs
@@ -1,5 +1,5 @@
-//! Upgrades dispatchers over and over: a second process beside the first, the word to stop once the second says yes, and
-//! in some of them a kill of the old one, the new one or both at a moment that a seed draws.
+//! Repeatedly upgrades dispatchers: starts a second process beside the first and stops the first once the
+//! second is serving. In some upgrades the old process, the new one or both are killed at a random moment.
 
 use crate::process::{Process, SpawnedProcess, is_serving};
 use crate::record::{Event, ProcessSignal, Recorder};
@@ -13,17 +13,18 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// The second process has said yes by then, as the platform has it.
-const YES_MOST: Duration = Duration::from_secs(6);
-/// From the word to stop on, the first one has ended by then.
-const END_MOST: Duration = Duration::from_millis(3700);
-/// After a kill, whoever is left serves by then.
-const LEFT_MOST: Duration = Duration::from_secs(6);
-/// A process that was killed is gone by then.
-const GONE: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(5);
+/// Time within which the new process has to report that it is serving, as on the platform.
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time within which the old process has to exit after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_millis(3700);
+/// Time within which the surviving process has to serve after a kill.
+const SURVIVOR_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time within which a killed process has exited.
+const KILL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Who is killed.
+/// Which process is killed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Victim {
     Old,
@@ -31,59 +32,60 @@
     Both,
 }
 
-/// What came of the upgrades of a run.
+/// Results of all upgrades of a run.
 #[derive(Default)]
 pub struct Upgrades {
-    begun: usize,
-    /// Upgrades that came to an end.
+    started: usize,
+    /// Upgrades that were completed or killed.
     pub count: usize,
-    /// Of these, how many had a kill of the old process, of the new one, of both.
+    /// Upgrades with a kill of the old process, of the new one, of both.
     pub kills: [usize; 3],
-    /// After a kill of the new one alone, how often the old one served on.
-    pub served_on: usize,
-    /// Second processes that did not say yes in time, though nobody killed them.
-    pub never: usize,
-    /// First processes that had not ended 3.7 s after the word.
-    pub stayed: usize,
-    /// From the start to the yes, in milliseconds.
-    yes_ms: Option<Histogram<u64>>,
-    /// From the freeze to the word that it is taken, in microseconds, as the old processes logged it.
+    /// Kills of the new process alone after which the old one continued to serve.
+    pub old_continued: usize,
+    /// New processes that were not killed and did not serve in time.
+    pub not_ready: usize,
+    /// Old processes that had not exited 3.7 s after SIGTERM.
+    pub not_exited: usize,
+    /// From the start of the new process until it serves, in milliseconds.
+    ready_ms: Option<Histogram<u64>>,
+    /// From the freeze of the state until the new process has taken over, in microseconds, as the old
+    /// processes logged it.
     pause_us: Option<Histogram<u64>>,
-    /// Resident memory of both together, at most, in KB.
+    /// Peak resident memory of both processes together, in KB.
     pub resident_kb: u64,
-    /// Descriptors of both together, at most.
+    /// Peak number of file descriptors of both processes together.
     pub descriptors: usize,
 }
 
-fn note(to: &mut Option<Histogram<u64>>, value: u64) {
-    // Three digits, up to a minute in microseconds: the bounds are sound.
-    let histogram = to.get_or_insert_with(|| Histogram::new_with_max(60_000_000, 3).expect("sound bounds"));
+fn record_value(slot: &mut Option<Histogram<u64>>, value: u64) {
+    // Three significant digits, up to a minute in microseconds: valid bounds.
+    let histogram = slot.get_or_insert_with(|| Histogram::new_with_max(60_000_000, 3).expect("valid bounds"));
     histogram.saturating_record(value);
 }
 
 impl Upgrades {
-    /// Whether one more is due.
-    pub fn begin(this: &Mutex<Upgrades>, spec: &UpgraderSettings) -> bool {
-        let mut this = this.lock().unwrap_or_else(PoisonError::into_inner);
-        this.begun += 1;
-        this.begun <= spec.upgrades
+    /// Whether one more upgrade may start.
+    pub fn try_start(upgrades: &Mutex<Upgrades>, settings: &UpgraderSettings) -> bool {
+        let mut upgrades = upgrades.lock().unwrap_or_else(PoisonError::into_inner);
+        upgrades.started += 1;
+        upgrades.started <= settings.upgrades
     }
 
-    /// Takes from a dispatcher's log how long nobody served.
+    /// Reads from a dispatcher's log for how long no process was serving.
     pub fn read_log(&mut self, log: &Path) {
         let Ok(text) = std::fs::read_to_string(log) else { return };
         for line in text.lines() {
-            let taken =
+            let pause =
                 line.split_once("handover: taken after ").and_then(|(_, rest)| rest.split_once(" s;"));
-            if let Some(seconds) = taken.and_then(|(seconds, _)| seconds.parse::<f64>().ok()) {
-                note(&mut self.pause_us, (seconds * 1e6) as u64);
+            if let Some(seconds) = pause.and_then(|(seconds, _)| seconds.parse::<f64>().ok()) {
+                record_value(&mut self.pause_us, (seconds * 1e6) as u64);
             }
         }
     }
 
-    /// From the start to the yes, in milliseconds, at a quantile.
-    pub fn yes_ms(&self, quantile: f64) -> Option<u64> {
-        self.yes_ms.as_ref().map(|yes| yes.value_at_quantile(quantile))
+    /// From the start of the new process until it serves, in milliseconds, at a quantile.
+    pub fn ready_ms(&self, quantile: f64) -> Option<u64> {
+        self.ready_ms.as_ref().map(|histogram| histogram.value_at_quantile(quantile))
     }
 }
 
@@ -94,151 +96,162 @@
             f,
             "{} upgrades, with kills of the old process {old}, of the new one {new} (the old one served on in {}), of both \
              {both}; no yes in time: {}; old ones that stayed too long: {}",
-            self.count, self.served_on, self.never, self.stayed
+            self.count, self.old_continued, self.not_ready, self.not_exited
         )?;
-        let told = |of: &Option<Histogram<u64>>, by: f64| {
-            let of = of.as_ref().map(|h| (h.value_at_quantile(0.5) as f64 / by, h.max() as f64 / by));
-            of.map_or("not seen".to_string(), |(median, most)| {
-                format!("{median:.1} ms median, {most:.1} ms worst")
+        let format_times = |histogram: &Option<Histogram<u64>>, divisor: f64| {
+            let histogram = histogram
+                .as_ref()
+                .map(|h| (h.value_at_quantile(0.5) as f64 / divisor, h.max() as f64 / divisor));
+            histogram.map_or("not observed".to_string(), |(median, max)| {
+                format!("{median:.1} ms median, {max:.1} ms worst")
             })
         };
         writeln!(
             f,
-            "from start to yes {}; nobody served for {}; both together {:.1} MB and {} descriptors at most",
-            told(&self.yes_ms, 1.0),
-            told(&self.pause_us, 1000.0),
+            "new process ready after {}; no process serving for {}; both together at most {:.1} MB and {} descriptors",
+            format_times(&self.ready_ms, 1.0),
+            format_times(&self.pause_us, 1000.0),
             self.resident_kb as f64 / 1024.0,
             self.descriptors
         )
     }
 }
 
-/// Upgrades one dispatcher. False where no process is left, and one is to be started.
+/// Upgrades one dispatcher. Returns false where no process is left and one has to be started.
 ///
 /// # Errors
-/// Those of starting the second process.
+/// Those of starting the new process.
 pub async fn upgrade(
-    spec: &UpgraderSettings, process: &Process, recorder: &Recorder,
-    (discovery, control): (SocketAddr, SocketAddr), to: &Mutex<Upgrades>, rng: &mut fastrand::Rng,
+    settings: &UpgraderSettings, process: &Process, recorder: &Recorder,
+    (discovery, control): (SocketAddr, SocketAddr), upgrades: &Mutex<Upgrades>, rng: &mut fastrand::Rng,
 ) -> io::Result<bool> {
-    let Some(first) = process.pid() else { return Ok(false) };
-    let door = process.control_address();
-    let victim = (rng.f64() < spec.kill_probability)
+    let Some(old_pid) = process.pid() else { return Ok(false) };
+    let old_control = process.control_address();
+    let victim = (rng.f64() < settings.kill_probability)
         .then(|| [Victim::Old, Victim::New, Victim::Both][rng.usize(0..3)]);
-    let kill_at = Duration::from_micros(rng.u64(0..=spec.max_kill_delay_ms * 1000));
-    let began = Instant::now();
-    let second = process.spawn(discovery, Some(control))?;
+    let kill_delay = Duration::from_micros(rng.u64(0..=settings.max_kill_delay_ms * 1000));
+    let started = Instant::now();
+    let new_process = process.spawn(discovery, Some(control))?;
     if let Some(victim) = victim {
-        sleep(kill_at).await;
-        return Ok(killed(victim, process, recorder, (first, door), &second, to).await);
-    }
-    let mut said = false;
-    while began.elapsed() < YES_MOST && !second.has_exited() {
-        measure(to, first, second.pid);
-        if is_serving(second.control).await {
-            said = true;
+        sleep(kill_delay).await;
+        return Ok(kill_during_upgrade(
+            victim,
+            process,
+            recorder,
+            (old_pid, old_control),
+            &new_process,
+            upgrades,
+        )
+        .await);
+    }
+    let mut serving = false;
+    while started.elapsed() < READY_TIMEOUT && !new_process.has_exited() {
+        record_usage(upgrades, old_pid, new_process.pid);
+        if is_serving(new_process.control).await {
+            serving = true;
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let took = began.elapsed().as_millis() as u64;
+    let ready_ms = started.elapsed().as_millis() as u64;
     {
-        let mut to = to.lock().unwrap_or_else(PoisonError::into_inner);
-        to.count += 1;
-        match said {
-            true => note(&mut to.yes_ms, took),
-            false => to.never += 1,
+        let mut upgrades = upgrades.lock().unwrap_or_else(PoisonError::into_inner);
+        upgrades.count += 1;
+        match serving {
+            true => record_value(&mut upgrades.ready_ms, ready_ms),
+            false => upgrades.not_ready += 1,
         }
     }
-    if !said {
-        second.kill();
+    if !serving {
+        new_process.kill();
         return Ok(process.pid().is_some());
     }
-    measure(to, first, second.pid);
+    record_usage(upgrades, old_pid, new_process.pid);
     process.expect_exit();
-    process.switch_to(&second);
-    signal(first, rustix::process::Signal::TERM);
-    let told = Instant::now();
-    while alive(first) && told.elapsed() < END_MOST {
-        sleep(LOOK).await;
+    process.switch_to(&new_process);
+    signal(old_pid, rustix::process::Signal::TERM);
+    let stop_sent = Instant::now();
+    while is_alive(old_pid) && stop_sent.elapsed() < EXIT_TIMEOUT {
+        sleep(POLL_INTERVAL).await;
     }
-    if alive(first) {
-        to.lock().unwrap_or_else(PoisonError::into_inner).stayed += 1;
-        signal(first, rustix::process::Signal::KILL);
+    if is_alive(old_pid) {
+        upgrades.lock().unwrap_or_else(PoisonError::into_inner).not_exited += 1;
+        signal(old_pid, rustix::process::Signal::KILL);
     }
     Ok(true)
 }
 
-/// An upgrade with a kill: whoever is left has to serve. False where nobody is left.
-async fn killed(
-    victim: Victim, process: &Process, recorder: &Recorder, (first, door): (u32, Option<SocketAddr>),
-    second: &SpawnedProcess, to: &Mutex<Upgrades>,
+/// An upgrade with a kill: the surviving process has to serve. Returns false where none survives.
+async fn kill_during_upgrade(
+    victim: Victim, process: &Process, recorder: &Recorder,
+    (old_pid, old_control): (u32, Option<SocketAddr>), new_process: &SpawnedProcess,
+    upgrades: &Mutex<Upgrades>,
 ) -> bool {
     let dispatcher = process.index();
-    // On record first, as any kill: whoever is left may be late with its notices, and clients of the dead one try again.
+    // Recorded first, as for any kill: the survivor's notices may be late, and clients of the killed process retry.
     recorder.add(Event::SignalSent { dispatcher, signal: ProcessSignal::Kill });
     process.expect_exit();
     if victim != Victim::New {
-        signal(first, rustix::process::Signal::KILL);
+        signal(old_pid, rustix::process::Signal::KILL);
     }
     if victim != Victim::Old {
-        second.kill();
+        new_process.kill();
     }
     {
-        let mut to = to.lock().unwrap_or_else(PoisonError::into_inner);
-        to.count += 1;
-        to.kills[victim as usize] += 1;
+        let mut upgrades = upgrades.lock().unwrap_or_else(PoisonError::into_inner);
+        upgrades.count += 1;
+        upgrades.kills[victim as usize] += 1;
     }
     if victim == Victim::Both {
-        let gone = Instant::now();
-        while (alive(first) || !second.has_exited()) && gone.elapsed() < GONE {
-            sleep(LOOK).await;
+        let killed_at = Instant::now();
+        while (is_alive(old_pid) || !new_process.has_exited()) && killed_at.elapsed() < KILL_TIMEOUT {
+            sleep(POLL_INTERVAL).await;
         }
         return false;
     }
-    let left = if victim == Victim::Old { Some(second.control) } else { door };
-    let since = Instant::now();
-    while let Some(left) = left
-        && since.elapsed() < LEFT_MOST
+    let survivor_control = if victim == Victim::Old { Some(new_process.control) } else { old_control };
+    let wait_started = Instant::now();
+    while let Some(survivor_control) = survivor_control
+        && wait_started.elapsed() < SURVIVOR_TIMEOUT
     {
-        let serving = match Some(left) == Some(process.listen_address()) {
+        let serving = match Some(survivor_control) == Some(process.listen_address()) {
             true => process.is_ready().await,
-            false => is_serving(left).await,
+            false => is_serving(survivor_control).await,
         };
         if serving {
             if victim == Victim::Old {
-                process.switch_to(second);
+                process.switch_to(new_process);
             } else {
-                to.lock().unwrap_or_else(PoisonError::into_inner).served_on += 1;
+                upgrades.lock().unwrap_or_else(PoisonError::into_inner).old_continued += 1;
             }
             recorder.add(Event::ProcessReady { dispatcher });
             return true;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    to.lock().unwrap_or_else(PoisonError::into_inner).never += 1;
-    second.kill();
-    signal(first, rustix::process::Signal::KILL);
+    upgrades.lock().unwrap_or_else(PoisonError::into_inner).not_ready += 1;
+    new_process.kill();
+    signal(old_pid, rustix::process::Signal::KILL);
     false
 }
 
-fn signal(id: u32, signal: rustix::process::Signal) {
-    if let Some(pid) = rustix::process::Pid::from_raw(id as i32) {
+fn signal(raw_pid: u32, signal: rustix::process::Signal) {
+    if let Some(pid) = rustix::process::Pid::from_raw(raw_pid as i32) {
         let _ = rustix::process::kill_process(pid, signal);
     }
 }
 
-fn alive(id: u32) -> bool {
-    std::fs::read_to_string(format!("/proc/{id}/stat"))
+fn is_alive(pid: u32) -> bool {
+    std::fs::read_to_string(format!("/proc/{pid}/stat"))
         .is_ok_and(|stat| stat.rsplit_once(')').is_some_and(|(_, rest)| !rest.trim_start().starts_with('Z')))
 }
 
-/// Notes what both take together.
-fn measure(to: &Mutex<Upgrades>, first: u32, second: u32) {
-    let memory: u64 = [first, second].iter().filter_map(|id| crate::process::resident_kb(*id)).sum();
-    let descriptors = |id: u32| std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
-    let descriptors = descriptors(first) + descriptors(second);
-    let mut to = to.lock().unwrap_or_else(PoisonError::into_inner);
-    to.resident_kb = to.resident_kb.max(memory);
-    to.descriptors = to.descriptors.max(descriptors);
+/// Updates the peak resource usage of both processes together.
+fn record_usage(upgrades: &Mutex<Upgrades>, old_pid: u32, new_pid: u32) {
+    let memory_kb: u64 = [old_pid, new_pid].iter().filter_map(|pid| crate::process::resident_kb(*pid)).sum();
+    let descriptors = |pid: u32| std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
+    let descriptors = descriptors(old_pid) + descriptors(new_pid);
+    let mut upgrades = upgrades.lock().unwrap_or_else(PoisonError::into_inner);
+    upgrades.resident_kb = upgrades.resident_kb.max(memory_kb);
+    upgrades.descriptors = upgrades.descriptors.max(descriptors);
 }
