--- a/crates/lab/src/blocking.rs
+++ b/crates/lab/src/blocking.rs
@@ -566,7 +566,8 @@
 impl Drop for Dispatcher {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // The process may have exited already; a directory that can't be removed lies within the build directory.
+            // The process may have exited already; a directory that can't be removed lies within the build
+            // directory.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -610,14 +611,14 @@
     /// # Panics
     /// Where none arrives within 30 s.
     pub fn read_response(&mut self) -> HttpMessage {
-        let answered = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
-        runtime_handle().block_on(answered).expect("a response in time").expect("a response")
+        let response = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
+        runtime_handle().block_on(response).expect("a response in time").expect("a response")
     }
 
     /// Reads the next response; none where the connection ends without one.
     pub fn try_read_response(&mut self) -> Option<HttpMessage> {
-        let answered = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
-        runtime_handle().block_on(answered).ok()?.ok()
+        let response = async { timeout(WAIT_TIMEOUT, self.0.read_response()).await };
+        runtime_handle().block_on(response).ok()?.ok()
     }
 
     /// Waits for the peer to close the connection; whatever it still sends is discarded.
@@ -625,7 +626,7 @@
         let closing = async {
             loop {
                 match self.0.read_available().await {
-                    Ok(piece) if piece.is_empty() => return true,
+                    Ok(chunk) if chunk.is_empty() => return true,
                     Ok(_) => {}
                     Err(error) => return error.kind() == io::ErrorKind::ConnectionReset,
                 }
--- a/crates/lab/src/fleet_faults.rs
+++ b/crates/lab/src/fleet_faults.rs
@@ -144,8 +144,8 @@
     });
 }
 
-/// Copies a member's fleet state for [`StateDirFate::RolledBack`]. The process may be running, as when an operator copies
-/// the directory of a live machine.
+/// Copies a member's fleet state for [`StateDirFate::RolledBack`]. The process may be running, as when an
+/// operator copies the directory of a live machine.
 pub fn copy_fleet_state(process: &Process) {
     let (source, copy) = (process.state_dir().join("fleet"), process.state_dir().join("fleet.aside"));
     let _ = fs::remove_dir_all(&copy);
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -269,8 +269,8 @@
         }));
     }
     let _ = arrivals_task.await;
-    for fault in tasks {
-        let _ = fault.await;
+    for task in tasks {
+        let _ = task.await;
     }
     let max_deadline_s = scenario.classes.iter().map(|class| class.deadline_s).fold(0.0, f64::max);
     let latest_end = recorder.now() + micros(max_deadline_s) + SETTLE_TIME.as_micros() as Micros;
@@ -568,7 +568,8 @@
                 sleep(duration).await;
                 host.state = EndpointState::Removed;
                 self.platform.update_entry(host);
-                // A removed endpoint still accepts calls for the grace period of the rules; then a new one replaces it.
+                // A removed endpoint still accepts calls for the grace period of the rules;
+                // then a new one replaces it.
                 sleep(Duration::from_millis(1500)).await;
                 self.replace_endpoint(fault, endpoint).await
             }
@@ -621,7 +622,8 @@
             while fleet.only_kind.as_ref().is_some_and(|only_kind| !fault.is_kind(only_kind)) {
                 fault = FleetFault::draw(&mut rng);
             }
-            // A member that loses its state is no voter until it has joined again, so only one member loses it in a run.
+            // A member that loses its state is no voter until it has joined again, so only one member loses it
+            // in a run.
             if matches!(fault, FleetFault::Kill(StateDirFate::RolledBack | StateDirFate::Deleted)) {
                 lost_state_dirs += 1;
                 if lost_state_dirs > 1 {
--- a/crates/lab/src/topology.rs
+++ b/crates/lab/src/topology.rs
@@ -29,8 +29,8 @@
         pairs.filter(|(i, j)| i != j && connects(*i, *j)).collect()
     }
 
-    /// The configuration file of one member. `addresses`: the address at which that member reaches another one, and
-    /// the address at which the other one listens.
+    /// The configuration file of one member. `addresses`: the address at which that member reaches another
+    /// one, and the address at which the other one listens.
     pub fn config_file(
         self, settings: &str, addresses: impl Fn(usize) -> (SocketAddr, SocketAddr),
     ) -> String {
--- a/crates/lab/src/upgrader.rs
+++ b/crates/lab/src/upgrader.rs
@@ -42,7 +42,7 @@
     pub kills: [usize; 3],
     /// Kills of the new process alone after which the old one continued to serve.
     pub old_continued: usize,
-    /// New processes that were not killed and did not serve in time.
+    /// Processes that did not serve in time: new ones that were not killed, and survivors of a kill.
     pub not_ready: usize,
     /// Old processes that had not exited 3.7 s after SIGTERM.
     pub not_exited: usize,
@@ -188,7 +188,8 @@
     upgrades: &Mutex<Upgrades>,
 ) -> bool {
     let dispatcher = process.index();
-    // Recorded first, as for any kill: the survivor's notices may be late, and clients of the killed process retry.
+    // Recorded first, as for any kill: the survivor's notices may be late, and clients of the killed process
+    // retry.
     recorder.add(Event::SignalSent { dispatcher, signal: ProcessSignal::Kill });
     process.expect_exit();
     if victim != Victim::New {
