--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -1,189 +1,196 @@
-//! A duty handed on: by word, and by time after a kill, a stall and cuts of every kind.
+//! How a duty moves to another member: by an explicit release, and by expiry of its lease after a kill, a stall or a
+//! partition.
 
 use super::*;
 use fawnspoke_lab::history::Line;
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_killed_holders_duty_goes_on() {
-    let mut stage = started(3, 0);
-    let (holder, epoch) = next_keeper(&stage.members, 0);
-    stage.members.dispatchers[holder].kill();
-    let (next, later) = next_keeper(&stage.members, epoch);
+fn a_killed_holders_duty_moves_to_another_member() {
+    let mut fleet = start_fleet(3, 0);
+    let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+    fleet.members.dispatchers[holder].kill();
+    let (next, later) = wait_for_keeper(&fleet.members, epoch);
     assert!(next != holder && later > epoch);
-    // The killed one comes back, takes nothing back, and follows.
-    stage.members.dispatchers[holder].start();
-    eventually("its return", || stage.members.show(holder).is_some_and(|fleet| fleet["leader"].is_string()));
-    assert_eq!(stage.members.holder("keeper").map(|(who, _)| who), Some(next));
-    clean(&stage.members);
+    // The killed member restarts as a follower and doesn't regain the duty.
+    fleet.members.dispatchers[holder].start();
+    eventually("its return to the fleet", || {
+        fleet.members.show(holder).is_some_and(|status| status["leader"].is_string())
+    });
+    assert_eq!(fleet.members.holder("keeper").map(|(who, _)| who), Some(next));
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_holder_that_is_stopped_acts_no_more_once_another_has() {
-    let stage = started(3, 0);
+fn a_stalled_holder_does_not_act_after_its_successor() {
+    let fleet = start_fleet(3, 0);
     for _ in 0..3 {
-        let (holder, epoch) = next_keeper(&stage.members, 0);
-        // The keeper acts twenty times a second: it is stopped anywhere between its look and its act.
-        stage.members.dispatchers[holder].signal("STOP");
+        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+        // The keeper acts 20 times a second: SIGSTOP hits it anywhere between its check of the lease and its action.
+        fleet.members.dispatchers[holder].signal("STOP");
         let mut acted = None;
-        eventually("another holder's act", || {
-            acted = stage.members.acted_after("keeper", epoch);
+        eventually("an action of the next holder", || {
+            acted = fleet.members.acted_after("keeper", epoch);
             acted.is_some()
         });
         std::thread::sleep(Duration::from_millis(1200));
-        stage.members.dispatchers[holder].signal("CONT");
-        eventually("that it learns of it", || {
-            let histories = stage.members.histories();
+        fleet.members.dispatchers[holder].signal("CONT");
+        eventually("the stalled member to receive the new lease", || {
+            let histories = fleet.members.histories();
             histories[&format!("n{holder}")]
                 .iter()
-                .any(|line| matches!(line, Line::Given { duty, epoch: under, .. } if duty == "keeper" && *under > epoch))
+                .any(|line| matches!(line, Line::Given { duty, epoch: given_epoch, .. } if duty == "keeper" && *given_epoch > epoch))
         });
     }
-    clean(&stage.members);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_holder_cut_off_either_way_loses_its_duty_and_another_acts() {
-    let stage = started(3, 1);
-    for cut in [(true, false), (false, true), (true, true)] {
-        let (holder, epoch) = next_keeper(&stage.members, 0);
-        stage.members.cut_off(holder, cut);
-        eventually("another holder's act", || stage.members.acted_after("keeper", epoch).is_some());
-        stage.members.cut_off(holder, (false, false));
-        eventually("one leader for all", || {
-            let leaders: Vec<_> = (0..4).map(|i| stage.members.leader(i)).collect();
+fn a_holder_partitioned_in_either_direction_loses_its_duty_to_another() {
+    let fleet = start_fleet(3, 1);
+    for partition in [(true, false), (false, true), (true, true)] {
+        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+        fleet.members.cut_off(holder, partition);
+        eventually("an action of the next holder", || fleet.members.acted_after("keeper", epoch).is_some());
+        fleet.members.cut_off(holder, (false, false));
+        eventually("the same leader at all members", || {
+            let leaders: Vec<_> = (0..4).map(|i| fleet.members.leader(i)).collect();
             leaders[0].is_some() && leaders.iter().all(|leader| *leader == leaders[0])
         });
     }
-    clean(&stage.members);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_triangle_with_one_side_missing_keeps_its_keeper() {
-    let stage = started(3, 0);
-    // n0 and n2 don't see each other, n1 sees both.
-    stage.members.between(0, 2, (true, true));
-    let (_, epoch) = next_keeper(&stage.members, 0);
-    let acts = |members: &Members| {
+fn a_broken_link_between_two_of_three_voters_does_not_stop_the_duty() {
+    let fleet = start_fleet(3, 0);
+    // n0 and n2 can't reach each other; n1 reaches both.
+    fleet.members.between(0, 2, (true, true));
+    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let action_count = |members: &Members| {
         members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
     };
-    let before = acts(&stage.members);
-    eventually("that work is done", || acts(&stage.members) > before + 20);
-    stage.members.between(0, 2, (false, false));
-    assert!(next_keeper(&stage.members, 0).1 >= epoch);
-    clean(&stage.members);
+    let before = action_count(&fleet.members);
+    eventually("further actions", || action_count(&fleet.members) > before + 20);
+    fleet.members.between(0, 2, (false, false));
+    assert!(wait_for_keeper(&fleet.members, 0).1 >= epoch);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_cut_that_opens_and_closes_costs_no_promise_and_work_is_done() {
-    let stage = started(3, 0);
-    let (holder, _) = next_keeper(&stage.members, 0);
-    let acts = |members: &Members| {
+fn a_flapping_partition_breaks_no_lease_and_work_continues() {
+    let fleet = start_fleet(3, 0);
+    let (holder, _) = wait_for_keeper(&fleet.members, 0);
+    let action_count = |members: &Members| {
         members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
     };
-    let before = acts(&stage.members);
+    let before = action_count(&fleet.members);
     for _ in 0..10 {
-        for cut in [true, false] {
-            stage.members.cut_off(holder, (cut, cut));
+        for partition in [true, false] {
+            fleet.members.cut_off(holder, (partition, partition));
             std::thread::sleep(Duration::from_millis(300));
         }
     }
-    let changes =
-        |i: usize| stage.members.dispatchers[i].log().iter().filter(|line| line.ends_with(" leads")).count();
-    println!("{} acts in 6 s, {} changes of the leader seen", acts(&stage.members) - before, changes(holder));
-    eventually("that work is done", || acts(&stage.members) > before + 40);
-    clean(&stage.members);
+    let leader_changes =
+        |i: usize| fleet.members.dispatchers[i].log().iter().filter(|line| line.ends_with(" leads")).count();
+    println!(
+        "{} actions in 6 s, {} leader changes seen",
+        action_count(&fleet.members) - before,
+        leader_changes(holder)
+    );
+    eventually("further actions", || action_count(&fleet.members) > before + 40);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn an_ordinary_stop_hands_on_by_word() {
-    let mut stage = started(3, 0);
-    let (holder, epoch) = next_keeper(&stage.members, 0);
-    let began = Instant::now();
-    stage.members.dispatchers[holder].signal("TERM");
+fn a_graceful_stop_releases_the_duty_explicitly() {
+    let mut fleet = start_fleet(3, 0);
+    let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+    let stopped_at = Instant::now();
+    fleet.members.dispatchers[holder].signal("TERM");
     let mut acted = None;
-    eventually("another holder's act", || {
-        acted = stage.members.acted_after("keeper", epoch);
+    eventually("an action of the next holder", || {
+        acted = fleet.members.acted_after("keeper", epoch);
         acted.is_some()
     });
-    // By time it would be a second and more; the margin is for a machine that is busy.
-    let took = began.elapsed();
-    assert!(stage.members.dispatchers[holder].wait());
-    let lapse = stage.members.histories().values().flatten().any(|line| {
-        // Given up by its word, the duty was nobody's in between.
-        matches!(line, Line::Given { duty, epoch: under, to, .. } if duty == "keeper" && *under == epoch + 1 && to == "nobody")
+    // Expiry of the lease takes a second or more. The time itself is no criterion, because a busy machine may be slow.
+    let took = stopped_at.elapsed();
+    assert!(fleet.members.dispatchers[holder].wait());
+    let released = fleet.members.histories().values().flatten().any(|line| {
+        // After an explicit release the duty has no holder for a while.
+        matches!(line, Line::Given { duty, epoch: given_epoch, to, .. } if duty == "keeper" && *given_epoch == epoch + 1 && to == "nobody")
     });
-    assert!(lapse, "it went on by time, after {took:?}");
-    clean(&stage.members);
+    assert!(released, "the duty moved by expiry of its lease, after {took:?}");
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn without_a_majority_nobody_holds_anything_and_all_is_delivered() {
-    let mut stage = started(3, 1);
-    let (_, epoch) = next_keeper(&stage.members, 0);
-    stage.members.dispatchers[1].kill();
-    stage.members.dispatchers[2].kill();
-    eventually("that nobody holds it", || stage.members.holder("keeper").is_none());
+fn without_a_majority_no_duty_is_held_and_messages_are_delivered() {
+    let mut fleet = start_fleet(3, 1);
+    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    fleet.members.dispatchers[1].kill();
+    fleet.members.dispatchers[2].kill();
+    eventually("the duty to have no holder", || fleet.members.holder("keeper").is_none());
     for i in [0, 3] {
         for number in 0..5 {
-            assert_eq!(stage.members.dispatchers[i].hand_in("keyed", &format!("m{i}-{number}"), 7), 202);
+            assert_eq!(fleet.members.dispatchers[i].hand_in("keyed", &format!("m{i}-{number}"), 7), 202);
         }
     }
-    eventually("all calls", || stage.endpoint.seen().len() == 10);
-    assert!(stage.members.holder("keeper").is_none());
-    stage.members.dispatchers[2].start();
-    stage.members.dispatchers[1].start();
-    // It may be the same one: nobody could give it to another.
-    next_keeper(&stage.members, epoch - 1);
-    clean(&stage.members);
+    eventually("all calls", || fleet.endpoint.seen().len() == 10);
+    assert!(fleet.members.holder("keeper").is_none());
+    fleet.members.dispatchers[2].start();
+    fleet.members.dispatchers[1].start();
+    // The holder may be the same as before: without a majority the duty could not be given to another member.
+    wait_for_keeper(&fleet.members, epoch - 1);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn all_stopped_at_once_and_started_in_another_order_go_on() {
-    let mut stage = started(3, 1);
-    let (_, epoch) = next_keeper(&stage.members, 0);
-    (0..4).for_each(|i| stage.members.dispatchers[i].kill());
-    [3, 1, 0, 2].into_iter().for_each(|i| stage.members.dispatchers[i].start());
-    next_keeper(&stage.members, epoch - 1);
-    eventually("all four", || {
+fn a_fleet_killed_at_once_and_started_in_another_order_recovers() {
+    let mut fleet = start_fleet(3, 1);
+    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    (0..4).for_each(|i| fleet.members.dispatchers[i].kill());
+    [3, 1, 0, 2].into_iter().for_each(|i| fleet.members.dispatchers[i].start());
+    wait_for_keeper(&fleet.members, epoch - 1);
+    eventually("all four members to list each other", || {
         (0..4)
-            .all(|i| stage.members.show(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4))
+            .all(|i| fleet.members.show(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4))
     });
-    clean(&stage.members);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn an_upgrade_is_one_member() {
-    let mut stage = started(3, 0);
+fn an_upgraded_process_stays_the_same_member() {
+    let mut fleet = start_fleet(3, 0);
     for _ in 0..2 {
         for i in 0..3 {
-            let mut old = stage.members.dispatchers[i].upgrade();
-            stage.members.dispatchers[i].hand_in_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
-            eventually("that it speaks again", || {
-                stage
+            let mut old = fleet.members.dispatchers[i].upgrade();
+            fleet.members.dispatchers[i].hand_in_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
+            eventually("the new process to be a member", || {
+                fleet
                     .members
                     .show(i)
-                    .is_some_and(|fleet| fleet["member"] == true && fleet["leader"].is_string())
+                    .is_some_and(|status| status["member"] == true && status["leader"].is_string())
             });
             let _ = old.kill();
-            old.wait().expect("its end");
+            old.wait().expect("the end of the old process");
         }
     }
-    let members = stage.members.show(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
-    assert_eq!(members, 3, "no new birth came of it");
-    next_keeper(&stage.members, 0);
-    eventually("all calls", || stage.endpoint.seen().len() == 6);
-    clean(&stage.members);
+    let members = fleet.members.show(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
+    assert_eq!(members, 3, "the upgrades created no new instance");
+    wait_for_keeper(&fleet.members, 0);
+    eventually("all calls", || fleet.endpoint.seen().len() == 6);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn links_that_break_in_the_middle_of_frames_and_come_late_cost_time_alone() {
-    let stage = started(3, 1);
+fn links_that_break_within_frames_or_delay_them_cost_only_time() {
+    let fleet = start_fleet(3, 1);
     for round in 0..20 {
-        stage.members.relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
+        fleet.members.relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
         std::thread::sleep(Duration::from_millis(100));
     }
-    stage.members.relays(|way| way.delay_s = 0.0);
-    next_keeper(&stage.members, 0);
-    clean(&stage.members);
+    fleet.members.relays(|way| way.delay_s = 0.0);
+    wait_for_keeper(&fleet.members, 0);
+    assert_valid_history(&fleet.members);
 }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -1,5 +1,5 @@
-//! Faults of a member's own: a disk that is full, a peer that does not keep to the rules of the log, a leader that dies
-//! while a duty is handed on.
+//! Faults of single members: a full disk, a peer that violates the rules of the log, a leader that dies during the
+//! handover of a duty.
 
 use super::*;
 use serde_json::json;
@@ -8,83 +8,86 @@
 use std::time::Duration;
 
 #[test]
-fn a_member_whose_disk_is_full_votes_no_more_and_its_dispatcher_serves_on() {
+fn a_member_with_a_full_disk_stops_voting_and_keeps_delivering() {
     let settings = "term_s = 1.0\nkeeper_round_s = 0.01\ncut_after = 100000\ndisk_mb = 0.5";
-    let mut stage = stage(3, 0, settings, || Reply::status(200));
-    // No file of this one may pass 16 blocks of 512 bytes; the write fails instead of ending the process.
-    stage.members.dispatchers[2].before.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
-    stage.members.start();
-    eventually("that its record is full", || stage.members.dispatchers[2].logged("fleet: the record: "));
-    assert_eq!(stage.members.dispatchers[2].hand_in("keyed", "m1", 7), 202);
-    eventually("the call", || stage.endpoint.ids() == ["m1"]);
-    let (_, epoch) = next_keeper(&stage.members, 0);
-    assert!(stage.members.holder("keeper").is_some_and(|(who, _)| who != 2));
-    // With room again it is a member as before.
-    stage.members.dispatchers[2].kill();
-    let before = stage.members.dispatchers[2].before.replace("ulimit -f 16;", "");
-    stage.members.dispatchers[2].before = before;
-    stage.members.dispatchers[2].start();
-    eventually("its return", || {
-        stage.members.show(2).is_some_and(|fleet| fleet["speaks"] == true && fleet["leader"].is_string())
+    let mut fleet = new_fleet(3, 0, settings, || Reply::status(200));
+    // Limits each file of this member to 16 blocks of 512 bytes. SIGXFSZ is ignored, so that the write fails instead of
+    // ending the process.
+    fleet.members.dispatchers[2].before.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
+    fleet.members.start();
+    eventually("the write error of its record", || {
+        fleet.members.dispatchers[2].logged("fleet: the record: ")
     });
-    assert!(next_keeper(&stage.members, epoch - 1).1 >= epoch);
-    clean(&stage.members);
+    assert_eq!(fleet.members.dispatchers[2].hand_in("keyed", "m1", 7), 202);
+    eventually("the call", || fleet.endpoint.ids() == ["m1"]);
+    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    assert!(fleet.members.holder("keeper").is_some_and(|(who, _)| who != 2));
+    // Without the limit it is a member again.
+    fleet.members.dispatchers[2].kill();
+    let shell_prefix = fleet.members.dispatchers[2].before.replace("ulimit -f 16;", "");
+    fleet.members.dispatchers[2].before = shell_prefix;
+    fleet.members.dispatchers[2].start();
+    eventually("its return to the fleet", || {
+        fleet.members.show(2).is_some_and(|status| status["speaks"] == true && status["leader"].is_string())
+    });
+    assert!(wait_for_keeper(&fleet.members, epoch - 1).1 >= epoch);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_peer_that_lies_about_the_log_costs_a_second_of_membership() {
-    let mut stage = stage(1, 1, QUICK, || Reply::status(200));
-    stage.members.found().expect("a founded fleet");
-    stage.members.dispatchers[0].start();
-    let (_, epoch) = next_keeper(&stage.members, 0);
-    let at = stage.members.dispatchers[0].members_at().lock().expect("no panic").expect("its address");
-    let birth =
-        stage.members.show(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
-    let to = birth.expect("a birth").expect("a number");
-    let send = |link: &mut TcpStream, packet: &[u8]| {
+fn a_peer_with_an_impossible_commit_index_costs_a_second_of_membership() {
+    let mut fleet = new_fleet(1, 1, FAST_SETTINGS, || Reply::status(200));
+    fleet.members.found().expect("a founded fleet");
+    fleet.members.dispatchers[0].start();
+    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let address = fleet.members.dispatchers[0].members_at().lock().expect("no panic").expect("its address");
+    let instance_id =
+        fleet.members.show(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
+    let instance = instance_id.expect("an instance id").expect("a hexadecimal number");
+    let send = |connection: &mut TcpStream, packet: &[u8]| {
         let bytes = [&(packet.len() as u32).to_be_bytes()[..], packet].concat();
-        link.write_all(&bytes).expect("it takes a packet");
+        connection.write_all(&bytes).expect("the packet to be sent");
     };
     let hello = json!({"versions": [1, 1], "cluster": "lab", "name": "n1", "to": "n0", "birth": 9, "life": 1,
         "mark": {"term": 0, "voted": false, "last": 0}, "refused": null});
-    let mut link = TcpStream::connect(at).expect("a connection");
-    send(&mut link, hello.to_string().as_bytes());
-    // A heartbeat of a later leader that has agreed on what this member never had.
-    let heartbeat = json!({"kind": 8, "to": to, "from": 9, "term": 99, "log_term": 0, "index": 0, "entries": [],
+    let mut connection = TcpStream::connect(address).expect("a connection");
+    send(&mut connection, hello.to_string().as_bytes());
+    // A heartbeat of a later leader whose commit index lies beyond the log of this member.
+    let heartbeat = json!({"kind": 8, "to": instance, "from": 9, "term": 99, "log_term": 0, "index": 0, "entries": [],
         "commit": 1_000_000, "commit_term": 99, "snapshot": null, "request_snapshot": 0, "reject": false,
         "reject_hint": 0, "context": [], "priority": 0});
     let message = serde_json::from_value(heartbeat).expect("a message");
     let frame = fawnspoke_cluster::wire::Frame::Raft(Box::new(message));
-    send(&mut link, &fawnspoke_frames::encode(&frame).expect("a frame"));
-    eventually("that it opens its record anew", || {
-        stage.members.dispatchers[0].logged("not as its rules have it")
+    send(&mut connection, &fawnspoke_frames::encode(&frame).expect("a frame"));
+    eventually("the member to reopen its record", || {
+        fleet.members.dispatchers[0].logged("not as its rules have it")
     });
-    drop(link);
-    assert_eq!(stage.members.dispatchers[0].hand_in("keyed", "m1", 7), 202);
-    next_keeper(&stage.members, epoch - 1);
-    clean(&stage.members);
+    drop(connection);
+    assert_eq!(fleet.members.dispatchers[0].hand_in("keyed", "m1", 7), 202);
+    wait_for_keeper(&fleet.members, epoch - 1);
+    assert_valid_history(&fleet.members);
 }
 
 #[test]
-fn a_leader_killed_while_a_duty_is_handed_on_costs_time_alone() {
-    let mut stage = started(5, 0);
+fn a_leader_killed_during_a_duty_handover_only_delays_it() {
+    let mut fleet = start_fleet(5, 0);
     for delay in [0, 1, 3, 8] {
-        let (holder, epoch) = next_keeper(&stage.members, 0);
-        let Some(leader) = stage.members.leader(holder) else { continue };
-        stage.members.dispatchers[holder].signal("TERM");
+        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+        let Some(leader) = fleet.members.leader(holder) else { continue };
+        fleet.members.dispatchers[holder].signal("TERM");
         std::thread::sleep(Duration::from_millis(delay));
         if leader != holder {
-            stage.members.dispatchers[leader].kill();
+            fleet.members.dispatchers[leader].kill();
         }
-        next_keeper(&stage.members, epoch);
-        stage.members.dispatchers[holder].wait();
-        stage.members.dispatchers[holder].start();
+        wait_for_keeper(&fleet.members, epoch);
+        fleet.members.dispatchers[holder].wait();
+        fleet.members.dispatchers[holder].start();
         if leader != holder {
-            stage.members.dispatchers[leader].start();
+            fleet.members.dispatchers[leader].start();
         }
-        eventually("all five", || {
-            (0..5).all(|i| stage.members.show(i).is_some_and(|fleet| fleet["leader"].is_string()))
+        eventually("all five members to know a leader", || {
+            (0..5).all(|i| fleet.members.show(i).is_some_and(|status| status["leader"].is_string()))
         });
     }
-    clean(&stage.members);
+    assert_valid_history(&fleet.members);
 }
--- a/crates/fawnspoke/tests/fleet/trials.rs
+++ b/crates/fawnspoke/tests/fleet/trials.rs
@@ -1,4 +1,4 @@
-//! Tries at a place that is out: one member's affair, and never the reason why a message is not delivered.
+//! Trials of an unavailable endpoint: one member of a fleet makes them, and they never prevent a delivery.
 
 use super::*;
 use std::collections::BTreeSet;
@@ -6,59 +6,66 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-struct Played {
-    tries: usize,
+struct OutageResult {
+    calls_while_down: usize,
     delivered: BTreeSet<String>,
 }
 
-/// Each member hands in three messages a second for a place that breaks each call for some seconds.
-fn play(fleet: bool, count: usize, out_s: f64) -> Played {
-    let out = Arc::new(AtomicBool::new(false));
-    let asked = out.clone();
-    let mut stage = stage(3, count - 3, QUICK, move || match asked.load(Ordering::SeqCst) {
-        true => Reply::Break,
-        false => Reply::status(200),
-    });
-    for dispatcher in &mut stage.members.dispatchers {
-        dispatcher.config["settings"]["balancers"] = count.into();
-        if !fleet {
+/// Sends three messages a second through each dispatcher while the endpoint breaks every call for `outage_s` seconds. The
+/// dispatchers form a fleet if `in_fleet` is set; otherwise they are independent.
+fn run_outage(in_fleet: bool, member_count: usize, outage_s: f64) -> OutageResult {
+    let endpoint_down = Arc::new(AtomicBool::new(false));
+    let is_down = endpoint_down.clone();
+    let mut fleet =
+        new_fleet(3, member_count - 3, FAST_SETTINGS, move || match is_down.load(Ordering::SeqCst) {
+            true => Reply::Break,
+            false => Reply::status(200),
+        });
+    for dispatcher in &mut fleet.members.dispatchers {
+        dispatcher.config["settings"]["balancers"] = member_count.into();
+        if !in_fleet {
             dispatcher.before.clear();
         }
     }
-    match fleet {
-        true => stage.members.start(),
-        false => stage.members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.start()),
+    match in_fleet {
+        true => fleet.members.start(),
+        false => fleet.members.dispatchers.iter_mut().for_each(|dispatcher| dispatcher.start()),
     }
-    let (began, mut number) = (Instant::now(), 0);
-    let mut at = |members: &Members, until: f64| {
-        while began.elapsed().as_secs_f64() < until {
+    let (started_at, mut round) = (Instant::now(), 0);
+    let mut send_until = |members: &Members, end_s: f64| {
+        while started_at.elapsed().as_secs_f64() < end_s {
             for (i, dispatcher) in members.dispatchers.iter().enumerate() {
-                let _ = dispatcher.hand_in("keyed", &format!("m{i}-{number}"), 7);
+                let _ = dispatcher.hand_in("keyed", &format!("m{i}-{round}"), 7);
             }
-            number += 1;
+            round += 1;
             std::thread::sleep(Duration::from_millis(300));
         }
     };
-    at(&stage.members, 1.0);
-    out.store(true, Ordering::SeqCst);
-    let before = stage.endpoint.seen().len();
-    at(&stage.members, 1.0 + out_s);
-    let tries = stage.endpoint.seen().len() - before;
-    out.store(false, Ordering::SeqCst);
-    let taken = number * count;
-    let delivered = || stage.endpoint.ids().into_iter().collect::<BTreeSet<_>>();
-    eventually("all messages", || delivered().len() >= taken);
-    clean(&stage.members);
-    Played { tries, delivered: delivered() }
+    send_until(&fleet.members, 1.0);
+    endpoint_down.store(true, Ordering::SeqCst);
+    let before = fleet.endpoint.seen().len();
+    send_until(&fleet.members, 1.0 + outage_s);
+    let calls_while_down = fleet.endpoint.seen().len() - before;
+    endpoint_down.store(false, Ordering::SeqCst);
+    let sent_count = round * member_count;
+    let delivered = || fleet.endpoint.ids().into_iter().collect::<BTreeSet<_>>();
+    eventually("all messages", || delivered().len() >= sent_count);
+    assert_valid_history(&fleet.members);
+    OutageResult { calls_while_down, delivered: delivered() }
 }
 
 #[test]
-fn a_fleet_tries_less_than_its_members_alone_and_delivers_all() {
-    let (alone, together) = (play(false, 5, 6.0), play(true, 5, 6.0));
+fn a_fleet_makes_fewer_trials_than_independent_members_and_delivers_all() {
+    let (independent, fleet) = (run_outage(false, 5, 6.0), run_outage(true, 5, 6.0));
     println!(
-        "tries at a place that is out for 6 s, five members: {} alone, {} together",
-        alone.tries, together.tries
+        "calls to an endpoint that is down for 6 s, by five members: {} independent, {} in a fleet",
+        independent.calls_while_down, fleet.calls_while_down
     );
-    assert!(together.tries < alone.tries, "{} alone, {} together", alone.tries, together.tries);
-    assert!(together.delivered.len() >= 5);
+    assert!(
+        fleet.calls_while_down < independent.calls_while_down,
+        "{} independent, {} in a fleet",
+        independent.calls_while_down,
+        fleet.calls_while_down
+    );
+    assert!(fleet.delivered.len() >= 5);
 }
--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -1,19 +1,19 @@
-//! Clients that send what they should not, or nothing.
+//! Clients that send malformed, ambiguous or incomplete requests, or nothing at all.
 
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-fn ok(_: usize, _: &Http) -> Reply {
+fn reply_ok(_: usize, _: &Http) -> Reply {
     Reply::status(200)
 }
 
-fn started() -> (Endpoint, Dispatcher) {
-    let (endpoint, platform) = (Endpoint::start(ok), Platform::start());
+fn start() -> (Endpoint, Dispatcher) {
+    let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     (endpoint, dispatcher)
 }
 
-/// The head of a good message, but for its length and its end.
+/// The head of a valid message, without its length and the empty line at its end.
 fn head(id: &str) -> String {
     format!(
         "POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: safe\r\n\
@@ -21,129 +21,136 @@
     )
 }
 
-/// Nothing of what came before may reach the endpoint; a good message still does.
-fn only_this_one_comes(dispatcher: &Dispatcher, endpoint: &Endpoint) {
+/// Checks that no earlier request has reached the endpoint, and that a valid message still does.
+fn assert_only_a_valid_message_is_delivered(dispatcher: &Dispatcher, endpoint: &Endpoint) {
     assert_eq!(dispatcher.hand_in("safe", "good", 7), 202);
-    eventually("the good message", || endpoint.ids().contains(&"good".to_string()));
+    eventually("the call of the valid message", || endpoint.ids().contains(&"good".to_string()));
     assert_eq!(endpoint.ids(), ["good"]);
 }
 
 #[test]
-fn requests_that_may_hide_another_are_turned_away() {
-    let (endpoint, dispatcher) = started();
+fn ambiguous_requests_that_may_smuggle_another_are_rejected() {
+    let (endpoint, dispatcher) = start();
     let hidden = format!("0\r\n\r\n{}Content-Length: 0\r\n\r\n", head("hidden"));
     let long = hidden.len();
-    for (what, rest, status) in [
+    for (case, rest, status) in [
         ("both", format!("Content-Length: {long}\r\nTransfer-Encoding: chunked\r\n\r\n{hidden}"), 411),
-        ("turned", format!("Transfer-Encoding: chunked\r\nContent-Length: {long}\r\n\r\n{hidden}"), 411),
+        ("reversed", format!("Transfer-Encoding: chunked\r\nContent-Length: {long}\r\n\r\n{hidden}"), 411),
         ("chunked", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(), 411),
-        ("behind", "Content-Length: 2\r\n\r\nabcd".into(), 400),
+        ("trailing", "Content-Length: 2\r\n\r\nabcd".into(), 400),
         ("next", format!("Content-Length: 0\r\n\r\n{}Content-Length: 0\r\n\r\n", head("next2")), 400),
         ("doubled", "Content-Length: 0\r\nRequest-Id: other\r\n\r\n".into(), 400),
         ("lengths", "Content-Length: 0\r\nContent-Length: 5\r\n\r\nhello".into(), 400),
         ("negative", "Content-Length: -5\r\n\r\n".into(), 400),
     ] {
         let mut client = dispatcher.connect();
-        client.write(format!("{}{rest}", head(what)).as_bytes());
-        assert_eq!(client.answer().status(), status, "{what}");
-        assert!(client.closes(), "{what}: the connection ends");
+        client.write(format!("{}{rest}", head(case)).as_bytes());
+        assert_eq!(client.answer().status(), status, "{case}");
+        assert!(client.closes(), "{case}: the connection is closed");
     }
-    only_this_one_comes(&dispatcher, &endpoint);
+    assert_only_a_valid_message_is_delivered(&dispatcher, &endpoint);
 }
 
 #[test]
-fn figures_beyond_sense_are_turned_away() {
-    let (endpoint, dispatcher) = started();
-    // The class may take 20 s.
+fn timeouts_and_lengths_beyond_the_limits_are_rejected() {
+    let (endpoint, dispatcher) = start();
+    // The deadline of the class is 20 s.
     assert_eq!(dispatcher.connect().hand_in("safe", "m1", 7, 20_001, b"x").status(), 400);
     assert_eq!(dispatcher.connect().hand_in("safe", "m2", 7, u32::MAX, b"x").status(), 400);
     let mut client = dispatcher.connect();
     client.write(format!("{}Content-Length: 60000000\r\n\r\n", head("m3")).as_bytes());
     assert_eq!(client.answer().status(), 413);
     let mut client = dispatcher.connect();
-    // A head without an end; the answer may come while it is still being written.
+    // A head that never ends; the response may arrive while it is still being written.
     let padded = format!("{}X-Pad: {}", head("m4"), "p".repeat(15_000));
     client.write(padded.as_bytes());
     client.write(&[b'p'; 2_000]);
     assert_eq!(client.answer().status(), 431);
-    only_this_one_comes(&dispatcher, &endpoint);
+    assert_only_a_valid_message_is_delivered(&dispatcher, &endpoint);
 }
 
 #[test]
-fn an_id_in_use_is_not_taken_for_another_message() {
+fn an_id_in_use_is_not_accepted_for_another_message() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::started(&platform, &[held(7), held(8)]);
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202, "the same once more is owed already");
+    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202, "a repeat of the same message is accepted already");
     assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 503);
     assert_eq!(dispatcher.connect().hand_in("safe", "m1", 7, 15_000, b"other").status(), 503);
     dispatcher.kill();
-    let endpoint = Endpoint::start(ok);
+    let endpoint = Endpoint::start(reply_ok);
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("the first one's call", || endpoint.seen().len() == 1);
+    eventually("the call of the first message", || endpoint.seen().len() == 1);
     assert_eq!(endpoint.seen()[0].request.text(), "hello");
 }
 
 #[test]
-fn half_a_request_is_given_up_in_time() {
-    let (endpoint, dispatcher) = started();
-    let since = Instant::now();
+fn incomplete_requests_time_out() {
+    let (endpoint, dispatcher) = start();
+    let started_at = Instant::now();
     let mut clients: Vec<Client> = (0..3).map(|_| dispatcher.connect()).collect();
     clients[1].write(head("half-a-head").as_bytes());
     clients[2].write(format!("{}Content-Length: 9\r\n\r\nhalf", head("half-a-body")).as_bytes());
     for client in &mut clients {
         assert!(client.closes());
     }
-    assert!(since.elapsed() < Duration::from_secs(15), "long before anything else would end them");
-    // One that has asked and waits for its next request may stay.
-    let mut kept = dispatcher.connect();
-    assert_eq!(kept.hand_in("safe", "first", 7, 9_000, b"x").status(), 202);
+    assert!(
+        started_at.elapsed() < Duration::from_secs(15),
+        "they are closed long before any other timeout applies"
+    );
+    // A connection that is idle between two requests stays open.
+    let mut persistent = dispatcher.connect();
+    assert_eq!(persistent.hand_in("safe", "first", 7, 9_000, b"x").status(), 202);
     std::thread::sleep(Duration::from_millis(2_500));
-    assert_eq!(kept.hand_in("safe", "second", 7, 9_000, b"x").status(), 202);
+    assert_eq!(persistent.hand_in("safe", "second", 7, 9_000, b"x").status(), 202);
     eventually("both calls", || endpoint.seen().len() == 2);
 }
 
 #[test]
-fn a_crowd_leaves_descriptors_for_the_work() {
-    let (endpoint, platform) = (Endpoint::start(ok), Platform::start());
+fn many_silent_clients_leave_file_descriptors_for_deliveries() {
+    let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     dispatcher.config["limits"]["sockets"] = 64.into();
     dispatcher.before = "ulimit -n 64;".into();
     dispatcher.start();
-    let mut crowd: Vec<Client> = (0..200).map(|_| dispatcher.connect()).collect();
+    let mut silent: Vec<Client> = (0..200).map(|_| dispatcher.connect()).collect();
     for i in 0..5 {
         assert_eq!(dispatcher.hand_in("safe", &format!("m{i}"), 7), 202);
     }
     eventually("the calls", || endpoint.seen().len() == 5);
-    assert!(crowd[0].closes(), "the longest idle went first");
+    assert!(silent[0].closes(), "the connection that was idle longest is closed first");
     platform.push(2, &[endpoint.host("e2", 8, "up")]);
     dispatcher.hand_in_once_listed("safe", "by-new-list", 8);
     assert!(!dispatcher.logged("Too many open files"));
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_make_room_for_others() {
-    let (endpoint, platform) = (Endpoint::start(ok), Platform::start());
+fn idle_client_connections_are_closed_at_the_limit() {
+    let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-    // 30 connections of clients, 10 of them idle: far fewer than all are open when the first has to go.
+    // Allows 30 client connections, 10 of them idle: the first is closed long before 30 are open.
     dispatcher.config["limits"]["sockets"] = 80.into();
     dispatcher.start();
     let mut regular = dispatcher.connect();
-    let mut ask = |i| {
+    let mut send_on_new_connection = |i| {
         let mut client = dispatcher.connect();
         assert_eq!(client.hand_in("safe", &format!("m{i}"), 7, 15_000, b"x").status(), 202);
         assert_eq!(regular.hand_in("safe", &format!("r{i}"), 7, 15_000, b"x").status(), 202);
         client
     };
-    let mut clients: Vec<_> = (0..20).map(&mut ask).collect();
-    assert!(clients[0].closes(), "the one that has been idle for the longest");
+    let mut clients: Vec<_> = (0..20).map(&mut send_on_new_connection).collect();
+    assert!(clients[0].closes(), "the connection that was idle longest is closed");
     let last = clients.last_mut().unwrap();
-    assert_eq!(last.hand_in("safe", "again", 7, 15_000, b"x").status(), 202, "the last one is kept");
+    assert_eq!(
+        last.hand_in("safe", "again", 7, 15_000, b"x").status(),
+        202,
+        "the most recent connection is kept"
+    );
 }
 
 #[test]
-fn a_message_that_comes_again_after_its_end_does_not_run_again() {
+fn a_message_repeated_after_its_end_is_not_delivered_again() {
     let endpoint = Endpoint::start(|_, request| match request.header("request-id") {
         Some(id) if id.starts_with("bad") => Reply::status(500),
         _ => Reply::status(200),
@@ -154,19 +161,19 @@
     assert_eq!(dispatcher.hand_in("unsafe", "bad", 7), 202);
     eventually("both calls", || endpoint.ids().len() == 2);
     eventually("the notice", || platform.told("bad") == ["given_up"]);
-    let again = |dispatcher: &Dispatcher| {
-        // Its answer may be on its way still when the call has been seen.
-        eventually("the end on record", || dispatcher.hand_in("unsafe", "bad", 7) == 409);
-        eventually("the end of the good one", || dispatcher.hand_in("unsafe", "good", 7) == 202);
+    let assert_repeats_are_answered_from_the_record = |dispatcher: &Dispatcher| {
+        // The response may still be on its way when the call has been seen.
+        eventually("the recorded failure", || dispatcher.hand_in("unsafe", "bad", 7) == 409);
+        eventually("the recorded delivery", || dispatcher.hand_in("unsafe", "good", 7) == 202);
         assert_eq!(dispatcher.hand_in("unsafe", "good", 7), 202);
     };
-    again(&dispatcher);
-    // The next life knows it from the records that are still there.
+    assert_repeats_are_answered_from_the_record(&dispatcher);
+    // The next process learns it from the records in the journal.
     dispatcher.kill();
     dispatcher.start();
-    again(&dispatcher);
+    assert_repeats_are_answered_from_the_record(&dispatcher);
     assert_eq!(dispatcher.hand_in("unsafe", "next", 7), 202);
-    eventually("the next one", || endpoint.ids().contains(&"next".to_string()));
+    eventually("the call of the next message", || endpoint.ids().contains(&"next".to_string()));
     let ids = endpoint.ids();
-    assert_eq!(ids.len(), 3, "each once: {ids:?}");
+    assert_eq!(ids.len(), 3, "each message is delivered once: {ids:?}");
 }
--- a/crates/fawnspoke/tests/sockets/limits.rs
+++ b/crates/fawnspoke/tests/sockets/limits.rs
@@ -1,15 +1,15 @@
-//! Limits: those that places tell, and the dispatcher's own slots.
+//! Limits: rate limits reported by endpoints, the dispatcher's own call slots, and the quotas of tenants.
 
 use crate::support::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-fn answer(status: u16, limit: f64) -> Reply {
+fn reply_with_limit(status: u16, limit: f64) -> Reply {
     Reply::Answer(status, format!("Server-Load: {{\"x0\":0.5,\"x1\":{limit}}}\r\n"), String::new())
 }
 
-fn hand_in(dispatcher: &Dispatcher, prefix: &str, count: usize) {
+fn send_messages(dispatcher: &Dispatcher, prefix: &str, count: usize) {
     let mut client = dispatcher.connect();
     for i in 0..count {
         let status = client.hand_in("safe", &format!("{prefix}{i}"), 7, 20_000, b"x").status();
@@ -18,81 +18,82 @@
 }
 
 #[test]
-fn the_pace_follows_the_told_limit_up_and_down() {
-    // A limit that starts at 4 calls a second, with one refusal that makes the pace known.
+fn the_send_rate_follows_the_reported_limit_up_and_down() {
+    // The limit starts at 4 calls a second; one 503 makes the dispatcher apply it.
     let limit = Arc::new(AtomicU32::new(4));
-    let told = limit.clone();
+    let reported = limit.clone();
     let endpoint = Endpoint::start(move |n, _| {
-        answer(if n == 1 { 503 } else { 200 }, told.load(Ordering::SeqCst).into())
+        reply_with_limit(if n == 1 { 503 } else { 200 }, reported.load(Ordering::SeqCst).into())
     });
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     dispatcher.config["settings"]["limits"]["open_cap"] = 500.into();
     dispatcher.start();
-    let seen = || endpoint.seen().len();
-    hand_in(&dispatcher, "m", 200);
-    eventually("some calls at the low limit", || seen() >= 6);
-    // A hundred times as much: a pace that only grew would need half a minute for this, deadlines pass.
+    let call_count = || endpoint.seen().len();
+    send_messages(&dispatcher, "m", 200);
+    eventually("some calls at the low limit", || call_count() >= 6);
+    // A limit 100 times as high: a send rate that only grows by steps would need half a minute, and deadlines
+    // would pass.
     limit.store(400, Ordering::SeqCst);
     let raised = Instant::now();
-    eventually("the rest", || seen() > 200);
+    eventually("the remaining calls", || call_count() > 200);
     assert!(raised.elapsed() < Duration::from_secs(10), "{:?}", raised.elapsed());
-    // And back: the last answers told the high limit, the first of the next ones tells the low one.
+    // Back down: the last responses reported the high limit, the first of the next ones reports the low one.
     limit.store(4, Ordering::SeqCst);
-    hand_in(&dispatcher, "n", 1);
-    eventually("the news", || seen() >= 202);
-    hand_in(&dispatcher, "o", 100);
-    let before = seen();
+    send_messages(&dispatcher, "n", 1);
+    eventually("the response with the low limit", || call_count() >= 202);
+    send_messages(&dispatcher, "o", 100);
+    let before = call_count();
     std::thread::sleep(Duration::from_secs(2));
-    assert!(seen() - before < 40, "{} calls in two seconds", seen() - before);
+    assert!(call_count() - before < 40, "{} calls in two seconds", call_count() - before);
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn a_kept_connection_that_was_lost_costs_no_turn() {
-    // One call in two seconds; once that is known, each second request finds its connection broken.
+fn a_call_lost_with_a_reused_connection_consumes_no_rate_budget() {
+    // The limit is one call in two seconds; once it has been reported, every second request finds its connection broken.
     let endpoint = Endpoint::start(|n, _| match n {
-        1 => answer(503, 0.5),
+        1 => reply_with_limit(503, 0.5),
         n if n > 0 && n % 2 == 0 => Reply::Break,
-        _ => answer(200, 0.5),
+        _ => reply_with_limit(200, 0.5),
     });
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 1.into();
     dispatcher.start();
-    for id in ["first", "refused"] {
+    for id in ["first", "rejected"] {
         let before = endpoint.seen().len();
-        hand_in(&dispatcher, id, 1);
-        eventually("its call", || endpoint.seen().len() > before);
+        send_messages(&dispatcher, id, 1);
+        eventually("the call", || endpoint.seen().len() > before);
     }
-    hand_in(&dispatcher, "m", 7);
+    send_messages(&dispatcher, "m", 7);
     eventually("some calls", || endpoint.seen().len() >= 10);
     let seen = endpoint.seen();
-    // Until it is learned that kept connections break here.
+    // Holds until the dispatcher has learned that reused connections break at this endpoint.
     for lost in [2, 4, 6] {
         assert!(seen[..lost].iter().any(|s| s.connection == seen[lost].connection));
         let gap = seen[lost + 1].at - seen[lost].at;
         assert!(gap < Duration::from_secs(1), "{gap:?} from a lost call to the next");
     }
-    assert!(seen[9].at - seen[3].at > Duration::from_secs(1), "the limit holds for those that came");
+    assert!(seen[9].at - seen[3].at > Duration::from_secs(1), "the limit applies to the calls that arrived");
 }
 
 #[test]
-fn the_last_slot_waits_for_a_shorter_time() {
-    let shortest = |slots: u32, class: &str, until: u64| {
+fn the_last_slot_gets_a_shorter_timeout() {
+    let shortest = |slots: u32, class: &str, target_ms: u64| {
         let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
         let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
         dispatcher.config["settings"]["family_info"]["call_slots"] = slots.into();
         dispatcher.start();
         let mut client = dispatcher.connect();
         let mut shortest = u64::MAX;
-        // The time-out shrinks while the place proves quick.
+        // The timeout shrinks as the endpoint proves fast.
         for i in 0..200 {
             assert_eq!(client.hand_in(class, &format!("m{i}"), 7, 15_000, b"x").status(), 202);
             eventually("the call", || endpoint.seen().len() > i);
-            let told = endpoint.seen()[i].request.header("request-timeout-ms").unwrap().parse().unwrap();
-            shortest = shortest.min(told);
-            if shortest <= until {
+            let reported = endpoint.seen()[i].request.header("request-timeout-ms").unwrap().parse().unwrap();
+            shortest = shortest.min(reported);
+            if shortest <= target_ms {
                 break;
             }
         }
@@ -100,17 +101,20 @@
     };
     let usual = shortest(8, "safe", 800);
     assert!((700..=800).contains(&usual), "{usual} ms");
-    assert!(shortest(1, "keyed", 500) <= 500, "others wait for the slot");
-    // What is lost by its time-out keeps its time.
+    assert!(
+        shortest(1, "keyed", 500) <= 500,
+        "the timeout is shorter because other messages wait for the slot"
+    );
+    // An unsafe message is lost when its call times out, so it keeps its full timeout.
     assert!(shortest(1, "unsafe", 800) > 800);
 }
 
-/// One slot, taken by a call that hangs; room for so many; `small` has a share of next to nothing.
-fn with_shares(platform: &Platform, endpoint: &Endpoint, room: usize) -> Dispatcher {
+/// A dispatcher with one call slot and a queue of `capacity` messages; the tenant `small` has a quota of almost nothing.
+fn dispatcher_with_quotas(platform: &Platform, endpoint: &Endpoint, capacity: usize) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(platform, &[endpoint.host("e", 7, "up")]);
     let settings = &mut dispatcher.config["settings"];
     settings["family_info"]["call_slots"] = 1.into();
-    settings["limits"]["open_cap"] = room.into();
+    settings["limits"]["open_cap"] = capacity.into();
     settings["orgs"] = serde_json::json!([{"name": "small", "quota_per_s": 0.01, "share": 0.1},
         {"name": "large", "quota_per_s": 1000.0, "share": 0.9}]);
     settings["over_share_worth"] = 0.05.into();
@@ -118,60 +122,60 @@
     dispatcher
 }
 
-fn hand_in_for(client: &mut Client, id: &str, tenant: &str) {
+fn send_for_tenant(client: &mut Client, id: &str, tenant: &str) {
     let message = format!(
         "POST /safe HTTP/1.1\r\nHost: service.internal\r\nRequest-Id: {id}\r\nRequest-Class: safe\r\n\
          Tenant: {tenant}\r\nRequest-Timeout-Ms: 20000\r\nContent-Length: 1\r\nX-Consignee: dest=7\r\n\r\nx"
     );
-    // One place is kept free, and in a round one that is held makes place for the next.
-    eventually("a place", || {
+    // One entry of the queue stays free; each round of the event loop evicts a message to make space for the next.
+    eventually("space in the queue", || {
         client.write(message.as_bytes());
         client.answer().status() == 202
     });
 }
 
 #[test]
-fn what_is_beyond_its_customers_share_makes_place_first() {
+fn messages_beyond_their_tenants_quota_are_evicted_first() {
     let endpoint = Endpoint::start(|_, _| Reply::Hang);
     let platform = Platform::start();
-    let dispatcher = with_shares(&platform, &endpoint, 6);
+    let dispatcher = dispatcher_with_quotas(&platform, &endpoint, 6);
     let mut client = dispatcher.connect();
-    hand_in_for(&mut client, "out", "large");
-    eventually("the call that holds the slot", || !endpoint.seen().is_empty());
+    send_for_tenant(&mut client, "in-flight", "large");
+    eventually("the call that occupies the slot", || !endpoint.seen().is_empty());
     for (id, tenant) in [("a", "small"), ("b", "small"), ("c", "small"), ("d", "large"), ("e", "large")] {
-        hand_in_for(&mut client, id, tenant);
+        send_for_tenant(&mut client, id, tenant);
     }
-    hand_in_for(&mut client, "f", "large");
-    eventually("two that made place", || platform.notices().len() >= 2);
+    send_for_tenant(&mut client, "f", "large");
+    eventually("two evicted messages", || platform.notices().len() >= 2);
     for id in ["b", "c"] {
-        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the share: {:?}", platform.notices());
+        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the quota: {:?}", platform.notices());
     }
 }
 
 #[test]
-fn a_kill_gives_no_customer_its_share_anew() {
+fn a_restart_does_not_refill_a_tenants_quota() {
     let endpoint = Endpoint::start(|_, _| Reply::Hang);
     let platform = Platform::start();
-    let mut dispatcher = with_shares(&platform, &endpoint, 8);
+    let mut dispatcher = dispatcher_with_quotas(&platform, &endpoint, 8);
     let mut client = dispatcher.connect();
-    hand_in_for(&mut client, "out", "large");
-    eventually("the call that holds the slot", || !endpoint.seen().is_empty());
-    // The first one is inside the share, and uses it up.
+    send_for_tenant(&mut client, "in-flight", "large");
+    eventually("the call that occupies the slot", || !endpoint.seen().is_empty());
+    // The first message is within the quota and uses it up.
     for id in ["a", "b", "c"] {
-        hand_in_for(&mut client, id, "small");
+        send_for_tenant(&mut client, id, "small");
     }
     dispatcher.kill();
     dispatcher.start();
     let mut client = dispatcher.connect();
-    // The next life gives `small` nothing but what has come back meanwhile.
-    hand_in_for(&mut client, "d", "small");
+    // The next process grants `small` only what its quota has regained in the meantime.
+    send_for_tenant(&mut client, "d", "small");
     for id in ["e", "f", "g", "h", "i"] {
-        hand_in_for(&mut client, id, "large");
+        send_for_tenant(&mut client, id, "large");
     }
-    let gone = |id: &str| !platform.told(id).is_empty();
-    eventually("three that made place", || ["b", "c", "d"].iter().all(|id| gone(id)));
+    let is_evicted = |id: &str| !platform.told(id).is_empty();
+    eventually("three evicted messages", || ["b", "c", "d"].iter().all(|id| is_evicted(id)));
     for id in ["b", "c", "d"] {
-        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the share: {:?}", platform.notices());
+        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the quota: {:?}", platform.notices());
     }
-    assert!(platform.told("a").is_empty(), "it was inside the share and is");
+    assert!(platform.told("a").is_empty(), "it was within the quota and still is");
 }
--- a/crates/fawnspoke/tests/sockets/malformed_responses.rs
+++ b/crates/fawnspoke/tests/sockets/malformed_responses.rs
@@ -1,17 +1,18 @@
-//! Answers that cannot be read, and good ones with more than belongs to them.
+//! Malformed, truncated and endless responses, and valid ones with trailing bytes.
 
 use crate::support::*;
 use std::thread;
 use std::time::Duration;
 
-const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-fn raw(bytes: impl AsRef<[u8]>) -> Reply {
+fn raw_reply(bytes: impl AsRef<[u8]>) -> Reply {
     Reply::Raw(bytes.as_ref().to_vec())
 }
 
-/// An endpoint for destination 7, of the kind that takes one message a call or several.
-fn stage(
+/// Starts an endpoint for destination 7 of this class (`single` receives one message a call, `many` several), a platform
+/// and a dispatcher.
+fn start(
     class: &str, script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
@@ -19,115 +20,125 @@
     (endpoint, platform, dispatcher)
 }
 
-fn times(endpoint: &Endpoint, id: &str) -> usize {
+fn call_count(endpoint: &Endpoint, id: &str) -> usize {
     endpoint.seen().iter().filter(|seen| seen.id() == id || seen.request.text().contains(id)).count()
 }
 
 #[test]
-fn a_spoilt_answer_may_have_run_and_is_no_outage() {
-    // All that is spoilt in turn, for a message that may be repeated and one that may not.
-    let spoilt = |n: usize| match n {
-        0 => raw([0xff; 300]),
-        1 => raw("HTTP/1.1 500 Oops\r\nContent-Length: minus one\r\n\r\n"),
-        2 => raw("HTTP/1.1 429 Full\r\nRetry-After: 2\r\nContent-Length: 500\r\n\r\nfewer"),
+fn a_malformed_response_counts_as_possible_execution_not_as_an_outage() {
+    // Each malformed response in turn, for a message that may be repeated and for one that may not.
+    let malformed = |n: usize| match n {
+        0 => raw_reply([0xff; 300]),
+        1 => raw_reply("HTTP/1.1 500 Oops\r\nContent-Length: minus one\r\n\r\n"),
+        2 => raw_reply("HTTP/1.1 429 Full\r\nRetry-After: 2\r\nContent-Length: 500\r\n\r\nfewer"),
         3 => Reply::Endless(b"HTTP/1.1 503 Full\r\n".to_vec(), b"X-More: and more\r\n".to_vec()),
-        _ => raw("HTTP/1.1 2"),
+        _ => raw_reply("HTTP/1.1 2"),
     };
-    let (endpoint, platform, dispatcher) = stage("single", move |n, request| {
+    let (endpoint, platform, dispatcher) = start("single", move |n, request| {
         if request.header("request-id").is_some_and(|id| id.starts_with("good")) {
-            return raw(OK);
+            return raw_reply(OK_RESPONSE);
         }
-        spoilt(n)
+        malformed(n)
     });
     assert_eq!(dispatcher.hand_in("safe", "safe", 7), 202);
-    eventually("a try for each", || times(&endpoint, "safe") >= 5);
+    eventually("an attempt for each response", || call_count(&endpoint, "safe") >= 5);
     assert_eq!(dispatcher.hand_in("unsafe", "unsafe", 7), 202);
     eventually("the notice", || platform.told("unsafe") == ["given_up"]);
-    assert_eq!(times(&endpoint, "unsafe"), 1);
-    // The wait in the spoilt answer was told by its head, which is whole; nothing looks like an outage.
+    assert_eq!(call_count(&endpoint, "unsafe"), 1);
+    // The Retry-After of the truncated 429 counts, because its head is complete; none of the responses is an outage.
     let calls = endpoint.seen();
     let waited = calls[3].at - calls[2].at;
-    assert!(waited >= Duration::from_millis(1900), "the next call {waited:?} into the wait");
+    assert!(
+        waited >= Duration::from_millis(1900),
+        "the next call came after {waited:?}, before the Retry-After was over"
+    );
     assert_eq!(dispatcher.hand_in("safe", "good", 7), 202);
-    eventually("the good one", || times(&endpoint, "good") == 1);
-    assert!(!dispatcher.logged("Shut"), "the place lives");
+    eventually("the call of the good message", || call_count(&endpoint, "good") == 1);
+    assert!(!dispatcher.logged("Shut"), "the endpoint counts as available");
 }
 
 #[test]
-fn a_first_line_with_200_is_true_of_one_message() {
-    let (endpoint, platform, dispatcher) = stage("single", |_, request| match request.header("request-id") {
-        Some("noise") => raw(b"HTTP/1.1 200 OK\r\n\0\xff: noise\r\n\r\n"),
-        Some("open") => raw("HTTP/1.1 200 OK\r\nX-Head: without an end\r\n"),
-        Some("short") => raw("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nfewer"),
-        Some("lengths") => raw("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
+fn a_200_status_line_settles_a_single_message() {
+    let (endpoint, platform, dispatcher) = start("single", |_, request| match request.header("request-id") {
+        Some("noise") => raw_reply(b"HTTP/1.1 200 OK\r\n\0\xff: noise\r\n\r\n"),
+        Some("open") => raw_reply("HTTP/1.1 200 OK\r\nX-Head: without an end\r\n"),
+        Some("short") => raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nfewer"),
+        Some("lengths") => raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n"),
         Some("endless") => {
             let head = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n";
             Reply::Endless(head.into(), vec![b'x'; 65536])
         }
-        Some("early") => raw(format!("HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n{OK}")),
-        _ => raw(OK),
+        Some("early") => {
+            raw_reply(format!("HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 Hints\r\nA: b\r\n\r\n{OK_RESPONSE}"))
+        }
+        _ => raw_reply(OK_RESPONSE),
     });
     let ids = ["noise", "open", "short", "lengths", "endless", "early"];
     for id in ids {
         assert_eq!(dispatcher.hand_in("unsafe", id, 7), 202);
-        eventually("the call", || times(&endpoint, id) == 1);
+        eventually("the call", || call_count(&endpoint, id) == 1);
     }
-    eventually("the end of the endless one", || endpoint.given_up() == 1);
-    // Longer than any answer is waited for.
+    eventually("the abort of the endless response", || endpoint.given_up() == 1);
+    // Longer than the dispatcher waits for any response.
     thread::sleep(Duration::from_millis(1_500));
     assert!(platform.notices().is_empty(), "all were delivered: {:?}", platform.notices());
-    assert!(ids.iter().all(|id| times(&endpoint, id) == 1));
+    assert!(ids.iter().all(|id| call_count(&endpoint, id) == 1));
 }
 
 #[test]
-fn a_spoilt_answer_tells_nothing_of_several() {
+fn a_truncated_batch_response_settles_no_message() {
     let (endpoint, platform) = (
         Endpoint::start(|n, _| match n {
-            0 | 1 => {
-                raw("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nsafe-a delivered\nunsafe-b delivered\n")
+            0 | 1 => raw_reply(
+                "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nsafe-a delivered\nunsafe-b delivered\n",
+            ),
+            // A complete response to the second attempt; that both were sent twice remains visible.
+            _ => {
+                raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
             }
-            // Told in full: that they went twice stays true.
-            _ => raw("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n"),
         }),
         Platform::start(),
     );
     let dispatcher = Dispatcher::started(&platform, &[held(7)]);
-    // Two of each sort, which share calls.
+    // Two safe and two unsafe messages; those of one effect share a call.
     for id in ["safe-a", "unsafe-b", "safe-c", "unsafe-d"] {
         assert_eq!(dispatcher.hand_in(id.split('-').next().unwrap(), id, 7), 202);
     }
     platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
     let given_up = |id: &str| platform.told(id) == ["given_up"];
     eventually("the notices", || given_up("unsafe-b") && given_up("unsafe-d"));
-    eventually("the others once more", || times(&endpoint, "safe-a") == 2 && times(&endpoint, "safe-c") == 2);
-    assert_eq!((times(&endpoint, "unsafe-b"), times(&endpoint, "unsafe-d")), (1, 1));
+    eventually("the second attempts of the safe messages", || {
+        call_count(&endpoint, "safe-a") == 2 && call_count(&endpoint, "safe-c") == 2
+    });
+    assert_eq!((call_count(&endpoint, "unsafe-b"), call_count(&endpoint, "unsafe-d")), (1, 1));
     assert_eq!(platform.notices().len(), 2);
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_no_other_calls_answer() {
-    // The second copy comes at once or a little later; the next call would be refused, not delivered.
+fn bytes_after_a_response_are_not_the_response_of_the_next_call() {
+    // A second copy follows the first response, at once or a little later. Read as the response to the next call,
+    // which fails, it would count as a delivery.
     let (endpoint, platform, dispatcher) =
-        stage("single", |n, request| match (n, request.header("request-id")) {
-            (0, _) => raw(format!("{OK}{OK}")),
-            (1, Some("second")) => raw("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
-            _ => raw(OK),
+        start("single", |n, request| match (n, request.header("request-id")) {
+            (0, _) => raw_reply(format!("{OK_RESPONSE}{OK_RESPONSE}")),
+            (1, Some("second")) => raw_reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+            _ => raw_reply(OK_RESPONSE),
         });
     assert_eq!(dispatcher.hand_in("unsafe", "first", 7), 202);
     eventually("the first call", || endpoint.seen().len() == 1);
     assert_eq!(dispatcher.hand_in("unsafe", "second", 7), 202);
-    eventually("the second one's true end", || platform.told("second") == ["given_up"]);
+    eventually("the failure of the second call", || platform.told("second") == ["given_up"]);
     assert_ne!(endpoint.seen()[0].connection, endpoint.seen()[1].connection);
 }
 
 #[test]
-fn one_bad_message_does_not_turn_away_the_others() {
+fn one_rejected_message_does_not_fail_the_rest_of_its_batch() {
     let endpoint = Endpoint::start(|_, request| match request.text().contains("bad") {
         false if request.first.contains("/receive-many") => {
-            raw("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
+            raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
         }
-        false => raw(OK),
-        true => raw("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
+        false => raw_reply(OK_RESPONSE),
+        true => raw_reply("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
     });
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[held(7)]);
@@ -135,9 +146,11 @@
         assert_eq!(dispatcher.connect().hand_in("safe", id, 7, 15_000, body.as_bytes()).status(), 202);
     }
     platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    eventually("the bad one's end", || platform.told("safe-b") == ["given_up"]);
-    eventually("the others' calls", || ["safe-a", "safe-c"].iter().all(|id| times(&endpoint, id) == 2));
-    assert_eq!(times(&endpoint, "safe-b"), 2, "with the others and by itself");
+    eventually("the notice of the bad message", || platform.told("safe-b") == ["given_up"]);
+    eventually("the calls of the other messages", || {
+        ["safe-a", "safe-c"].iter().all(|id| call_count(&endpoint, id) == 2)
+    });
+    assert_eq!(call_count(&endpoint, "safe-b"), 2, "once in the batch and once by itself");
     assert!(!dispatcher.logged("Shut"));
     assert_eq!(platform.notices().len(), 1);
 }
--- a/crates/fawnspoke/tests/sockets/manual_endpoint.rs
+++ b/crates/fawnspoke/tests/sockets/manual_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint with gates: it accepts, reads and answers only when the test says so.
+//! An endpoint that a test drives by hand: it accepts, reads and answers only when the test calls for it.
 
 use crate::support::host;
 use serde_json::Value;
@@ -9,28 +9,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Far longer than anything takes that is waited for.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Far longer than any event that a test waits for takes.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// An endpoint that does nothing by itself.
+/// An endpoint that accepts and answers nothing by itself.
 pub struct ManualEndpoint {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     listener: TcpListener,
-    /// It fills the queue of connections that nobody has accepted.
-    filler: Option<TcpStream>,
+    /// Fills the listener's accept queue, so that further connects hang.
+    backlog_filler: Option<TcpStream>,
 }
 
 impl ManualEndpoint {
-    /// One to which connections come up at once.
+    /// An endpoint to which connections are established at once.
     pub fn start() -> ManualEndpoint {
         ManualEndpoint::with_backlog(16)
     }
 
-    /// One to which no connection comes up before `accept_connects`.
+    /// An endpoint to which no connection is established before `accept_connects`.
     pub fn with_full_backlog() -> ManualEndpoint {
-        let mut gated = ManualEndpoint::with_backlog(0);
-        gated.filler = Some(TcpStream::connect(gated.at).unwrap());
-        gated
+        let mut endpoint = ManualEndpoint::with_backlog(0);
+        endpoint.backlog_filler = Some(TcpStream::connect(endpoint.address).unwrap());
+        endpoint
     }
 
     fn with_backlog(backlog: i32) -> ManualEndpoint {
@@ -38,84 +38,84 @@
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(backlog).unwrap();
         let listener = TcpListener::from(socket);
-        ManualEndpoint { at: listener.local_addr().unwrap(), listener, filler: None }
+        ManualEndpoint { address: listener.local_addr().unwrap(), listener, backlog_filler: None }
     }
 
-    /// How many wait for a connection to come up.
+    /// The number of connects to this endpoint that are not established yet (sockets in state SYN_SENT).
     pub fn pending_connects(&self) -> usize {
-        let here = format!("0100007F:{:04X}", self.at.port());
+        let local_address = format!("0100007F:{:04X}", self.address.port());
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let waits = |line: &&str| {
+        let is_syn_sent = |line: &&str| {
             let fields: Vec<_> = line.split_whitespace().collect();
-            fields.get(2) == Some(&&*here) && fields.get(3) == Some(&"02")
+            fields.get(2) == Some(&&*local_address) && fields.get(3) == Some(&"02")
         };
-        table.lines().filter(waits).count()
+        table.lines().filter(is_syn_sent).count()
     }
 
-    /// Lets connections come up from now on.
+    /// Frees the accept queue, so that connections are established from now on.
     pub fn accept_connects(&mut self) {
-        self.filler.take().expect("a locked one");
+        self.backlog_filler.take().expect("an endpoint with a full backlog");
         drop(self.accept());
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub fn accept(&self) -> Peer {
-        self.accept_within(PATIENCE).expect("a connection")
+        self.accept_within(MAX_WAIT).expect("a connection")
     }
 
-    /// The next connection, if it comes within this time.
+    /// Accepts the next connection, if one arrives within this time.
     pub fn accept_within(&self, time: Duration) -> Option<Peer> {
         self.listener.set_nonblocking(true).unwrap();
-        let until = Instant::now() + time;
+        let give_up_at = Instant::now() + time;
         loop {
             if let Ok((stream, _)) = self.listener.accept() {
                 stream.set_nonblocking(false).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(MAX_WAIT)).unwrap();
                 return Some(Peer { stream });
             }
-            if Instant::now() >= until {
+            if Instant::now() >= give_up_at {
                 return None;
             }
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Answers all that comes with 200 from now on.
-    pub fn serve(self) -> Served {
-        let served = Served::default();
-        let (seen, connections) = (served.requests.clone(), served.connections.clone());
+    /// Answers every request with 200 from now on.
+    pub fn serve(self) -> ReceivedRequests {
+        let received = ReceivedRequests::default();
+        let (requests, connections) = (received.requests.clone(), received.connections.clone());
         self.listener.set_nonblocking(false).unwrap();
-        // It ends with the test's process.
+        // The thread ends with the test process.
         std::thread::spawn(move || {
             for stream in self.listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let seen = seen.clone();
+                let requests = requests.clone();
                 std::thread::spawn(move || {
                     let mut peer = Peer { stream };
                     while let Some(request) = peer.read_request() {
-                        seen.lock().unwrap().push(request);
+                        requests.lock().unwrap().push(request);
                         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                     }
                 });
             }
         });
-        served
+        received
     }
 
-    /// Its line in discovery's list.
-    pub fn host(&self, name: &str, dest: u32) -> Value {
-        host(name, self.at, dest, "single", "up")
+    /// The entry of this endpoint in discovery's list.
+    pub fn host(&self, name: &str, destination: u32) -> Value {
+        host(name, self.address, destination, "single", "up")
     }
 }
 
-/// What came to one that answers.
+/// The requests and connections that a serving endpoint has received.
 #[derive(Default)]
-pub struct Served {
+pub struct ReceivedRequests {
     requests: Arc<Mutex<Vec<String>>>,
     connections: Arc<AtomicUsize>,
 }
 
-impl Served {
+impl ReceivedRequests {
     pub fn requests(&self) -> Vec<String> {
         self.requests.lock().unwrap().clone()
     }
@@ -125,15 +125,15 @@
     }
 }
 
-/// One connection to it.
+/// A connection accepted by a [`ManualEndpoint`].
 pub struct Peer {
     stream: TcpStream,
 }
 
 impl Peer {
-    /// The next request, head and body; none where the other side has ended the connection.
+    /// Reads the next request, head and body; `None` if the peer has closed the connection.
     pub fn read_request(&mut self) -> Option<String> {
-        let (mut read, mut piece) = (Vec::new(), [0; 4096]);
+        let (mut read, mut buffer) = (Vec::new(), [0; 4096]);
         loop {
             let text = String::from_utf8_lossy(&read).to_ascii_lowercase();
             if let Some((head, body)) = text.split_once("\r\n\r\n") {
@@ -142,16 +142,16 @@
                     return Some(String::from_utf8_lossy(&read).into_owned());
                 }
             }
-            match self.stream.read(&mut piece) {
+            match self.stream.read(&mut buffer) {
                 Ok(0) => return None,
-                Ok(n) => read.extend_from_slice(&piece[..n]),
+                Ok(n) => read.extend_from_slice(&buffer[..n]),
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return None,
                 Err(error) => panic!("no request: {error}"),
             }
         }
     }
 
-    /// Whether the other side has neither sent more nor ended the connection.
+    /// Whether the peer has neither sent more bytes nor closed the connection.
     pub fn is_open_and_quiet(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let read = self.stream.peek(&mut [0]);
--- a/crates/fawnspoke/tests/sockets/races.rs
+++ b/crates/fawnspoke/tests/sockets/races.rs
@@ -1,13 +1,14 @@
-//! Two things that cross: each test forces one order of them and says which.
+//! Races between two events: each test forces one order of them and names it.
 
 use crate::manual_endpoint::ManualEndpoint;
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-/// The connection of a call is on its way; another call of the destination is told to wait; then it comes up.
+/// While the connection for one call is being established, another call of the destination receives a `Retry-After`;
+/// then the connection is established.
 #[test]
-fn a_wait_told_while_a_connection_comes_up_is_heeded() {
-    const WAIT: Duration = Duration::from_millis(3900);
+fn a_retry_after_received_while_connecting_is_honoured() {
+    const RETRY_AFTER: Duration = Duration::from_millis(3900);
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
@@ -18,20 +19,27 @@
     let mut peer = quick.accept();
     assert!(peer.read_request().is_some());
     eventually("a connect that hangs", || slow.pending_connects() == 1);
-    let told = Instant::now();
+    let answered_at = Instant::now();
     peer.write(b"HTTP/1.1 429 Wait\r\nRetry-After: 3.9\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    assert!(peer.read_request().is_none(), "it has read the answer, and closes");
+    assert!(peer.read_request().is_none(), "the dispatcher has read the response and closes");
     slow.accept_connects();
-    let mut late = slow.accept();
-    assert!(told.elapsed() < WAIT - Duration::from_millis(500), "the connection came up within the wait");
-    assert!(late.read_request().is_some());
-    assert!(told.elapsed() >= WAIT - Duration::from_millis(100), "a call {:?} into the wait", told.elapsed());
+    let mut late_connection = slow.accept();
+    assert!(
+        answered_at.elapsed() < RETRY_AFTER - Duration::from_millis(500),
+        "the connection was established too late for this test"
+    );
+    assert!(late_connection.read_request().is_some());
+    assert!(
+        answered_at.elapsed() >= RETRY_AFTER - Duration::from_millis(100),
+        "called after {:?}, before the Retry-After was over",
+        answered_at.elapsed()
+    );
     assert!(platform.notices().is_empty());
 }
 
-/// The connection of a call that was not sent stays, idle for longer than an unsafe message is risked on.
+/// A connection whose call was not sent stays in the pool, idle for longer than is allowed for an unsafe message.
 #[test]
-fn a_connection_that_was_kept_unused_is_known_to_be_idle() {
+fn a_connection_pooled_without_use_counts_as_idle() {
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
@@ -45,26 +53,26 @@
     assert!(peer.read_request().is_some());
     eventually("a connect that hangs", || slow.pending_connects() == 1);
     peer.write(b"HTTP/1.1 429 Wait\r\nRetry-After: 3.9\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    assert!(peer.read_request().is_none(), "it has read the answer, and closes");
+    assert!(peer.read_request().is_none(), "the dispatcher has read the response and closes");
     slow.accept_connects();
-    let mut kept = slow.accept();
-    let mut gone = quick.host("quick", 7);
-    gone["health"] = "draining".into();
-    platform.push(2, &[gone]);
-    // Both run out within the wait; the unsafe one is all that is left when it is over.
-    eventually("their ends", || ["m1", "m2"].iter().all(|id| platform.told(id) == ["handed_back"]));
+    let mut pooled = slow.accept();
+    let mut draining = quick.host("quick", 7);
+    draining["health"] = "draining".into();
+    platform.push(2, &[draining]);
+    // Both messages expire before the Retry-After is over; only the unsafe message remains after it.
+    eventually("the notices of both", || ["m1", "m2"].iter().all(|id| platform.told(id) == ["handed_back"]));
     assert_eq!(client.hand_in("unsafe", "u", 7, 15_000, b"x").status(), 202);
-    let mut anew = slow.accept();
+    let mut new_connection = slow.accept();
     assert!(
-        anew.read_request().is_some_and(|request| request.contains("u\r\n")),
-        "on a connection of its own"
+        new_connection.read_request().is_some_and(|request| request.contains("u\r\n")),
+        "the unsafe message is sent on a new connection"
     );
-    assert!(kept.read_request().is_none(), "the one that was idle is closed");
+    assert!(pooled.read_request().is_none(), "the idle connection is closed");
 }
 
-/// A keyed message may have run; its second call's connection comes up only when the memory of its key is over.
+/// A keyed message may have run; the connection for its second attempt is established only after its repeat window.
 #[test]
-fn a_key_that_is_forgotten_while_a_connection_comes_up_is_not_sent_again() {
+fn a_keyed_message_is_not_repeated_if_its_window_ends_while_connecting() {
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[quick.host("quick", 7)]);
@@ -74,29 +82,29 @@
     assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
     let mut peer = quick.accept();
     assert!(peer.read_request().is_some());
-    let ran = Instant::now();
-    // The next call can go nowhere else.
-    let mut gone = quick.host("quick", 7);
-    gone["health"] = "draining".into();
-    platform.push(2, &[gone, slow.host("slow", 7), held(8)]);
+    let called_at = Instant::now();
+    // The next attempt can only go to the slow endpoint.
+    let mut draining = quick.host("quick", 7);
+    draining["health"] = "draining".into();
+    platform.push(2, &[draining, slow.host("slow", 7), held(8)]);
     dispatcher.hand_in_once_listed("safe", "other", 8);
-    // It is tried again within the memory, which is over 2 s after the first call; a connect is repeated after 1 s.
-    eventually("some time", || ran.elapsed() > Duration::from_millis(1400));
+    // The retry starts within the repeat window, which ends 2 s after the first call; a SYN is repeated after 1 s.
+    eventually("the time before the retry", || called_at.elapsed() > Duration::from_millis(1400));
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
     eventually("a connect that hangs", || slow.pending_connects() == 1);
-    eventually("the end of the key's memory", || ran.elapsed() > Duration::from_millis(2010));
+    eventually("the end of the repeat window", || called_at.elapsed() > Duration::from_millis(2010));
     slow.accept_connects();
-    let served = slow.serve();
-    let called = || served.requests().iter().any(|call| call.contains("m1"));
-    eventually("its end", || !platform.told("m1").is_empty() || called());
-    assert_eq!(served.connections(), 1, "the connection came up");
-    assert!(!called(), "sent again {:?} after it may have run", ran.elapsed());
+    let received = slow.serve();
+    let was_resent = || received.requests().iter().any(|call| call.contains("m1"));
+    eventually("its notice or its second call", || !platform.told("m1").is_empty() || was_resent());
+    assert_eq!(received.connections(), 1, "the connection was established");
+    assert!(!was_resent(), "sent again {:?} after it may have run", called_at.elapsed());
     assert_eq!(platform.told("m1"), ["handed_back"]);
 }
 
-/// The end of a client's sending stands behind its request before the request is read.
+/// A client closes its sending side (half-close) behind a request before the dispatcher reads that request.
 #[test]
-fn a_client_that_ends_its_sending_hears_that_nothing_was_taken() {
+fn a_half_closed_client_is_told_that_its_message_was_rejected() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
@@ -107,45 +115,51 @@
     client.end_sending();
     dispatcher.signal("CONT");
     let answer = client.answer();
-    assert_eq!(answer.status(), 503, "whether it is there still can't be known");
+    assert_eq!(answer.status(), 503, "the dispatcher can't know whether the client still reads");
     assert!(answer.header("retry-after").is_some());
     assert!(client.closes());
     assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-    eventually("the others' calls", || endpoint.ids().contains(&"after".to_string()));
+    eventually("the later message", || endpoint.ids().contains(&"after".to_string()));
     assert!(!endpoint.ids().contains(&"half".to_string()));
 }
 
-/// The head of an answer comes shortly before its message's time is up, and its body never.
+/// The head of a response arrives shortly before the deadline of its message, and its body never arrives.
 #[test]
-fn a_body_that_stalls_past_its_messages_time_makes_no_notice_late() {
-    const TIME: Duration = Duration::from_millis(1500);
-    let (stalls, silent) = (ManualEndpoint::start(), ManualEndpoint::start());
+fn a_response_body_that_stalls_past_the_deadline_delays_no_notice() {
+    const TIMEOUT: Duration = Duration::from_millis(1500);
+    let (stalling, silent) = (ManualEndpoint::start(), ManualEndpoint::start());
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[stalls.host("a", 7), silent.host("b", 8)]);
+    let dispatcher = Dispatcher::started(&platform, &[stalling.host("a", 7), silent.host("b", 8)]);
     let mut client = dispatcher.connect();
-    let handed = Instant::now();
-    for (id, dest) in [("stalls", 7), ("silent", 8)] {
-        assert_eq!(client.hand_in("unsafe", id, dest, TIME.as_millis() as u32, b"x").status(), 202);
+    let sent_at = Instant::now();
+    for (id, destination) in [("stalls", 7), ("silent", 8)] {
+        assert_eq!(client.hand_in("unsafe", id, destination, TIMEOUT.as_millis() as u32, b"x").status(), 202);
     }
-    let (mut peer, mut other) = (stalls.accept(), silent.accept());
-    assert!(peer.read_request().is_some() && other.read_request().is_some());
-    eventually("almost the end", || handed.elapsed() > TIME - Duration::from_millis(150));
+    let (mut peer, mut silent_peer) = (stalling.accept(), silent.accept());
+    assert!(peer.read_request().is_some() && silent_peer.read_request().is_some());
+    eventually("the time shortly before the deadline", || {
+        sent_at.elapsed() > TIMEOUT - Duration::from_millis(150)
+    });
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 5\r\n\r\n");
-    // Both ends are due at the same time.
-    let (mut times, begun) = ([None; 2], Instant::now());
+    // Both notices are due at the same time.
+    let (mut times, wait_started_at) = ([None; 2], Instant::now());
     eventually("both notices", || {
         for (time, id) in times.iter_mut().zip(["stalls", "silent"]) {
-            *time = time.or_else(|| (platform.told(id) == ["given_up"]).then(|| begun.elapsed()));
+            *time = time.or_else(|| (platform.told(id) == ["given_up"]).then(|| wait_started_at.elapsed()));
         }
         times.iter().all(Option::is_some)
     });
-    let late = times[0].unwrap().saturating_sub(times[1].unwrap());
-    assert!(late < Duration::from_millis(100), "{late:?} after that of a call that is never answered");
+    let delay = times[0].unwrap().saturating_sub(times[1].unwrap());
+    assert!(
+        delay < Duration::from_millis(100),
+        "{delay:?} after the notice of a call that is never answered"
+    );
 }
 
-/// The process is killed while the connection of a call is coming up: its message was found untried, and is tried.
+/// The process is killed while it establishes the connection for a call. The next process finds the message without an
+/// attempt and sends it, even though the message is unsafe.
 #[test]
-fn a_kill_while_a_connection_comes_up_leaves_its_message_untried() {
+fn a_kill_while_connecting_leaves_the_message_unattempted() {
     let (slow, platform) = (ManualEndpoint::with_full_backlog(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
@@ -156,6 +170,6 @@
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("its end", || !endpoint.seen().is_empty() || !platform.told("u").is_empty());
-    assert_eq!(endpoint.ids(), ["u"], "it never ran: {:?}", platform.notices());
+    eventually("its call or its notice", || !endpoint.seen().is_empty() || !platform.told("u").is_empty());
+    assert_eq!(endpoint.ids(), ["u"], "the message was not delivered: {:?}", platform.notices());
 }
--- a/crates/fawnspoke/tests/sockets/reload.rs
+++ b/crates/fawnspoke/tests/sockets/reload.rs
@@ -3,7 +3,7 @@
 use crate::support::*;
 
 #[test]
-fn discovery_moves_under_traffic() {
+fn discovery_address_changes_under_traffic() {
     let endpoint = Endpoint::start(|_, request| match request.header("request-id") {
         Some(id) if id.starts_with("broken") => Reply::Break,
         _ => Reply::status(200),
@@ -11,7 +11,7 @@
     let (old, new) = (Platform::start(), Platform::start());
     let mut dispatcher = Dispatcher::started(&old, &[endpoint.host("e", 7, "up")]);
     eventually("the first watch", || old.watched_from().len() == 1);
-    // A notice that the old address never answers is owed to the new one.
+    // A notice that the old address doesn't acknowledge is sent to the new address.
     old.answer(500);
     assert_eq!(dispatcher.hand_in("unsafe", "broken-1", 7), 202);
     eventually("the notice at the old address", || !old.told("broken-1").is_empty());
@@ -27,17 +27,19 @@
     }
     eventually("the notice at the new address", || new.told("broken-1") == ["given_up"]);
     eventually("the watch at the new address", || new.watched_from().len() == 1);
-    assert!(new.watched_from()[0].contains("index=1 "), "it goes on from the version that is known");
+    assert!(new.watched_from()[0].contains("index=1 "), "the watch resumes from the last known version");
     assert!(dispatcher.logged("restart for settings.limits.open_cap"));
     let later = Endpoint::start(|_, _| Reply::status(200));
     new.push(2, &[later.host("later", 8, "up")]);
     dispatcher.hand_in_once_listed("safe", "by-new-list", 8);
     eventually("the call by the new list", || later.ids() == ["by-new-list"]);
-    eventually("all that was taken", || (0..10).all(|i| endpoint.ids().contains(&format!("m{i}"))));
+    eventually("the calls of all accepted messages", || {
+        (0..10).all(|i| endpoint.ids().contains(&format!("m{i}")))
+    });
 }
 
 #[test]
-fn a_file_that_cannot_be_read_changes_nothing() {
+fn an_invalid_configuration_file_changes_nothing() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let mut dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     eventually("the watch", || platform.watched_from().len() == 1);
@@ -52,5 +54,5 @@
     platform.push(2, &[endpoint.host("e", 8, "up")]);
     dispatcher.hand_in_once_listed("safe", "m1", 8);
     eventually("the call", || endpoint.ids() == ["m1"]);
-    assert_eq!(platform.watched_from().len(), 1, "the watch went on");
+    assert_eq!(platform.watched_from().len(), 1, "the watch stayed open");
 }
--- a/crates/fawnspoke/tests/sockets/settings.rs
+++ b/crates/fawnspoke/tests/sockets/settings.rs
@@ -1,10 +1,10 @@
-//! Settings far from any deployment: refused with one line that names the key, or served.
+//! Settings with unusual values: each is rejected with one line that names its key, or the dispatcher serves with it.
 
 use crate::support::*;
 use serde_json::{Value, json};
 use std::process::Stdio;
 
-/// Keys of the configuration and, where it is called otherwise there, what the line has to name.
+/// Keys of the configuration, as JSON pointers. The error line has to contain the last segment.
 const KEYS: [&str; 38] = [
     "/limits/memory_mb",
     "/limits/sockets",
@@ -46,7 +46,7 @@
     "/settings/safety/tip_multiple",
 ];
 
-fn odd() -> [Value; 9] {
+fn unusual_values() -> [Value; 9] {
     let text = "safe";
     [
         json!(null),
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn each_odd_value_is_refused_by_its_key_or_served() {
+fn each_unusual_value_is_rejected_by_its_key_or_served() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     let good = dispatcher.config.clone();
-    let (mut refused, mut served) = (0, 0);
+    let (mut rejected, mut served) = (0, 0);
     for key in KEYS {
-        for value in odd() {
+        for value in unusual_values() {
             let case = format!("{key} = {value}");
             dispatcher.config = good.clone();
             *dispatcher.config.pointer_mut(key).expect(key) = value;
@@ -77,30 +77,34 @@
             if let Err(line) = fawnspoke_node::check(&file) {
                 let name = key.rsplit('/').next().unwrap();
                 assert!(line.lines().count() == 1 && line.contains(name), "{case}: {line}");
-                refused += 1;
+                rejected += 1;
                 continue;
             }
             dispatcher.start();
-            // Whatever the answer is, there is one, and the process lives on.
+            // Any of these responses is correct; no response or the end of the process is not.
             for id in ["a", "b"] {
                 let status =
                     dispatcher.connect().hand_in("safe", &format!("{id}-{served}"), 7, 400, b"x").status();
                 assert!([202, 400, 404, 503].contains(&status), "{case}: {status}");
             }
             dispatcher.signal("TERM");
-            assert!(dispatcher.wait(), "{case}: it ends well: {:?}", dispatcher.log());
+            assert!(
+                dispatcher.wait(),
+                "{case}: the process did not exit successfully: {:?}",
+                dispatcher.log()
+            );
             served += 1;
         }
     }
-    assert!(refused > 100 && served > 50, "{refused} refused, {served} served");
+    assert!(rejected > 100 && served > 50, "{rejected} rejected, {served} served");
 }
 
 #[test]
-fn what_is_refused_ends_the_start_with_one_line_and_exit_code_2() {
+fn a_rejected_setting_ends_the_startup_with_one_line_and_exit_code_2() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[]);
     let good = dispatcher.config.clone();
-    for (key, value, named) in [
+    for (key, value, expected) in [
         ("/settings/tick", json!(1e-12), "settings.tick"),
         ("/settings/limits/keepalive", json!(1e300), "settings.limits.keepalive"),
         ("/settings/limits/max_retry_after", json!(-1), "settings.limits.max_retry_after"),
@@ -113,16 +117,17 @@
         let output = dispatcher.command().stderr(Stdio::piped()).output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(2), "{text}");
-        assert!(text.lines().count() == 1 && text.contains(named), "{named}: {text}");
+        assert!(text.lines().count() == 1 && text.contains(expected), "{expected}: {text}");
     }
 }
 
-/// Names like the dispatcher's own paths, effects, times and sizes of all kinds: each class is served.
+/// Valid configurations far apart: class names equal to the dispatcher's own paths, each effect, short and long
+/// deadlines, small and large limits. Every class is served.
 #[test]
-fn each_deployment_of_the_form_is_served() {
+fn each_valid_configuration_is_served() {
     let names = ["health", "stats", "status", "ready", "live", "registry", "A-b_c.d~9", "0", "capture.v2"];
     let effects = ["read_like", "idempotency_key", "non_idempotent"];
-    let mut called = 0;
+    let mut delivered = 0;
     for case in 0..9 {
         let endpoint = Endpoint::start(|_, _| Reply::status(200));
         let platform = Platform::start();
@@ -130,10 +135,10 @@
         let class = |i: usize| {
             let deadline = [0.9, 2.4, 30.0, 3600.0][(case + i) % 4];
             let (name, effect) = (names[(case + i) % names.len()], effects[(case + i) % 3]);
-            let (worth, group) = ([0.0, 0.5, 8.0][case % 3], ["all", "zone"][i % 2]);
-            let (late, window) = ((case % 2) as f64, 0.5 + case as f64);
-            json!({"name": name, "deadline": deadline, "effect": effect, "gain": worth, "goal_time": deadline / 3.0,
-                "group": group, "late_share": late, "repeat_window": window, "stream": false})
+            let (gain, group) = ([0.0, 0.5, 8.0][case % 3], ["all", "zone"][i % 2]);
+            let (late_share, repeat_window) = ((case % 2) as f64, 0.5 + case as f64);
+            json!({"name": name, "deadline": deadline, "effect": effect, "gain": gain, "goal_time": deadline / 3.0,
+                "group": group, "late_share": late_share, "repeat_window": repeat_window, "stream": false})
         };
         let settings = &mut dispatcher.config["settings"];
         settings["grades"] = json!([class(0), class(1), class(2)]);
@@ -149,11 +154,13 @@
             let name = names[(case + i) % names.len()];
             let status = client.hand_in(name, &format!("m{i}"), 7, 900, b"x").status();
             assert_eq!(status, 202, "case {case}: {name}");
-            // One of 300 dispatchers may not have its turn at a place of one call a second within a short life.
+            // With 300 dispatchers, this one may get no call to an endpoint of one call a second before the deadline.
             let id = format!("m{i}");
-            eventually("its end", || endpoint.ids().contains(&id) || !platform.told(&id).is_empty());
-            called += usize::from(endpoint.ids().contains(&id));
+            eventually("its delivery or its notice", || {
+                endpoint.ids().contains(&id) || !platform.told(&id).is_empty()
+            });
+            delivered += usize::from(endpoint.ids().contains(&id));
         }
     }
-    assert!(called >= 15, "{called} of 27 were called");
+    assert!(delivered >= 15, "{delivered} of 27 were delivered");
 }
--- a/crates/fawnspoke/tests/sockets/shutdown.rs
+++ b/crates/fawnspoke/tests/sockets/shutdown.rs
@@ -1,42 +1,42 @@
-//! SIGTERM: what is still taken on, what has its answer before the end, and how connections close.
+//! SIGTERM: which messages are still accepted, which are settled before the process ends, and how connections close.
 
 use crate::manual_endpoint::{ManualEndpoint, Peer};
 use crate::support::*;
 use std::time::Duration;
 
-/// A dispatcher that stays for as long as its one call is out, once it is told to stop; nothing may go to destination 8.
-fn with_a_call_out() -> (ManualEndpoint, Peer, Platform, Dispatcher) {
-    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[gated.host("e", 7), held(8)]);
-    assert_eq!(dispatcher.hand_in("safe", "out", 7), 202);
-    let mut peer = gated.accept();
+/// A dispatcher that keeps running after SIGTERM while its one call is in flight. Destination 8 has no available endpoint.
+fn with_call_in_flight() -> (ManualEndpoint, Peer, Platform, Dispatcher) {
+    let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
+    let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7), held(8)]);
+    assert_eq!(dispatcher.hand_in("safe", "in-flight", 7), 202);
+    let mut peer = endpoint.accept();
     assert!(peer.read_request().is_some());
-    (gated, peer, platform, dispatcher)
+    (endpoint, peer, platform, dispatcher)
 }
 
-fn told(dispatcher: &Dispatcher) {
+fn request_shutdown(dispatcher: &Dispatcher) {
     dispatcher.signal("TERM");
-    eventually("that it heard", || dispatcher.logged("told to stop"));
+    eventually("the shutdown to begin", || dispatcher.logged("told to stop"));
 }
 
 #[test]
-fn what_can_neither_go_nor_live_until_the_next_life_is_refused() {
-    let (gated, mut peer, platform, mut dispatcher) = with_a_call_out();
-    told(&dispatcher);
-    // Nothing may go to destination 8.
+fn messages_that_expire_before_the_next_process_can_send_them_are_rejected() {
+    let (manual_endpoint, mut peer, platform, mut dispatcher) = with_call_in_flight();
+    request_shutdown(&dispatcher);
+    // Destination 8 has no available endpoint.
     let answer = dispatcher.connect().hand_in("safe", "short", 8, 4000, b"x");
-    assert_eq!(answer.status(), 503, "it would be held for a life that comes too late");
+    assert_eq!(answer.status(), 503, "it would expire before the next process starts");
     assert!(answer.header("retry-after").is_some_and(|s| s.parse::<f64>().is_ok_and(|s| s > 0.0)));
     assert_eq!(dispatcher.connect().hand_in("safe", "long", 8, 19_000, b"x").status(), 202);
-    // What can go at once is taken, however short its time.
+    // A message that can be sent at once is accepted, however short its timeout.
     assert_eq!(dispatcher.connect().hand_in("safe", "quick", 7, 2500, b"x").status(), 202);
-    let mut other = gated.accept();
+    let mut other = manual_endpoint.accept();
     assert!(other.read_request().is_some_and(|request| request.contains("quick")));
     for peer in [&mut peer, &mut other] {
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     }
     assert!(dispatcher.wait());
-    // The next life tries what it finds.
+    // The next process sends the message that was left in the journal.
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("late", 8, "up")]);
     dispatcher.start();
@@ -45,84 +45,92 @@
 }
 
 #[test]
-fn what_would_run_out_before_the_next_life_has_its_answer_in_this_one() {
-    let (_gated, _peer, platform, mut dispatcher) = with_a_call_out();
+fn messages_that_expire_before_the_next_process_starts_are_handed_back() {
+    let (_endpoint, _peer, platform, mut dispatcher) = with_call_in_flight();
     assert_eq!(dispatcher.connect().hand_in("unsafe", "short", 8, 4500, b"x").status(), 202);
     assert_eq!(dispatcher.connect().hand_in("safe", "long", 8, 19_000, b"x").status(), 202);
-    told(&dispatcher);
+    request_shutdown(&dispatcher);
     assert!(dispatcher.wait());
-    assert_eq!(platform.told("short"), ["handed_back"], "with its time over once another life begins");
+    assert_eq!(
+        platform.told("short"),
+        ["handed_back"],
+        "it would have expired before the next process starts"
+    );
     assert!(platform.told("long").is_empty());
 }
 
-/// A client keeps its connection; the process stays for a call that is out.
+/// A client keeps its connection open while the process keeps running for a call in flight.
 #[test]
-fn kept_connections_close_while_somebody_listens_still() {
-    let (_gated, mut peer, _platform, mut dispatcher) = with_a_call_out();
-    let mut kept = dispatcher.connect();
-    assert_eq!(kept.hand_in("safe", "held", 8, 15_000, b"x").status(), 202);
-    told(&dispatcher);
-    assert!(kept.closes(), "an idle connection ends, or its client would send on it up to the kill");
-    // The call is given up 2 s after it began, and the process ends after that.
-    assert!(peer.is_open_and_quiet(), "it ends long before the process does");
-    // A request that had crossed the close comes once more, on a new connection, which is accepted before its first byte
-    // comes: one that was opened later has its answer already.
-    let mut anew = dispatcher.connect();
-    let mut later = dispatcher.connect();
-    later.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-    assert_eq!(later.answer().status(), 503);
-    let again = anew.hand_in("safe", "again", 7, 15_000, b"x");
-    assert_eq!((again.status(), again.header("connection")), (202, Some("close")));
+fn idle_connections_close_while_new_ones_are_still_accepted() {
+    let (_endpoint, mut peer, _platform, mut dispatcher) = with_call_in_flight();
+    let mut persistent = dispatcher.connect();
+    assert_eq!(persistent.hand_in("safe", "queued", 8, 15_000, b"x").status(), 202);
+    request_shutdown(&dispatcher);
+    assert!(
+        persistent.closes(),
+        "an idle connection is closed, or its client would send on it until the kill"
+    );
+    // The call is aborted 2 s after it began, and the process ends after that.
+    assert!(peer.is_open_and_quiet(), "the connection closes long before the process ends");
+    // A request that crossed the close is sent again on a new connection. That connection is accepted before its first
+    // byte arrives: one that was opened later has its response already.
+    let mut new_connection = dispatcher.connect();
+    let mut later_connection = dispatcher.connect();
+    later_connection.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+    assert_eq!(later_connection.answer().status(), 503);
+    let repeated = new_connection.hand_in("safe", "again", 7, 15_000, b"x");
+    assert_eq!((repeated.status(), repeated.header("connection")), (202, Some("close")));
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert!(dispatcher.wait());
 }
 
-/// A request has begun when the last call ends; its last byte comes only then.
+/// A client has sent part of a request when the last call ends, and sends its last byte only after that.
 #[test]
-fn a_request_that_has_begun_has_its_answer_before_the_end() {
-    let (_gated, mut peer, _platform, mut dispatcher) = with_a_call_out();
+fn a_request_that_has_begun_is_answered_before_the_process_ends() {
+    let (_endpoint, mut peer, _platform, mut dispatcher) = with_call_in_flight();
     let mut client = dispatcher.connect();
     client.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().status(), 200);
-    let mut slow = dispatcher.connect();
-    told(&dispatcher);
-    slow.write(
+    let mut slow_client = dispatcher.connect();
+    request_shutdown(&dispatcher);
+    slow_client.write(
         b"POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: slow\r\nRequest-Class: safe\r\nX-Consignee: dest=8\r\n\
           Request-Timeout-Ms: 2000\r\nContent-Length: 2\r\n\r\nx",
     );
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     assert!(client.closes());
-    // Longer than the process stays with nothing to do, and shorter than it may stay at all.
+    // Longer than an idle process keeps running, and shorter than the longest shutdown.
     std::thread::sleep(Duration::from_millis(900));
-    slow.write(b"x");
-    assert_eq!(slow.answer().status(), 503, "not taken: its time would be over");
+    slow_client.write(b"x");
+    assert_eq!(slow_client.answer().status(), 503, "rejected: it would have expired");
     assert!(dispatcher.wait());
 }
 
-/// One slot; a kill leaves some untried; in the next life fresh messages come before the first of them is answered.
+/// With one call slot, a kill leaves messages without an attempt. The next process receives fresh messages before the
+/// first of them is answered.
 #[test]
-fn what_a_kill_leaves_untried_is_tried_before_fresh_ones() {
-    let (gated, platform) = (ManualEndpoint::start(), Platform::start());
+fn messages_left_unattempted_by_a_kill_are_sent_before_fresh_ones() {
+    let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[held(7)]);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 1.into();
     dispatcher.start();
     for number in 0..5 {
-        assert_eq!(dispatcher.hand_in("safe", &format!("found{number}"), 7), 202);
+        assert_eq!(dispatcher.hand_in("safe", &format!("recovered{number}"), 7), 202);
     }
     dispatcher.kill();
-    dispatcher.config["known"]["hosts"] = serde_json::json!([gated.host("e", 7)]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7)]);
     dispatcher.start();
-    let mut peer = gated.accept();
+    let mut peer = endpoint.accept();
     let mut calls = vec![peer.read_request().expect("the first call")];
     for number in 0..5 {
         assert_eq!(dispatcher.hand_in("safe", &format!("fresh{number}"), 7), 202);
     }
     while calls.len() < 10 {
         peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        calls.push(peer.read_request().expect("a call on the connection that is kept"));
+        calls.push(peer.read_request().expect("a call on the reused connection"));
     }
     peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-    let first = |word: &str| calls.iter().position(|call| call.contains(word));
-    let last = calls.iter().rposition(|call| call.contains("found"));
-    assert!(last < first("fresh"), "{:?} {:?}", last, first("fresh"));
+    let first_position = |id_prefix: &str| calls.iter().position(|call| call.contains(id_prefix));
+    let last_recovered = calls.iter().rposition(|call| call.contains("recovered"));
+    assert!(last_recovered < first_position("fresh"), "{:?} {:?}", last_recovered, first_position("fresh"));
 }
--- a/crates/fawnspoke/tests/sockets/watch.rs
+++ b/crates/fawnspoke/tests/sockets/watch.rs
@@ -1,13 +1,14 @@
-//! The watch on the list: how it is written, where it breaks off, what opens it anew.
+//! The watch (a streaming request) on discovery's list: how updates are split, where the stream breaks off, and what
+//! makes the dispatcher reconnect.
 
 use crate::manual_endpoint::{ManualEndpoint, Peer};
 use crate::support::*;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn chunk(peer: &mut Peer, text: &str) {
+fn write_chunk(peer: &mut Peer, text: &str) {
     peer.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
 }
 
@@ -15,79 +16,85 @@
     json!({"seq": seq, "whole": false, "hosts": hosts})
 }
 
-/// A dispatcher whose discovery does what the test says, and its first watch.
-fn watched(known: &[Value]) -> (ManualEndpoint, Dispatcher, Peer) {
+/// A dispatcher with a manually driven discovery service, and the connection of its first watch.
+fn start_with_watch(known: &[Value]) -> (ManualEndpoint, Dispatcher, Peer) {
     let (discovery, platform) = (ManualEndpoint::start(), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, known);
-    dispatcher.config["discovery"] = discovery.at.to_string().into();
+    dispatcher.config["discovery"] = discovery.address.to_string().into();
     dispatcher.start();
     let mut watch = discovery.accept();
     assert!(watch.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")));
-    watch.write(HEAD);
+    watch.write(RESPONSE_HEAD);
     (discovery, dispatcher, watch)
 }
 
 #[test]
-fn an_indented_list_is_read_however_it_is_cut() {
+fn an_indented_list_is_read_however_it_is_split() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
-    let (_discovery, dispatcher, mut watch) = watched(&[]);
+    let (_discovery, dispatcher, mut watch) = start_with_watch(&[]);
     let text = serde_json::to_string_pretty(&list(2, &[endpoint.host("e", 7, "up")])).unwrap();
-    // In pieces of a few bytes, with line ends inside and none behind.
-    for piece in text.as_bytes().chunks(7) {
-        chunk(&mut watch, std::str::from_utf8(piece).unwrap());
+    // In chunks of a few bytes, with line ends inside the list and none at its end.
+    for part in text.as_bytes().chunks(7) {
+        write_chunk(&mut watch, std::str::from_utf8(part).unwrap());
     }
     dispatcher.hand_in_once_listed("safe", "m1", 7);
-    eventually("its call", || endpoint.ids().contains(&"m1".to_string()));
-    // Two in one piece, and the beginning of a third.
-    let more = list(3, &[endpoint.host("e", 7, "draining")]).to_string()
+    eventually("the call by the split list", || endpoint.ids().contains(&"m1".to_string()));
+    // Two lists in one chunk, and the beginning of a third.
+    let next_lists = list(3, &[endpoint.host("e", 7, "draining")]).to_string()
         + &serde_json::to_string_pretty(&list(4, &[held(8)])).unwrap()
         + "\r\n {\"seq\":5,";
-    chunk(&mut watch, &more);
+    write_chunk(&mut watch, &next_lists);
     dispatcher.hand_in_once_listed("safe", "m2", 8);
     assert_eq!(dispatcher.hand_in("safe", "m3", 7), 202);
-    chunk(
+    write_chunk(
         &mut watch,
         &(r#""whole":false,"hosts":["#.to_string() + &endpoint.host("e", 8, "up").to_string() + "]}"),
     );
-    eventually("the call of what waited for the third", || endpoint.ids().contains(&"m2".to_string()));
-    assert!(!endpoint.ids().contains(&"m3".to_string()), "it drained before m3 was taken");
+    eventually("the call of the message that waited for the third list", || {
+        endpoint.ids().contains(&"m2".to_string())
+    });
+    assert!(!endpoint.ids().contains(&"m3".to_string()), "the endpoint was draining before m3 was accepted");
 }
 
-/// The next watch, while heartbeats go on at the one before: its silence does not end it.
-fn anew(discovery: &ManualEndpoint, watch: &mut Peer) -> Peer {
-    let begun = Instant::now();
+/// Accepts the next watch. Heartbeats continue on the old one, so that the dispatcher doesn't reconnect because of its
+/// silence.
+fn accept_next_watch(discovery: &ManualEndpoint, watch: &mut Peer) -> Peer {
+    let started_at = Instant::now();
     loop {
         if let Some(peer) = discovery.accept_within(Duration::from_millis(100)) {
             return peer;
         }
-        assert!(begun.elapsed() < Duration::from_secs(20), "the old watch is kept");
-        // Once it is given up nobody reads it.
+        assert!(started_at.elapsed() < Duration::from_secs(20), "the dispatcher kept the old watch");
+        // Fails once the dispatcher has closed the old watch.
         let _ = watch.try_write(b"1\r\n\n\r\n");
     }
 }
 
-/// A list breaks off in the middle; heartbeats go on behind it.
+/// A list breaks off in the middle; heartbeats follow it.
 #[test]
-fn a_list_that_breaks_off_opens_the_watch_anew() {
-    let (discovery, _dispatcher, mut watch) = watched(&[held(7)]);
-    chunk(&mut watch, "{\"seq\":2,\"whole\":false,\"hosts\":[\n");
-    let mut anew = anew(&discovery, &mut watch);
+fn a_truncated_list_reopens_the_watch() {
+    let (discovery, _dispatcher, mut watch) = start_with_watch(&[held(7)]);
+    write_chunk(&mut watch, "{\"seq\":2,\"whole\":false,\"hosts\":[\n");
+    let mut next_watch = accept_next_watch(&discovery, &mut watch);
     assert!(
-        anew.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")),
-        "nothing of it counts"
+        next_watch.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")),
+        "no part of the truncated list is applied"
     );
 }
 
-/// What can't be read as a list comes, and heartbeats go on behind it.
+/// An invalid list arrives; heartbeats follow it.
 #[test]
-fn what_is_no_list_opens_the_watch_anew_and_leaves_the_list() {
+fn an_invalid_list_reopens_the_watch_and_keeps_the_current_list() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
-    let wrongs = ["{\"seq\":2,\"whole\":true,\"hosts\":7}\n", "{\"seq\":2]\n", "7\n"];
-    for (number, wrong) in wrongs.into_iter().enumerate() {
-        let (discovery, dispatcher, mut watch) = watched(&[endpoint.host("e", 7, "up")]);
-        chunk(&mut watch, wrong);
-        let mut anew = anew(&discovery, &mut watch);
-        assert!(anew.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")), "{wrong}");
+    let invalid_lists = ["{\"seq\":2,\"whole\":true,\"hosts\":7}\n", "{\"seq\":2]\n", "7\n"];
+    for (number, invalid_list) in invalid_lists.into_iter().enumerate() {
+        let (discovery, dispatcher, mut watch) = start_with_watch(&[endpoint.host("e", 7, "up")]);
+        write_chunk(&mut watch, invalid_list);
+        let mut next_watch = accept_next_watch(&discovery, &mut watch);
+        assert!(
+            next_watch.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")),
+            "{invalid_list}"
+        );
         assert_eq!(dispatcher.hand_in("safe", &format!("m{number}"), 7), 202);
         eventually("its call", || endpoint.ids().contains(&format!("m{number}")));
     }
