--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -6,7 +6,7 @@
 use fawnspoke_control::client;
 use fawnspoke_control::protocol::{Request, Response};
 use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
-use fawnspoke_lab::bench::Settings;
+use fawnspoke_lab::bench::BenchSettings;
 use fawnspoke_lab::command;
 use std::io::{BufWriter, ErrorKind, Write};
 use std::net::SocketAddr;
@@ -256,10 +256,10 @@
     if (0.001..=60.0).contains(&number) { Ok(number) } else { Err("must lie between 0.001 and 60".into()) }
 }
 
-impl From<Play> for command::Play {
-    fn from(play: Play) -> command::Play {
+impl From<Play> for command::PlayOptions {
+    fn from(play: Play) -> command::PlayOptions {
         let Play { seed, seeds, broken, program, record, logs } = play;
-        command::Play { seed, seeds, broken, program, record, logs }
+        command::PlayOptions { seed, seeds, naive_fault: broken, program, record, logs }
     }
 }
 
@@ -277,15 +277,17 @@
         Command::Lab(Lab::Audit { record }) => command::audit(&record),
         Command::Lab(Lab::Bench { seconds, body, connections, slots, tick_ms, program }) => {
             let (body, connections, slots) = (body as usize, connections as usize, slots as usize);
-            command::bench(&Settings { seconds, body, connections, slots, tick_ms, program })
+            command::bench(&BenchSettings { seconds, body, connections, slots, tick_ms, program })
         }
         Command::Lab(Lab::Fleet { logs, every }) => command::fleet(&logs, every),
         Command::Lab(Lab::Losses { logs, before, json }) => command::losses(&logs, before.as_deref(), json),
-        Command::Lab(Lab::HandingOn { terms, times }) => command::handing_on(&terms, times as usize),
+        Command::Lab(Lab::HandingOn { terms, times }) => {
+            command::measure_duty_failover(&terms, times as usize)
+        }
         Command::Lab(Lab::Tries { count, out_s, a_second }) => {
-            command::tries(count as usize, out_s, a_second)
+            command::measure_trials(count as usize, out_s, a_second)
         }
-        Command::Lab(Lab::Rest { counts, seconds }) => command::rest(&counts, seconds),
+        Command::Lab(Lab::Rest { counts, seconds }) => command::measure_idle_cost(&counts, seconds),
         Command::Lab(Lab::Proxy { listen, to }) => command::proxy(listen, to),
         Command::Lab(Lab::Naive { fault }) => command::naive(&fault),
         Command::Door(asked) => door(asked),
--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -2,7 +2,7 @@
 //! partition.
 
 use super::*;
-use fawnspoke_lab::history::Line;
+use fawnspoke_lab::history::LogLine;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -15,9 +15,9 @@
     // The killed member restarts as a follower and doesn't regain the duty.
     fleet.members.dispatchers[holder].start();
     eventually("its return to the fleet", || {
-        fleet.members.show(holder).is_some_and(|status| status["leader"].is_string())
+        fleet.members.status(holder).is_some_and(|status| status["leader"].is_string())
     });
-    assert_eq!(fleet.members.holder("keeper").map(|(who, _)| who), Some(next));
+    assert_eq!(fleet.members.duty_holder("keeper").map(|(who, _)| who), Some(next));
     assert_valid_history(&fleet.members);
 }
 
@@ -30,7 +30,7 @@
         fleet.members.dispatchers[holder].signal("STOP");
         let mut acted = None;
         eventually("an action of the next holder", || {
-            acted = fleet.members.acted_after("keeper", epoch);
+            acted = fleet.members.first_action_after("keeper", epoch);
             acted.is_some()
         });
         std::thread::sleep(Duration::from_millis(1200));
@@ -39,7 +39,7 @@
             let histories = fleet.members.histories();
             histories[&format!("n{holder}")]
                 .iter()
-                .any(|line| matches!(line, Line::Given { duty, epoch: given_epoch, .. } if duty == "keeper" && *given_epoch > epoch))
+                .any(|line| matches!(line, LogLine::DutyGranted { duty, epoch: given_epoch, .. } if duty == "keeper" && *given_epoch > epoch))
         });
     }
     assert_valid_history(&fleet.members);
@@ -50,9 +50,11 @@
     let fleet = start_fleet(3, 1);
     for partition in [(true, false), (false, true), (true, true)] {
         let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
-        fleet.members.cut_off(holder, partition);
-        eventually("an action of the next holder", || fleet.members.acted_after("keeper", epoch).is_some());
-        fleet.members.cut_off(holder, (false, false));
+        fleet.members.partition(holder, partition);
+        eventually("an action of the next holder", || {
+            fleet.members.first_action_after("keeper", epoch).is_some()
+        });
+        fleet.members.partition(holder, (false, false));
         eventually("the same leader at all members", || {
             let leaders: Vec<_> = (0..4).map(|i| fleet.members.leader(i)).collect();
             leaders[0].is_some() && leaders.iter().all(|leader| *leader == leaders[0])
@@ -65,14 +67,19 @@
 fn a_broken_link_between_two_of_three_voters_does_not_stop_the_duty() {
     let fleet = start_fleet(3, 0);
     // n0 and n2 can't reach each other; n1 reaches both.
-    fleet.members.between(0, 2, (true, true));
+    fleet.members.set_link_blocked(0, 2, (true, true));
     let (_, epoch) = wait_for_keeper(&fleet.members, 0);
-    let action_count = |members: &Members| {
-        members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
+    let action_count = |members: &TestFleet| {
+        members
+            .histories()
+            .values()
+            .flatten()
+            .filter(|line| matches!(line, LogLine::DutyAction { .. }))
+            .count()
     };
     let before = action_count(&fleet.members);
     eventually("further actions", || action_count(&fleet.members) > before + 20);
-    fleet.members.between(0, 2, (false, false));
+    fleet.members.set_link_blocked(0, 2, (false, false));
     assert!(wait_for_keeper(&fleet.members, 0).1 >= epoch);
     assert_valid_history(&fleet.members);
 }
@@ -81,13 +88,18 @@
 fn a_flapping_partition_breaks_no_lease_and_work_continues() {
     let fleet = start_fleet(3, 0);
     let (holder, _) = wait_for_keeper(&fleet.members, 0);
-    let action_count = |members: &Members| {
-        members.histories().values().flatten().filter(|line| matches!(line, Line::Acted { .. })).count()
+    let action_count = |members: &TestFleet| {
+        members
+            .histories()
+            .values()
+            .flatten()
+            .filter(|line| matches!(line, LogLine::DutyAction { .. }))
+            .count()
     };
     let before = action_count(&fleet.members);
     for _ in 0..10 {
         for partition in [true, false] {
-            fleet.members.cut_off(holder, (partition, partition));
+            fleet.members.partition(holder, (partition, partition));
             std::thread::sleep(Duration::from_millis(300));
         }
     }
@@ -110,7 +122,7 @@
     fleet.members.dispatchers[holder].signal("TERM");
     let mut acted = None;
     eventually("an action of the next holder", || {
-        acted = fleet.members.acted_after("keeper", epoch);
+        acted = fleet.members.first_action_after("keeper", epoch);
         acted.is_some()
     });
     // Expiry of the lease takes a second or more. The time itself is no criterion, because a busy machine may be slow.
@@ -118,7 +130,7 @@
     assert!(fleet.members.dispatchers[holder].wait());
     let released = fleet.members.histories().values().flatten().any(|line| {
         // After an explicit release the duty has no holder for a while.
-        matches!(line, Line::Given { duty, epoch: given_epoch, to, .. } if duty == "keeper" && *given_epoch == epoch + 1 && to == "nobody")
+        matches!(line, LogLine::DutyGranted { duty, epoch: given_epoch, holder, .. } if duty == "keeper" && *given_epoch == epoch + 1 && holder == "nobody")
     });
     assert!(released, "the duty moved by expiry of its lease, after {took:?}");
     assert_valid_history(&fleet.members);
@@ -130,14 +142,14 @@
     let (_, epoch) = wait_for_keeper(&fleet.members, 0);
     fleet.members.dispatchers[1].kill();
     fleet.members.dispatchers[2].kill();
-    eventually("the duty to have no holder", || fleet.members.holder("keeper").is_none());
+    eventually("the duty to have no holder", || fleet.members.duty_holder("keeper").is_none());
     for i in [0, 3] {
         for number in 0..5 {
-            assert_eq!(fleet.members.dispatchers[i].hand_in("keyed", &format!("m{i}-{number}"), 7), 202);
+            assert_eq!(fleet.members.dispatchers[i].submit("keyed", &format!("m{i}-{number}"), 7), 202);
         }
     }
-    eventually("all calls", || fleet.endpoint.seen().len() == 10);
-    assert!(fleet.members.holder("keeper").is_none());
+    eventually("all calls", || fleet.endpoint.requests().len() == 10);
+    assert!(fleet.members.duty_holder("keeper").is_none());
     fleet.members.dispatchers[2].start();
     fleet.members.dispatchers[1].start();
     // The holder may be the same as before: without a majority the duty could not be given to another member.
@@ -153,8 +165,9 @@
     [3, 1, 0, 2].into_iter().for_each(|i| fleet.members.dispatchers[i].start());
     wait_for_keeper(&fleet.members, epoch - 1);
     eventually("all four members to list each other", || {
-        (0..4)
-            .all(|i| fleet.members.show(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4))
+        (0..4).all(|i| {
+            fleet.members.status(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4)
+        })
     });
     assert_valid_history(&fleet.members);
 }
@@ -165,21 +178,21 @@
     for _ in 0..2 {
         for i in 0..3 {
             let mut old = fleet.members.dispatchers[i].upgrade();
-            fleet.members.dispatchers[i].hand_in_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
+            fleet.members.dispatchers[i].submit_once_listed("keyed", &format!("u{i}-{}", old.id()), 7);
             eventually("the new process to be a member", || {
                 fleet
                     .members
-                    .show(i)
+                    .status(i)
                     .is_some_and(|status| status["member"] == true && status["leader"].is_string())
             });
             let _ = old.kill();
             old.wait().expect("the end of the old process");
         }
     }
-    let members = fleet.members.show(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
+    let members = fleet.members.status(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
     assert_eq!(members, 3, "the upgrades created no new instance");
     wait_for_keeper(&fleet.members, 0);
-    eventually("all calls", || fleet.endpoint.seen().len() == 6);
+    eventually("all calls", || fleet.endpoint.requests().len() == 6);
     assert_valid_history(&fleet.members);
 }
 
@@ -187,10 +200,12 @@
 fn links_that_break_within_frames_or_delay_them_cost_only_time() {
     let fleet = start_fleet(3, 1);
     for round in 0..20 {
-        fleet.members.relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
+        fleet
+            .members
+            .update_relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
         std::thread::sleep(Duration::from_millis(100));
     }
-    fleet.members.relays(|way| way.delay_s = 0.0);
+    fleet.members.update_relays(|way| way.delay_s = 0.0);
     wait_for_keeper(&fleet.members, 0);
     assert_valid_history(&fleet.members);
 }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -13,22 +13,22 @@
     let mut fleet = new_fleet(3, 0, settings, || Reply::status(200));
     // Limits each file of this member to 16 blocks of 512 bytes. SIGXFSZ is ignored, so that the write fails instead of
     // ending the process.
-    fleet.members.dispatchers[2].before.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
+    fleet.members.dispatchers[2].shell_prelude.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
     fleet.members.start();
     eventually("the write error of its record", || {
-        fleet.members.dispatchers[2].logged("fleet: the record: ")
+        fleet.members.dispatchers[2].log_contains("fleet: the record: ")
     });
-    assert_eq!(fleet.members.dispatchers[2].hand_in("keyed", "m1", 7), 202);
-    eventually("the call", || fleet.endpoint.ids() == ["m1"]);
+    assert_eq!(fleet.members.dispatchers[2].submit("keyed", "m1", 7), 202);
+    eventually("the call", || fleet.endpoint.message_ids() == ["m1"]);
     let (_, epoch) = wait_for_keeper(&fleet.members, 0);
-    assert!(fleet.members.holder("keeper").is_some_and(|(who, _)| who != 2));
+    assert!(fleet.members.duty_holder("keeper").is_some_and(|(who, _)| who != 2));
     // Without the limit it is a member again.
     fleet.members.dispatchers[2].kill();
-    let shell_prefix = fleet.members.dispatchers[2].before.replace("ulimit -f 16;", "");
-    fleet.members.dispatchers[2].before = shell_prefix;
+    let shell_prefix = fleet.members.dispatchers[2].shell_prelude.replace("ulimit -f 16;", "");
+    fleet.members.dispatchers[2].shell_prelude = shell_prefix;
     fleet.members.dispatchers[2].start();
     eventually("its return to the fleet", || {
-        fleet.members.show(2).is_some_and(|status| status["speaks"] == true && status["leader"].is_string())
+        fleet.members.status(2).is_some_and(|status| status["speaks"] == true && status["leader"].is_string())
     });
     assert!(wait_for_keeper(&fleet.members, epoch - 1).1 >= epoch);
     assert_valid_history(&fleet.members);
@@ -37,12 +37,13 @@
 #[test]
 fn a_peer_with_an_impossible_commit_index_costs_a_second_of_membership() {
     let mut fleet = new_fleet(1, 1, FAST_SETTINGS, || Reply::status(200));
-    fleet.members.found().expect("a founded fleet");
+    fleet.members.bootstrap().expect("a founded fleet");
     fleet.members.dispatchers[0].start();
     let (_, epoch) = wait_for_keeper(&fleet.members, 0);
-    let address = fleet.members.dispatchers[0].members_at().lock().expect("no panic").expect("its address");
+    let address =
+        fleet.members.dispatchers[0].member_address().lock().expect("no panic").expect("its address");
     let instance_id =
-        fleet.members.show(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
+        fleet.members.status(0).expect("a fleet")["birth"].as_str().map(|text| u64::from_str_radix(text, 16));
     let instance = instance_id.expect("an instance id").expect("a hexadecimal number");
     let send = |connection: &mut TcpStream, packet: &[u8]| {
         let bytes = [&(packet.len() as u32).to_be_bytes()[..], packet].concat();
@@ -60,10 +61,10 @@
     let frame = fawnspoke_cluster::wire::Frame::Raft(Box::new(message));
     send(&mut connection, &fawnspoke_frames::encode(&frame).expect("a frame"));
     eventually("the member to reopen its record", || {
-        fleet.members.dispatchers[0].logged("not as its rules have it")
+        fleet.members.dispatchers[0].log_contains("not as its rules have it")
     });
     drop(connection);
-    assert_eq!(fleet.members.dispatchers[0].hand_in("keyed", "m1", 7), 202);
+    assert_eq!(fleet.members.dispatchers[0].submit("keyed", "m1", 7), 202);
     wait_for_keeper(&fleet.members, epoch - 1);
     assert_valid_history(&fleet.members);
 }
@@ -86,7 +87,7 @@
             fleet.members.dispatchers[leader].start();
         }
         eventually("all five members to know a leader", || {
-            (0..5).all(|i| fleet.members.show(i).is_some_and(|status| status["leader"].is_string()))
+            (0..5).all(|i| fleet.members.status(i).is_some_and(|status| status["leader"].is_string()))
         });
     }
     assert_valid_history(&fleet.members);
--- a/crates/fawnspoke/tests/fleet/member_identity.rs
+++ b/crates/fawnspoke/tests/fleet/member_identity.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::process::Command;
 
-fn instance_id(members: &Members, i: usize) -> Option<String> {
-    members.show(i)?["birth"].as_str().map(str::to_string)
+fn instance_id(members: &TestFleet, i: usize) -> Option<String> {
+    members.status(i)?["birth"].as_str().map(str::to_string)
 }
 
 /// Copies the files of a directory.
@@ -23,11 +23,11 @@
     let mut fleet = start_fleet(3, 0);
     let before = instance_id(&fleet.members, 1);
     fleet.members.dispatchers[1].kill();
-    fs::remove_dir_all(fleet.members.dispatchers[1].state().join("fleet")).expect("a folder");
+    fs::remove_dir_all(fleet.members.dispatchers[1].state_dir().join("fleet")).expect("a folder");
     fleet.members.dispatchers[1].start();
     eventually("the new instance as a voter", || {
         let now = instance_id(&fleet.members, 1);
-        let voters = fleet.members.show(0).map(|status| {
+        let voters = fleet.members.status(0).map(|status| {
             let members = status["members"].as_array().cloned().unwrap_or_default();
             let is_new_voter =
                 |m: &&serde_json::Value| m["voter"] == true && m["birth"].as_str() == now.as_deref();
@@ -43,14 +43,14 @@
 fn a_fleet_folder_restored_from_an_older_copy_is_a_new_member() {
     let mut fleet = start_fleet(3, 0);
     let (state, backup) = {
-        let state = fleet.members.dispatchers[2].state();
+        let state = fleet.members.dispatchers[2].state_dir();
         (state.join("fleet"), state.join("aside"))
     };
     let before = instance_id(&fleet.members, 2);
     copy_files(&state, &backup);
     // The member acknowledges more log entries after the copy.
     eventually("more log entries to be applied", || {
-        let status = fleet.members.show(2).unwrap_or_default();
+        let status = fleet.members.status(2).unwrap_or_default();
         status["applied"].as_u64() > Some(40)
     });
     fleet.members.dispatchers[2].kill();
@@ -59,18 +59,18 @@
     fleet.members.dispatchers[2].start();
     eventually("the new instance as a voter", || {
         let now = instance_id(&fleet.members, 2);
-        let status = fleet.members.show(0).unwrap_or_default();
+        let status = fleet.members.status(0).unwrap_or_default();
         let members = status["members"].as_array().cloned().unwrap_or_default();
         now != before && members.iter().any(|m| m["birth"].as_str() == now.as_deref() && m["voter"] == true)
     });
-    assert!(fleet.members.dispatchers[2].logged("older copy"));
+    assert!(fleet.members.dispatchers[2].log_contains("older copy"));
     assert_valid_history(&fleet.members);
 }
 
 #[test]
 fn a_second_process_of_a_fleet_folder_is_not_a_second_member() {
     let fleet = start_fleet(1, 0);
-    let state = fleet.members.dispatchers[0].state();
+    let state = fleet.members.dispatchers[0].state_dir();
     let mut command = fleet.members.dispatchers[0].command();
     // A separate dispatcher, except that its fleet record is a symbolic link to the same folder.
     let other = state.with_file_name("other");
@@ -89,7 +89,7 @@
 #[test]
 fn members_of_another_fleet_and_unknown_members_are_rejected() {
     let fleet = start_fleet(1, 1);
-    let member_address = fleet.members.dispatchers[0].members_at();
+    let member_address = fleet.members.dispatchers[0].member_address();
     let address = member_address.lock().expect("no panic").expect("its address");
     let exchange_hello = |cluster: &str, name: &str, versions: &str| {
         let text = format!(
@@ -124,20 +124,20 @@
     let fleet = new_fleet(1, 0, FAST_SETTINGS, || Reply::status(200));
     let start_with_file = |text: &str| {
         let mut command = fleet.members.dispatchers[0].command();
-        let file = fleet.members.file(0).with_extension("bad");
+        let file = fleet.members.config_file(0).with_extension("bad");
         fs::write(&file, text).expect("a file");
         command.env("FAWNSPOKE_FLEET", &file);
         // The shell command of the test dispatcher sets the valid file, so the program is started directly.
         let config = command.get_envs().find(|(key, _)| *key == "GW_CONFIG").and_then(|(_, value)| value);
         let output = Command::new(env!("CARGO_BIN_EXE_fawnspoke"))
             .env("GW_CONFIG", config.expect("a configuration"))
-            .env("GW_STATE", fleet.members.dispatchers[0].state())
+            .env("GW_STATE", fleet.members.dispatchers[0].state_dir())
             .env("FAWNSPOKE_FLEET", &file)
             .output()
             .expect("a process");
         (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
     };
-    let valid_text = fs::read_to_string(fleet.members.file(0)).expect("a file");
+    let valid_text = fs::read_to_string(fleet.members.config_file(0)).expect("a file");
     for (text, expected) in [
         (valid_text.replace("term_s = 1.0", "term_s = 1000"), "term_s: must lie between"),
         (valid_text.replace("n0", "n5"), "does not name n0"),
--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -3,13 +3,13 @@
 use crate::support::*;
 use std::time::{Duration, Instant};
 
-fn reply_ok(_: usize, _: &Http) -> Reply {
+fn reply_ok(_: usize, _: &HttpMessage) -> Reply {
     Reply::status(200)
 }
 
 fn start() -> (Endpoint, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
     (endpoint, dispatcher)
 }
 
@@ -23,9 +23,9 @@
 
 /// Checks that no earlier request has reached the endpoint, and that a valid message still does.
 fn assert_only_a_valid_message_is_delivered(dispatcher: &Dispatcher, endpoint: &Endpoint) {
-    assert_eq!(dispatcher.hand_in("safe", "good", 7), 202);
-    eventually("the call of the valid message", || endpoint.ids().contains(&"good".to_string()));
-    assert_eq!(endpoint.ids(), ["good"]);
+    assert_eq!(dispatcher.submit("safe", "good", 7), 202);
+    eventually("the call of the valid message", || endpoint.message_ids().contains(&"good".to_string()));
+    assert_eq!(endpoint.message_ids(), ["good"]);
 }
 
 #[test]
@@ -45,8 +45,8 @@
     ] {
         let mut client = dispatcher.connect();
         client.write(format!("{}{rest}", head(case)).as_bytes());
-        assert_eq!(client.answer().status(), status, "{case}");
-        assert!(client.closes(), "{case}: the connection is closed");
+        assert_eq!(client.read_response().status(), status, "{case}");
+        assert!(client.is_closed_by_peer(), "{case}: the connection is closed");
     }
     assert_only_a_valid_message_is_delivered(&dispatcher, &endpoint);
 }
@@ -55,34 +55,34 @@
 fn timeouts_and_lengths_beyond_the_limits_are_rejected() {
     let (endpoint, dispatcher) = start();
     // The deadline of the class is 20 s.
-    assert_eq!(dispatcher.connect().hand_in("safe", "m1", 7, 20_001, b"x").status(), 400);
-    assert_eq!(dispatcher.connect().hand_in("safe", "m2", 7, u32::MAX, b"x").status(), 400);
+    assert_eq!(dispatcher.connect().submit("safe", "m1", 7, 20_001, b"x").status(), 400);
+    assert_eq!(dispatcher.connect().submit("safe", "m2", 7, u32::MAX, b"x").status(), 400);
     let mut client = dispatcher.connect();
     client.write(format!("{}Content-Length: 60000000\r\n\r\n", head("m3")).as_bytes());
-    assert_eq!(client.answer().status(), 413);
+    assert_eq!(client.read_response().status(), 413);
     let mut client = dispatcher.connect();
     // A head that never ends; the response may arrive while it is still being written.
     let padded = format!("{}X-Pad: {}", head("m4"), "p".repeat(15_000));
     client.write(padded.as_bytes());
     client.write(&[b'p'; 2_000]);
-    assert_eq!(client.answer().status(), 431);
+    assert_eq!(client.read_response().status(), 431);
     assert_only_a_valid_message_is_delivered(&dispatcher, &endpoint);
 }
 
 #[test]
 fn an_id_in_use_is_not_accepted_for_another_message() {
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::started(&platform, &[held(7), held(8)]);
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202, "a repeat of the same message is accepted already");
-    assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 503);
-    assert_eq!(dispatcher.connect().hand_in("safe", "m1", 7, 15_000, b"other").status(), 503);
+    let mut dispatcher = Dispatcher::started(&platform, &[draining_endpoint(7), draining_endpoint(8)]);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202, "a repeat of the same message is accepted already");
+    assert_eq!(dispatcher.submit("keyed", "m1", 7), 503);
+    assert_eq!(dispatcher.connect().submit("safe", "m1", 7, 15_000, b"other").status(), 503);
     dispatcher.kill();
     let endpoint = Endpoint::start(reply_ok);
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("the call of the first message", || endpoint.seen().len() == 1);
-    assert_eq!(endpoint.seen()[0].request.text(), "hello");
+    eventually("the call of the first message", || endpoint.requests().len() == 1);
+    assert_eq!(endpoint.requests()[0].request.text(), "hello");
 }
 
 #[test]
@@ -93,7 +93,7 @@
     clients[1].write(head("half-a-head").as_bytes());
     clients[2].write(format!("{}Content-Length: 9\r\n\r\nhalf", head("half-a-body")).as_bytes());
     for client in &mut clients {
-        assert!(client.closes());
+        assert!(client.is_closed_by_peer());
     }
     assert!(
         started_at.elapsed() < Duration::from_secs(15),
@@ -101,49 +101,49 @@
     );
     // A connection that is idle between two requests stays open.
     let mut persistent = dispatcher.connect();
-    assert_eq!(persistent.hand_in("safe", "first", 7, 9_000, b"x").status(), 202);
+    assert_eq!(persistent.submit("safe", "first", 7, 9_000, b"x").status(), 202);
     std::thread::sleep(Duration::from_millis(2_500));
-    assert_eq!(persistent.hand_in("safe", "second", 7, 9_000, b"x").status(), 202);
-    eventually("both calls", || endpoint.seen().len() == 2);
+    assert_eq!(persistent.submit("safe", "second", 7, 9_000, b"x").status(), 202);
+    eventually("both calls", || endpoint.requests().len() == 2);
 }
 
 #[test]
 fn many_silent_clients_leave_file_descriptors_for_deliveries() {
     let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["limits"]["sockets"] = 64.into();
-    dispatcher.before = "ulimit -n 64;".into();
+    dispatcher.shell_prelude = "ulimit -n 64;".into();
     dispatcher.start();
     let mut silent: Vec<Client> = (0..200).map(|_| dispatcher.connect()).collect();
     for i in 0..5 {
-        assert_eq!(dispatcher.hand_in("safe", &format!("m{i}"), 7), 202);
+        assert_eq!(dispatcher.submit("safe", &format!("m{i}"), 7), 202);
     }
-    eventually("the calls", || endpoint.seen().len() == 5);
-    assert!(silent[0].closes(), "the connection that was idle longest is closed first");
-    platform.push(2, &[endpoint.host("e2", 8, "up")]);
-    dispatcher.hand_in_once_listed("safe", "by-new-list", 8);
-    assert!(!dispatcher.logged("Too many open files"));
+    eventually("the calls", || endpoint.requests().len() == 5);
+    assert!(silent[0].is_closed_by_peer(), "the connection that was idle longest is closed first");
+    platform.push_changes(2, &[endpoint.list_entry("e2", 8, "up")]);
+    dispatcher.submit_once_listed("safe", "by-new-list", 8);
+    assert!(!dispatcher.log_contains("Too many open files"));
 }
 
 #[test]
 fn idle_client_connections_are_closed_at_the_limit() {
     let (endpoint, platform) = (Endpoint::start(reply_ok), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     // Allows 30 client connections, 10 of them idle: the first is closed long before 30 are open.
     dispatcher.config["limits"]["sockets"] = 80.into();
     dispatcher.start();
     let mut regular = dispatcher.connect();
     let mut send_on_new_connection = |i| {
         let mut client = dispatcher.connect();
-        assert_eq!(client.hand_in("safe", &format!("m{i}"), 7, 15_000, b"x").status(), 202);
-        assert_eq!(regular.hand_in("safe", &format!("r{i}"), 7, 15_000, b"x").status(), 202);
+        assert_eq!(client.submit("safe", &format!("m{i}"), 7, 15_000, b"x").status(), 202);
+        assert_eq!(regular.submit("safe", &format!("r{i}"), 7, 15_000, b"x").status(), 202);
         client
     };
     let mut clients: Vec<_> = (0..20).map(&mut send_on_new_connection).collect();
-    assert!(clients[0].closes(), "the connection that was idle longest is closed");
+    assert!(clients[0].is_closed_by_peer(), "the connection that was idle longest is closed");
     let last = clients.last_mut().unwrap();
     assert_eq!(
-        last.hand_in("safe", "again", 7, 15_000, b"x").status(),
+        last.submit("safe", "again", 7, 15_000, b"x").status(),
         202,
         "the most recent connection is kept"
     );
@@ -156,24 +156,24 @@
         _ => Reply::status(200),
     });
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
-    assert_eq!(dispatcher.hand_in("unsafe", "good", 7), 202);
-    assert_eq!(dispatcher.hand_in("unsafe", "bad", 7), 202);
-    eventually("both calls", || endpoint.ids().len() == 2);
-    eventually("the notice", || platform.told("bad") == ["given_up"]);
+    let mut dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    assert_eq!(dispatcher.submit("unsafe", "good", 7), 202);
+    assert_eq!(dispatcher.submit("unsafe", "bad", 7), 202);
+    eventually("both calls", || endpoint.message_ids().len() == 2);
+    eventually("the notice", || platform.outcomes("bad") == ["given_up"]);
     let assert_repeats_are_answered_from_the_record = |dispatcher: &Dispatcher| {
         // The response may still be on its way when the call has been seen.
-        eventually("the recorded failure", || dispatcher.hand_in("unsafe", "bad", 7) == 409);
-        eventually("the recorded delivery", || dispatcher.hand_in("unsafe", "good", 7) == 202);
-        assert_eq!(dispatcher.hand_in("unsafe", "good", 7), 202);
+        eventually("the recorded failure", || dispatcher.submit("unsafe", "bad", 7) == 409);
+        eventually("the recorded delivery", || dispatcher.submit("unsafe", "good", 7) == 202);
+        assert_eq!(dispatcher.submit("unsafe", "good", 7), 202);
     };
     assert_repeats_are_answered_from_the_record(&dispatcher);
     // The next process learns it from the records in the journal.
     dispatcher.kill();
     dispatcher.start();
     assert_repeats_are_answered_from_the_record(&dispatcher);
-    assert_eq!(dispatcher.hand_in("unsafe", "next", 7), 202);
-    eventually("the call of the next message", || endpoint.ids().contains(&"next".to_string()));
-    let ids = endpoint.ids();
+    assert_eq!(dispatcher.submit("unsafe", "next", 7), 202);
+    eventually("the call of the next message", || endpoint.message_ids().contains(&"next".to_string()));
+    let ids = endpoint.message_ids();
     assert_eq!(ids.len(), 3, "each message is delivered once: {ids:?}");
 }
--- a/crates/fawnspoke/tests/sockets/closing.rs
+++ b/crates/fawnspoke/tests/sockets/closing.rs
@@ -54,11 +54,11 @@
 fn dispatcher_with_call_in_flight()
 -> (ManualEndpoint, crate::manual_endpoint::Peer, Platform, Dispatcher, SocketAddr) {
     let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), held(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), draining_endpoint(8)]);
     let address = free_address();
     dispatcher.config["listen"] = address.to_string().into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "in-flight", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "in-flight", 7), 202);
     let mut peer = endpoint.accept();
     assert!(peer.read_request().is_some());
     (endpoint, peer, platform, dispatcher, address)
@@ -122,7 +122,7 @@
 #[test]
 fn silent_connections_are_closed_before_one_in_the_middle_of_a_request() {
     let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), held(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), draining_endpoint(8)]);
     let address = free_address();
     dispatcher.config["listen"] = address.to_string().into();
     dispatcher.config["limits"]["sockets"] = 64.into();
@@ -145,7 +145,7 @@
     for closes in [false, true] {
         let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
         let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7)]);
-        assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+        assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
         let mut peer = endpoint.accept();
         assert!(peer.read_request().is_some());
         let answered_at = Instant::now();
@@ -158,7 +158,7 @@
         }
         // Calls started within 100 ms of the response are still allowed.
         thread::sleep(Duration::from_millis(110).saturating_sub(answered_at.elapsed()));
-        assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
+        assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
         let mut next = endpoint.accept();
         assert!(next.read_request().is_some());
         let tolerance = Duration::from_millis(150);
@@ -175,10 +175,10 @@
 #[test]
 fn sighup_during_startup_does_not_end_the_process() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let address = free_address();
     dispatcher.config["listen"] = address.to_string().into();
-    let pipe = dispatcher.state().with_file_name("config.pipe");
+    let pipe = dispatcher.state_dir().with_file_name("config.pipe");
     assert!(std::process::Command::new("mkfifo").arg(&pipe).status().unwrap().success());
     let mut command = dispatcher.command();
     let mut child = command.env("GW_CONFIG", &pipe).stdout(Stdio::null()).spawn().unwrap();
--- a/crates/fawnspoke/tests/sockets/limits.rs
+++ b/crates/fawnspoke/tests/sockets/limits.rs
@@ -12,7 +12,7 @@
 fn send_messages(dispatcher: &Dispatcher, prefix: &str, count: usize) {
     let mut client = dispatcher.connect();
     for i in 0..count {
-        let status = client.hand_in("safe", &format!("{prefix}{i}"), 7, 20_000, b"x").status();
+        let status = client.submit("safe", &format!("{prefix}{i}"), 7, 20_000, b"x").status();
         assert_eq!(status, 202);
     }
 }
@@ -26,10 +26,10 @@
         reply_with_limit(if n == 1 { 503 } else { 200 }, reported.load(Ordering::SeqCst).into())
     });
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["settings"]["limits"]["open_cap"] = 500.into();
     dispatcher.start();
-    let call_count = || endpoint.seen().len();
+    let call_count = || endpoint.requests().len();
     send_messages(&dispatcher, "m", 200);
     eventually("some calls at the low limit", || call_count() >= 6);
     // A limit 100 times as high: a send rate that only grows by steps would need half a minute, and deadlines
@@ -54,44 +54,48 @@
     // The limit is one call in two seconds; once it has been reported, every second request finds its connection broken.
     let endpoint = Endpoint::start(|n, _| match n {
         1 => reply_with_limit(503, 0.5),
-        n if n > 0 && n % 2 == 0 => Reply::Break,
+        n if n > 0 && n % 2 == 0 => Reply::Disconnect,
         _ => reply_with_limit(200, 0.5),
     });
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 1.into();
     dispatcher.start();
     for id in ["first", "rejected"] {
-        let before = endpoint.seen().len();
+        let before = endpoint.requests().len();
         send_messages(&dispatcher, id, 1);
-        eventually("the call", || endpoint.seen().len() > before);
+        eventually("the call", || endpoint.requests().len() > before);
     }
     send_messages(&dispatcher, "m", 7);
-    eventually("some calls", || endpoint.seen().len() >= 10);
-    let seen = endpoint.seen();
+    eventually("some calls", || endpoint.requests().len() >= 10);
+    let seen = endpoint.requests();
     // Holds until the dispatcher has learned that reused connections break at this endpoint.
     for lost in [2, 4, 6] {
         assert!(seen[..lost].iter().any(|s| s.connection == seen[lost].connection));
-        let gap = seen[lost + 1].at - seen[lost].at;
+        let gap = seen[lost + 1].received_at - seen[lost].received_at;
         assert!(gap < Duration::from_secs(1), "{gap:?} from a lost call to the next");
     }
-    assert!(seen[9].at - seen[3].at > Duration::from_secs(1), "the limit applies to the calls that arrived");
+    assert!(
+        seen[9].received_at - seen[3].received_at > Duration::from_secs(1),
+        "the limit applies to the calls that arrived"
+    );
 }
 
 #[test]
 fn the_last_slot_gets_a_shorter_timeout() {
     let shortest = |slots: u32, class: &str, target_ms: u64| {
         let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         dispatcher.config["settings"]["family_info"]["call_slots"] = slots.into();
         dispatcher.start();
         let mut client = dispatcher.connect();
         let mut shortest = u64::MAX;
         // The timeout shrinks as the endpoint proves fast.
         for i in 0..200 {
-            assert_eq!(client.hand_in(class, &format!("m{i}"), 7, 15_000, b"x").status(), 202);
-            eventually("the call", || endpoint.seen().len() > i);
-            let reported = endpoint.seen()[i].request.header("request-timeout-ms").unwrap().parse().unwrap();
+            assert_eq!(client.submit(class, &format!("m{i}"), 7, 15_000, b"x").status(), 202);
+            eventually("the call", || endpoint.requests().len() > i);
+            let reported =
+                endpoint.requests()[i].request.header("request-timeout-ms").unwrap().parse().unwrap();
             shortest = shortest.min(reported);
             if shortest <= target_ms {
                 break;
@@ -111,7 +115,7 @@
 
 /// A dispatcher with one call slot and a queue of `capacity` messages; the tenant `small` has a quota of almost nothing.
 fn dispatcher_with_quotas(platform: &Platform, endpoint: &Endpoint, capacity: usize) -> Dispatcher {
-    let mut dispatcher = Dispatcher::new(platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(platform, &[endpoint.list_entry("e", 7, "up")]);
     let settings = &mut dispatcher.config["settings"];
     settings["family_info"]["call_slots"] = 1.into();
     settings["limits"]["open_cap"] = capacity.into();
@@ -130,7 +134,7 @@
     // One entry of the queue stays free; each round of the event loop evicts a message to make space for the next.
     eventually("space in the queue", || {
         client.write(message.as_bytes());
-        client.answer().status() == 202
+        client.read_response().status() == 202
     });
 }
 
@@ -141,14 +145,19 @@
     let dispatcher = dispatcher_with_quotas(&platform, &endpoint, 6);
     let mut client = dispatcher.connect();
     send_for_tenant(&mut client, "in-flight", "large");
-    eventually("the call that occupies the slot", || !endpoint.seen().is_empty());
+    eventually("the call that occupies the slot", || !endpoint.requests().is_empty());
     for (id, tenant) in [("a", "small"), ("b", "small"), ("c", "small"), ("d", "large"), ("e", "large")] {
         send_for_tenant(&mut client, id, tenant);
     }
     send_for_tenant(&mut client, "f", "large");
     eventually("two evicted messages", || platform.notices().len() >= 2);
     for id in ["b", "c"] {
-        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the quota: {:?}", platform.notices());
+        assert_eq!(
+            platform.outcomes(id),
+            ["handed_back"],
+            "{id} is beyond the quota: {:?}",
+            platform.notices()
+        );
     }
 }
 
@@ -159,7 +168,7 @@
     let mut dispatcher = dispatcher_with_quotas(&platform, &endpoint, 8);
     let mut client = dispatcher.connect();
     send_for_tenant(&mut client, "in-flight", "large");
-    eventually("the call that occupies the slot", || !endpoint.seen().is_empty());
+    eventually("the call that occupies the slot", || !endpoint.requests().is_empty());
     // The first message is within the quota and uses it up.
     for id in ["a", "b", "c"] {
         send_for_tenant(&mut client, id, "small");
@@ -172,10 +181,15 @@
     for id in ["e", "f", "g", "h", "i"] {
         send_for_tenant(&mut client, id, "large");
     }
-    let is_evicted = |id: &str| !platform.told(id).is_empty();
+    let is_evicted = |id: &str| !platform.outcomes(id).is_empty();
     eventually("three evicted messages", || ["b", "c", "d"].iter().all(|id| is_evicted(id)));
     for id in ["b", "c", "d"] {
-        assert_eq!(platform.told(id), ["handed_back"], "{id} is beyond the quota: {:?}", platform.notices());
+        assert_eq!(
+            platform.outcomes(id),
+            ["handed_back"],
+            "{id} is beyond the quota: {:?}",
+            platform.notices()
+        );
     }
-    assert!(platform.told("a").is_empty(), "it was within the quota and still is");
+    assert!(platform.outcomes("a").is_empty(), "it was within the quota and still is");
 }
--- a/crates/fawnspoke/tests/sockets/malformed_responses.rs
+++ b/crates/fawnspoke/tests/sockets/malformed_responses.rs
@@ -13,15 +13,19 @@
 /// Starts an endpoint for destination 7 of this class (`single` receives one message a call, `many` several), a platform
 /// and a dispatcher.
 fn start(
-    class: &str, script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
+    class: &str, script: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static,
 ) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[host("e", endpoint.at, 7, class, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[list_entry("e", endpoint.address, 7, class, "up")]);
     (endpoint, platform, dispatcher)
 }
 
 fn call_count(endpoint: &Endpoint, id: &str) -> usize {
-    endpoint.seen().iter().filter(|seen| seen.id() == id || seen.request.text().contains(id)).count()
+    endpoint
+        .requests()
+        .iter()
+        .filter(|seen| seen.message_id() == id || seen.request.text().contains(id))
+        .count()
 }
 
 #[test]
@@ -40,21 +44,21 @@
         }
         malformed(n)
     });
-    assert_eq!(dispatcher.hand_in("safe", "safe", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "safe", 7), 202);
     eventually("an attempt for each response", || call_count(&endpoint, "safe") >= 5);
-    assert_eq!(dispatcher.hand_in("unsafe", "unsafe", 7), 202);
-    eventually("the notice", || platform.told("unsafe") == ["given_up"]);
+    assert_eq!(dispatcher.submit("unsafe", "unsafe", 7), 202);
+    eventually("the notice", || platform.outcomes("unsafe") == ["given_up"]);
     assert_eq!(call_count(&endpoint, "unsafe"), 1);
     // The Retry-After of the truncated 429 counts, because its head is complete; none of the responses is an outage.
-    let calls = endpoint.seen();
-    let waited = calls[3].at - calls[2].at;
+    let calls = endpoint.requests();
+    let waited = calls[3].received_at - calls[2].received_at;
     assert!(
         waited >= Duration::from_millis(1900),
         "the next call came after {waited:?}, before the Retry-After was over"
     );
-    assert_eq!(dispatcher.hand_in("safe", "good", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "good", 7), 202);
     eventually("the call of the good message", || call_count(&endpoint, "good") == 1);
-    assert!(!dispatcher.logged("Shut"), "the endpoint counts as available");
+    assert!(!dispatcher.log_contains("Shut"), "the endpoint counts as available");
 }
 
 #[test]
@@ -75,10 +79,10 @@
     });
     let ids = ["noise", "open", "short", "lengths", "endless", "early"];
     for id in ids {
-        assert_eq!(dispatcher.hand_in("unsafe", id, 7), 202);
+        assert_eq!(dispatcher.submit("unsafe", id, 7), 202);
         eventually("the call", || call_count(&endpoint, id) == 1);
     }
-    eventually("the abort of the endless response", || endpoint.given_up() == 1);
+    eventually("the abort of the endless response", || endpoint.abandoned_calls() == 1);
     // Longer than the dispatcher waits for any response.
     thread::sleep(Duration::from_millis(1_500));
     assert!(platform.notices().is_empty(), "all were delivered: {:?}", platform.notices());
@@ -99,13 +103,13 @@
         }),
         Platform::start(),
     );
-    let dispatcher = Dispatcher::started(&platform, &[held(7)]);
+    let dispatcher = Dispatcher::started(&platform, &[draining_endpoint(7)]);
     // Two safe and two unsafe messages; those of one effect share a call.
     for id in ["safe-a", "unsafe-b", "safe-c", "unsafe-d"] {
-        assert_eq!(dispatcher.hand_in(id.split('-').next().unwrap(), id, 7), 202);
+        assert_eq!(dispatcher.submit(id.split('-').next().unwrap(), id, 7), 202);
     }
-    platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    let given_up = |id: &str| platform.told(id) == ["given_up"];
+    platform.push_changes(2, &[list_entry("e", endpoint.address, 7, "many", "up")]);
+    let given_up = |id: &str| platform.outcomes(id) == ["given_up"];
     eventually("the notices", || given_up("unsafe-b") && given_up("unsafe-d"));
     eventually("the second attempts of the safe messages", || {
         call_count(&endpoint, "safe-a") == 2 && call_count(&endpoint, "safe-c") == 2
@@ -124,33 +128,33 @@
             (1, Some("second")) => raw_reply("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
             _ => raw_reply(OK_RESPONSE),
         });
-    assert_eq!(dispatcher.hand_in("unsafe", "first", 7), 202);
-    eventually("the first call", || endpoint.seen().len() == 1);
-    assert_eq!(dispatcher.hand_in("unsafe", "second", 7), 202);
-    eventually("the failure of the second call", || platform.told("second") == ["given_up"]);
-    assert_ne!(endpoint.seen()[0].connection, endpoint.seen()[1].connection);
+    assert_eq!(dispatcher.submit("unsafe", "first", 7), 202);
+    eventually("the first call", || endpoint.requests().len() == 1);
+    assert_eq!(dispatcher.submit("unsafe", "second", 7), 202);
+    eventually("the failure of the second call", || platform.outcomes("second") == ["given_up"]);
+    assert_ne!(endpoint.requests()[0].connection, endpoint.requests()[1].connection);
 }
 
 #[test]
 fn one_rejected_message_does_not_fail_the_rest_of_its_batch() {
     let endpoint = Endpoint::start(|_, request| match request.text().contains("bad") {
-        false if request.first.contains("/receive-many") => {
+        false if request.start_line.contains("/receive-many") => {
             raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
         }
         false => raw_reply(OK_RESPONSE),
         true => raw_reply("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n"),
     });
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[held(7)]);
+    let dispatcher = Dispatcher::started(&platform, &[draining_endpoint(7)]);
     for (id, body) in [("safe-a", "good"), ("safe-b", "bad"), ("safe-c", "good")] {
-        assert_eq!(dispatcher.connect().hand_in("safe", id, 7, 15_000, body.as_bytes()).status(), 202);
+        assert_eq!(dispatcher.connect().submit("safe", id, 7, 15_000, body.as_bytes()).status(), 202);
     }
-    platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    eventually("the notice of the bad message", || platform.told("safe-b") == ["given_up"]);
+    platform.push_changes(2, &[list_entry("e", endpoint.address, 7, "many", "up")]);
+    eventually("the notice of the bad message", || platform.outcomes("safe-b") == ["given_up"]);
     eventually("the calls of the other messages", || {
         ["safe-a", "safe-c"].iter().all(|id| call_count(&endpoint, id) == 2)
     });
     assert_eq!(call_count(&endpoint, "safe-b"), 2, "once in the batch and once by itself");
-    assert!(!dispatcher.logged("Shut"));
+    assert!(!dispatcher.log_contains("Shut"));
     assert_eq!(platform.notices().len(), 1);
 }
--- a/crates/fawnspoke/tests/sockets/manual_endpoint.rs
+++ b/crates/fawnspoke/tests/sockets/manual_endpoint.rs
@@ -1,6 +1,6 @@
 //! An endpoint that a test drives by hand: it accepts, reads and answers only when the test calls for it.
 
-use crate::support::host;
+use crate::support::list_entry;
 use serde_json::Value;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
@@ -104,7 +104,7 @@
 
     /// The entry of this endpoint in discovery's list.
     pub fn host(&self, name: &str, destination: u32) -> Value {
-        host(name, self.address, destination, "single", "up")
+        list_entry(name, self.address, destination, "single", "up")
     }
 }
 
--- a/crates/fawnspoke/tests/sockets/races.rs
+++ b/crates/fawnspoke/tests/sockets/races.rs
@@ -14,8 +14,8 @@
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
     let mut peer = quick.accept();
     assert!(peer.read_request().is_some());
     eventually("a connect that hangs", || slow.pending_connects() == 1);
@@ -47,7 +47,7 @@
     dispatcher.start();
     let mut client = dispatcher.connect();
     for id in ["m1", "m2"] {
-        assert_eq!(client.hand_in("safe", id, 7, 2500, b"x").status(), 202);
+        assert_eq!(client.submit("safe", id, 7, 2500, b"x").status(), 202);
     }
     let mut peer = quick.accept();
     assert!(peer.read_request().is_some());
@@ -58,10 +58,12 @@
     let mut pooled = slow.accept();
     let mut draining = quick.host("quick", 7);
     draining["health"] = "draining".into();
-    platform.push(2, &[draining]);
+    platform.push_changes(2, &[draining]);
     // Both messages expire before the Retry-After is over; only the unsafe message remains after it.
-    eventually("the notices of both", || ["m1", "m2"].iter().all(|id| platform.told(id) == ["handed_back"]));
-    assert_eq!(client.hand_in("unsafe", "u", 7, 15_000, b"x").status(), 202);
+    eventually("the notices of both", || {
+        ["m1", "m2"].iter().all(|id| platform.outcomes(id) == ["handed_back"])
+    });
+    assert_eq!(client.submit("unsafe", "u", 7, 15_000, b"x").status(), 202);
     let mut new_connection = slow.accept();
     assert!(
         new_connection.read_request().is_some_and(|request| request.contains("u\r\n")),
@@ -79,15 +81,15 @@
     dispatcher.config["settings"]["grades"][1]["repeat_window"] = 2.25.into();
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
     let mut peer = quick.accept();
     assert!(peer.read_request().is_some());
     let called_at = Instant::now();
     // The next attempt can only go to the slow endpoint.
     let mut draining = quick.host("quick", 7);
     draining["health"] = "draining".into();
-    platform.push(2, &[draining, slow.host("slow", 7), held(8)]);
-    dispatcher.hand_in_once_listed("safe", "other", 8);
+    platform.push_changes(2, &[draining, slow.host("slow", 7), draining_endpoint(8)]);
+    dispatcher.submit_once_listed("safe", "other", 8);
     // The retry starts within the repeat window, which ends 2 s after the first call; a SYN is repeated after 1 s.
     eventually("the time before the retry", || called_at.elapsed() > Duration::from_millis(1400));
     peer.write(b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
@@ -96,10 +98,10 @@
     slow.accept_connects();
     let received = slow.serve();
     let was_resent = || received.requests().iter().any(|call| call.contains("m1"));
-    eventually("its notice or its second call", || !platform.told("m1").is_empty() || was_resent());
+    eventually("its notice or its second call", || !platform.outcomes("m1").is_empty() || was_resent());
     assert_eq!(received.connections(), 1, "the connection was established");
     assert!(!was_resent(), "sent again {:?} after it may have run", called_at.elapsed());
-    assert_eq!(platform.told("m1"), ["handed_back"]);
+    assert_eq!(platform.outcomes("m1"), ["handed_back"]);
 }
 
 /// A client closes its sending side (half-close) behind a request before the dispatcher reads that request.
@@ -107,20 +109,20 @@
 fn a_half_closed_client_is_told_that_its_message_was_rejected() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let mut client = dispatcher.connect();
-    assert_eq!(client.hand_in("safe", "before", 7, 15_000, b"x").status(), 202);
+    assert_eq!(client.submit("safe", "before", 7, 15_000, b"x").status(), 202);
     dispatcher.signal("STOP");
     client.send("safe", "half", 7, 15_000, b"x");
-    client.end_sending();
+    client.shutdown_write();
     dispatcher.signal("CONT");
-    let answer = client.answer();
+    let answer = client.read_response();
     assert_eq!(answer.status(), 503, "the dispatcher can't know whether the client still reads");
     assert!(answer.header("retry-after").is_some());
-    assert!(client.closes());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-    eventually("the later message", || endpoint.ids().contains(&"after".to_string()));
-    assert!(!endpoint.ids().contains(&"half".to_string()));
+    assert!(client.is_closed_by_peer());
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+    eventually("the later message", || endpoint.message_ids().contains(&"after".to_string()));
+    assert!(!endpoint.message_ids().contains(&"half".to_string()));
 }
 
 /// The head of a response arrives shortly before the deadline of its message, and its body never arrives.
@@ -133,7 +135,7 @@
     let mut client = dispatcher.connect();
     let sent_at = Instant::now();
     for (id, destination) in [("stalls", 7), ("silent", 8)] {
-        assert_eq!(client.hand_in("unsafe", id, destination, TIMEOUT.as_millis() as u32, b"x").status(), 202);
+        assert_eq!(client.submit("unsafe", id, destination, TIMEOUT.as_millis() as u32, b"x").status(), 202);
     }
     let (mut peer, mut silent_peer) = (stalling.accept(), silent.accept());
     assert!(peer.read_request().is_some() && silent_peer.read_request().is_some());
@@ -145,7 +147,8 @@
     let (mut times, wait_started_at) = ([None; 2], Instant::now());
     eventually("both notices", || {
         for (time, id) in times.iter_mut().zip(["stalls", "silent"]) {
-            *time = time.or_else(|| (platform.told(id) == ["given_up"]).then(|| wait_started_at.elapsed()));
+            *time =
+                time.or_else(|| (platform.outcomes(id) == ["given_up"]).then(|| wait_started_at.elapsed()));
         }
         times.iter().all(Option::is_some)
     });
@@ -164,12 +167,14 @@
     let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("unsafe", "u", 7), 202);
+    assert_eq!(dispatcher.submit("unsafe", "u", 7), 202);
     eventually("a connect that hangs", || slow.pending_connects() == 1);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("its call or its notice", || !endpoint.seen().is_empty() || !platform.told("u").is_empty());
-    assert_eq!(endpoint.ids(), ["u"], "the message was not delivered: {:?}", platform.notices());
+    eventually("its call or its notice", || {
+        !endpoint.requests().is_empty() || !platform.outcomes("u").is_empty()
+    });
+    assert_eq!(endpoint.message_ids(), ["u"], "the message was not delivered: {:?}", platform.notices());
 }
--- a/crates/fawnspoke/tests/sockets/watch.rs
+++ b/crates/fawnspoke/tests/sockets/watch.rs
@@ -32,28 +32,31 @@
 fn an_indented_list_is_read_however_it_is_split() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let (_discovery, dispatcher, mut watch) = start_with_watch(&[]);
-    let text = serde_json::to_string_pretty(&list(2, &[endpoint.host("e", 7, "up")])).unwrap();
+    let text = serde_json::to_string_pretty(&list(2, &[endpoint.list_entry("e", 7, "up")])).unwrap();
     // In chunks of a few bytes, with line ends inside the list and none at its end.
     for part in text.as_bytes().chunks(7) {
         write_chunk(&mut watch, std::str::from_utf8(part).unwrap());
     }
-    dispatcher.hand_in_once_listed("safe", "m1", 7);
-    eventually("the call by the split list", || endpoint.ids().contains(&"m1".to_string()));
+    dispatcher.submit_once_listed("safe", "m1", 7);
+    eventually("the call by the split list", || endpoint.message_ids().contains(&"m1".to_string()));
     // Two lists in one chunk, and the beginning of a third.
-    let next_lists = list(3, &[endpoint.host("e", 7, "draining")]).to_string()
-        + &serde_json::to_string_pretty(&list(4, &[held(8)])).unwrap()
+    let next_lists = list(3, &[endpoint.list_entry("e", 7, "draining")]).to_string()
+        + &serde_json::to_string_pretty(&list(4, &[draining_endpoint(8)])).unwrap()
         + "\r\n {\"seq\":5,";
     write_chunk(&mut watch, &next_lists);
-    dispatcher.hand_in_once_listed("safe", "m2", 8);
-    assert_eq!(dispatcher.hand_in("safe", "m3", 7), 202);
+    dispatcher.submit_once_listed("safe", "m2", 8);
+    assert_eq!(dispatcher.submit("safe", "m3", 7), 202);
     write_chunk(
         &mut watch,
-        &(r#""whole":false,"hosts":["#.to_string() + &endpoint.host("e", 8, "up").to_string() + "]}"),
+        &(r#""whole":false,"hosts":["#.to_string() + &endpoint.list_entry("e", 8, "up").to_string() + "]}"),
     );
     eventually("the call of the message that waited for the third list", || {
-        endpoint.ids().contains(&"m2".to_string())
+        endpoint.message_ids().contains(&"m2".to_string())
     });
-    assert!(!endpoint.ids().contains(&"m3".to_string()), "the endpoint was draining before m3 was accepted");
+    assert!(
+        !endpoint.message_ids().contains(&"m3".to_string()),
+        "the endpoint was draining before m3 was accepted"
+    );
 }
 
 /// Accepts the next watch. Heartbeats continue on the old one, so that the dispatcher doesn't reconnect because of its
@@ -73,7 +76,7 @@
 /// A list breaks off in the middle; heartbeats follow it.
 #[test]
 fn a_truncated_list_reopens_the_watch() {
-    let (discovery, _dispatcher, mut watch) = start_with_watch(&[held(7)]);
+    let (discovery, _dispatcher, mut watch) = start_with_watch(&[draining_endpoint(7)]);
     write_chunk(&mut watch, "{\"seq\":2,\"whole\":false,\"hosts\":[\n");
     let mut next_watch = accept_next_watch(&discovery, &mut watch);
     assert!(
@@ -88,14 +91,14 @@
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let invalid_lists = ["{\"seq\":2,\"whole\":true,\"hosts\":7}\n", "{\"seq\":2]\n", "7\n"];
     for (number, invalid_list) in invalid_lists.into_iter().enumerate() {
-        let (discovery, dispatcher, mut watch) = start_with_watch(&[endpoint.host("e", 7, "up")]);
+        let (discovery, dispatcher, mut watch) = start_with_watch(&[endpoint.list_entry("e", 7, "up")]);
         write_chunk(&mut watch, invalid_list);
         let mut next_watch = accept_next_watch(&discovery, &mut watch);
         assert!(
             next_watch.read_request().is_some_and(|request| request.contains("stream=1&index=1 ")),
             "{invalid_list}"
         );
-        assert_eq!(dispatcher.hand_in("safe", &format!("m{number}"), 7), 202);
-        eventually("its call", || endpoint.ids().contains(&format!("m{number}")));
+        assert_eq!(dispatcher.submit("safe", &format!("m{number}"), 7), 202);
+        eventually("its call", || endpoint.message_ids().contains(&format!("m{number}")));
     }
 }
