--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -32,10 +32,10 @@
 fn ambiguous_requests_that_may_smuggle_another_are_rejected() {
     let (endpoint, dispatcher) = start();
     let hidden = format!("0\r\n\r\n{}Content-Length: 0\r\n\r\n", head("hidden"));
-    let long = hidden.len();
+    let length = hidden.len();
     for (case, rest, status) in [
-        ("both", format!("Content-Length: {long}\r\nTransfer-Encoding: chunked\r\n\r\n{hidden}"), 411),
-        ("reversed", format!("Transfer-Encoding: chunked\r\nContent-Length: {long}\r\n\r\n{hidden}"), 411),
+        ("both", format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n\r\n{hidden}"), 411),
+        ("reversed", format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n\r\n{hidden}"), 411),
         ("chunked", "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(), 411),
         ("trailing", "Content-Length: 2\r\n\r\nabcd".into(), 400),
         ("next", format!("Content-Length: 0\r\n\r\n{}Content-Length: 0\r\n\r\n", head("next2")), 400),
--- a/crates/fawnspoke/tests/sockets/limits.rs
+++ b/crates/fawnspoke/tests/sockets/limits.rs
@@ -35,9 +35,9 @@
     // A limit 100 times as high: a send rate that only grows by steps would need half a minute, and deadlines
     // would pass.
     limit.store(400, Ordering::SeqCst);
-    let raised = Instant::now();
+    let raised_at = Instant::now();
     eventually("the remaining calls", || call_count() > 200);
-    assert!(raised.elapsed() < Duration::from_secs(10), "{:?}", raised.elapsed());
+    assert!(raised_at.elapsed() < Duration::from_secs(10), "{:?}", raised_at.elapsed());
     // Back down: the last responses reported the high limit, the first of the next ones reports the low one.
     limit.store(4, Ordering::SeqCst);
     send_messages(&dispatcher, "n", 1);
@@ -51,7 +51,8 @@
 
 #[test]
 fn a_call_lost_with_a_reused_connection_consumes_no_rate_budget() {
-    // The limit is one call in two seconds; once it has been reported, every second request finds its connection broken.
+    // The limit is one call in two seconds; once it has been reported, every second request finds its connection
+    // broken.
     let endpoint = Endpoint::start(|n, _| match n {
         1 => reply_with_limit(503, 0.5),
         n if n > 0 && n % 2 == 0 => Reply::Disconnect,
@@ -68,15 +69,15 @@
     }
     send_messages(&dispatcher, "m", 7);
     eventually("some calls", || endpoint.requests().len() >= 10);
-    let seen = endpoint.requests();
+    let requests = endpoint.requests();
     // Holds until the dispatcher has learned that reused connections break at this endpoint.
     for lost in [2, 4, 6] {
-        assert!(seen[..lost].iter().any(|s| s.connection == seen[lost].connection));
-        let gap = seen[lost + 1].received_at - seen[lost].received_at;
+        assert!(requests[..lost].iter().any(|s| s.connection == requests[lost].connection));
+        let gap = requests[lost + 1].received_at - requests[lost].received_at;
         assert!(gap < Duration::from_secs(1), "{gap:?} from a lost call to the next");
     }
     assert!(
-        seen[9].received_at - seen[3].received_at > Duration::from_secs(1),
+        requests[9].received_at - requests[3].received_at > Duration::from_secs(1),
         "the limit applies to the calls that arrived"
     );
 }
@@ -94,9 +95,9 @@
         for i in 0..200 {
             assert_eq!(client.submit(class, &format!("m{i}"), 7, 15_000, b"x").status(), 202);
             eventually("the call", || endpoint.requests().len() > i);
-            let reported =
+            let timeout_ms =
                 endpoint.requests()[i].request.header("request-timeout-ms").unwrap().parse().unwrap();
-            shortest = shortest.min(reported);
+            shortest = shortest.min(timeout_ms);
             if shortest <= target_ms {
                 break;
             }
@@ -113,7 +114,7 @@
     assert!(shortest(1, "unsafe", 800) > 800);
 }
 
-/// A dispatcher with one call slot and a queue of `capacity` messages; the tenant `small` has a quota of almost nothing.
+/// A dispatcher with one call slot and a queue of `capacity` messages; the quota of the tenant `small` is almost zero.
 fn dispatcher_with_quotas(platform: &Platform, endpoint: &Endpoint, capacity: usize) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(platform, &[endpoint.list_entry("e", 7, "up")]);
     let settings = &mut dispatcher.config["settings"];
--- a/crates/fawnspoke/tests/sockets/malformed_responses.rs
+++ b/crates/fawnspoke/tests/sockets/malformed_responses.rs
@@ -96,7 +96,7 @@
             0 | 1 => raw_reply(
                 "HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\nsafe-a delivered\nunsafe-b delivered\n",
             ),
-            // A complete response to the second attempt; that both were sent twice remains visible.
+            // The second attempt of the safe messages gets a complete response.
             _ => {
                 raw_reply("HTTP/1.1 200 OK\r\nContent-Length: 34\r\n\r\nsafe-a delivered\nsafe-c delivered\n")
             }
