--- a/crates/fawnspoke/tests/sockets/malformed_responses.rs
+++ b/crates/fawnspoke/tests/sockets/malformed_responses.rs
@@ -58,7 +58,7 @@
     );
     assert_eq!(dispatcher.submit("safe", "good", 7), 202);
     eventually("the call of the good message", || call_count(&endpoint, "good") == 1);
-    assert!(!dispatcher.log_contains("Shut"), "the endpoint counts as available");
+    assert!(!dispatcher.log_contains("Unavailable"), "the endpoint counts as available");
 }
 
 #[test]
@@ -155,6 +155,6 @@
         ["safe-a", "safe-c"].iter().all(|id| call_count(&endpoint, id) == 2)
     });
     assert_eq!(call_count(&endpoint, "safe-b"), 2, "once in the batch and once by itself");
-    assert!(!dispatcher.log_contains("Shut"));
+    assert!(!dispatcher.log_contains("Unavailable"));
     assert_eq!(platform.notices().len(), 1);
 }
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -148,7 +148,7 @@
     stop(&mut old);
     eventually("the half request's call", || slow.message_ids() == ["out", "half"]);
     assert_eq!(slow.requests()[1].request.body, b"0123456789");
-    assert!(dispatcher.log_contains("with all that it knew"));
+    assert!(dispatcher.log_contains("with its in-memory state"));
     // The call that was out ended once, and its end is known: nothing is owed, nothing goes again.
     eventually("all ends but the ban's", || figures(&dispatcher)["app.open_requests"] == 1);
     assert!(platform.notices().is_empty());
@@ -189,7 +189,7 @@
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old = dispatcher.upgrade();
     eventually("the yes", || yes(&dispatcher.send_control_request(&Request::Status)));
-    assert!(dispatcher.log_contains("with what is on record"));
+    assert!(dispatcher.log_contains("with the journal only"));
     // The old one broke its call off before anything was given: never two attempts at once.
     eventually("the old one's word", || dispatcher.log_contains("calls out"));
     assert!(dispatcher.log_contains("; 0 calls out"));
