--- a/crates/fawnspoke/src/fleet.rs
+++ b/crates/fawnspoke/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fawnspoke fleet` and what `fawnspoke door` shows of a fleet.
+//! `fawnspoke fleet`, and the tables in which `fawnspoke door` prints a fleet's members and duties.
 
 use clap::Subcommand;
 use fawnspoke_cluster::config::FleetConfig;
@@ -9,50 +9,53 @@
 use std::path::PathBuf;
 
 #[derive(Subcommand)]
-pub enum Fleet {
-    /// Read the fleet's file for one member and say what is wrong with it
+pub enum FleetCommand {
+    /// Validate the fleet's configuration file for one member
     Check {
-        /// The file, in HCL
+        /// The configuration file, in HCL
         file: PathBuf,
         /// The dispatcher's name
         name: String,
     },
-    /// Found a fleet: this member becomes its first voter. Once, at one member; the others join by themselves
-    Found {
-        /// The file, in HCL
+    /// Bootstrap a fleet with this member as its first voter. Run once, at one member; the others join by themselves
+    #[command(name = "found")]
+    Bootstrap {
+        /// The configuration file, in HCL
         file: PathBuf,
         /// The dispatcher's name
         name: String,
-        /// Its folder that lasts
-        state: PathBuf,
+        /// The dispatcher's persistent state directory
+        state_dir: PathBuf,
     },
 }
 
-/// What is to be said of it.
+/// Runs a fleet command and returns the line to print.
 ///
 /// # Errors
-/// One line that names the file, the key and what is wrong.
-pub fn run(asked: Fleet) -> Result<String, String> {
-    match asked {
-        Fleet::Check { file, name } => FleetConfig::load(&file, &name).map(|read| {
-            let (members, voters) = (read.member.len(), read.voters().count());
-            let (follows, led) = (max_failover_time(&read, false), max_failover_time(&read, true));
+/// One line that names the file, the key and the problem.
+pub fn run(command: FleetCommand) -> Result<String, String> {
+    match command {
+        FleetCommand::Check { file, name } => FleetConfig::load(&file, &name).map(|config| {
+            let (members, voters) = (config.member.len(), config.voters().count());
+            let (follower_failover, leader_failover) =
+                (max_failover_time(&config, false), max_failover_time(&config, true));
             format!(
-                "{}: {}: {members} members, {voters} of them vote; what a member holds that is gone is another's after \
-                 {follows:.2} s, and {led:.2} s where it led",
+                "{}: {}: {members} members, {voters} of them voters; the duties of a failed member fail over within \
+                 {follower_failover:.2} s, within {leader_failover:.2} s if it was the leader",
                 file.display(),
-                read.cluster
+                config.cluster
             )
         }),
-        Fleet::Found { file, name, state } => FleetConfig::load(&file, &name).and_then(|read| {
-            let part = Duties::new(DutySettings::from_file(&read), 0);
-            let identity = runtime::bootstrap(&Settings { config: read.clone(), name, state_dir: state }, &part)?;
-            Ok(format!("{} is founded by {}, birth {:016x}", read.cluster, identity.name, identity.id))
+        FleetCommand::Bootstrap { file, name, state_dir } => FleetConfig::load(&file, &name).and_then(|config| {
+            let duties = Duties::new(DutySettings::from_file(&config), 0);
+            let identity = runtime::bootstrap(&Settings { config: config.clone(), name, state_dir }, &duties)?;
+            Ok(format!("{} bootstrapped by {}, instance {:016x}", config.cluster, identity.name, identity.id))
         }),
     }
 }
 
-fn text(value: &Value) -> String {
+/// Formats a JSON value as a table cell.
+fn cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
@@ -60,50 +63,52 @@
     }
 }
 
-/// The members as a table for people.
-pub fn members(fleet: &Value) -> String {
-    let head = format!(
-        "{} of {}, birth {}, life {}; {} leads, term {}; log applied to {}, {} entries since it was cut\n",
-        text(&fleet["name"]),
-        text(&fleet["cluster"]),
-        text(&fleet["birth"]),
-        text(&fleet["life"]),
-        fleet["leader"].as_str().unwrap_or("nobody known"),
-        text(&fleet["term"]),
-        text(&fleet["applied"]),
-        text(&fleet["log"])
+/// Formats the fleet's members as a table.
+pub fn format_members(fleet: &Value) -> String {
+    let header = format!(
+        "{} of {}, instance {}, start {}; leader {}, term {}; log applied to {}, {} entries since its compaction\n",
+        cell(&fleet["name"]),
+        cell(&fleet["cluster"]),
+        cell(&fleet["birth"]),
+        cell(&fleet["life"]),
+        fleet["leader"].as_str().unwrap_or("unknown"),
+        cell(&fleet["term"]),
+        cell(&fleet["applied"]),
+        cell(&fleet["log"])
     );
     let rows = fleet["members"].as_array().into_iter().flatten().map(|member| {
-        let yes = |key: &str, word: &'static str| if member[key] == true { word } else { "" };
+        let label_if = |key: &str, label: &'static str| if member[key] == true { label } else { "" };
         format!(
-            "{:<20} {}  {:<8} {:<6} {:<6} {}",
-            text(&member["name"]),
-            text(&member["birth"]),
-            if member["voter"] == true { "votes" } else { "follows" },
-            yes("leads", "leads"),
-            if member["linked"] == true { "linked" } else { "" },
-            yes("self", "this one")
+            "{:<20} {}  {:<8} {:<6} {:<9} {}",
+            cell(&member["name"]),
+            cell(&member["birth"]),
+            if member["voter"] == true { "voter" } else { "learner" },
+            label_if("leads", "leader"),
+            if member["linked"] == true { "connected" } else { "" },
+            label_if("self", "this member")
         )
     });
     let rows: Vec<String> = rows.map(|row| row.trim_end().to_string()).collect();
-    head + &rows.join("\n")
+    header + &rows.join("\n")
 }
 
-/// The duties as a table for people.
-pub fn duties(fleet: &Value) -> String {
-    let part = &fleet["part"];
-    let left =
-        part["term_left_s"].as_f64().map_or("no term here".into(), |left| format!("{left:.2} s left here"));
-    let rows = part["duties"].as_array().into_iter().flatten().map(|duty| {
+/// Formats the fleet's duties as a table, below the time left of this member's lease term.
+pub fn format_duties(fleet: &Value) -> String {
+    let state_machine = &fleet["part"];
+    let lease_term =
+        state_machine["term_left_s"].as_f64().map_or("this member has no lease term".into(), |left| {
+            format!("{left:.2} s left of this member's lease term")
+        });
+    let rows = state_machine["duties"].as_array().into_iter().flatten().map(|duty| {
         format!(
-            "{:<16} epoch {:<6} {:<20} wanted by {:<4} {}",
-            text(&duty["name"]),
-            text(&duty["epoch"]),
-            text(&duty["holder"]),
-            text(&duty["wanted"]),
-            text(&duty["word"])
+            "{:<16} epoch {:<6} {:<20} requested by {:<4} {}",
+            cell(&duty["name"]),
+            cell(&duty["epoch"]),
+            cell(&duty["holder"]),
+            cell(&duty["wanted"]),
+            cell(&duty["word"])
         )
     });
     let rows: Vec<String> = rows.map(|row| row.trim_end().to_string()).collect();
-    format!("{left}\n{}", rows.join("\n"))
+    format!("{lease_term}\n{}", rows.join("\n"))
 }
--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its arguments and hands over to the part that is asked for.
+//! The command line of `fawnspoke`: parses the arguments and dispatches to the package that implements the subcommand.
 
 mod fleet;
 
@@ -16,7 +16,7 @@
 
 /// A delivery service for messages to other firms' systems.
 ///
-/// Without a subcommand, and with GW_CONFIG set, it is the dispatcher.
+/// Without arguments and with GW_CONFIG set, it runs the dispatcher.
 #[derive(Parser)]
 #[command(name = "fawnspoke", version, arg_required_else_help = true)]
 struct Cli {
@@ -26,62 +26,63 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the dispatcher that GW_CONFIG and GW_STATE describe
+    /// Run the dispatcher configured by GW_CONFIG and GW_STATE
     Serve,
-    /// Read a dispatcher's configuration and say what is wrong with it
+    /// Validate a dispatcher's configuration
     Check {
-        /// The configuration, in JSON
+        /// The configuration file, in JSON
         file: PathBuf,
     },
-    /// Play the embedded scenario: two dispatchers, partners in trouble, one kill; some 15 s
+    /// Run the embedded scenario: two dispatchers, failing partners and one kill; takes about 15 s
     Demo {
         #[command(flatten)]
-        play: Play,
+        run: RunArgs,
     },
-    /// Stand-ins, faults and the auditor
+    /// Test scenarios with stand-ins and faults, their audit, and measurements
     #[command(subcommand)]
-    Lab(Lab),
-    /// Look into a dispatcher's journal; nothing is written to it
+    Lab(LabCommand),
+    /// Inspect a dispatcher's journal, read-only
     #[command(subcommand)]
-    Journal(Journal),
-    /// Ask a running dispatcher, or order it something
-    Door(Door),
-    /// The operators' file of a fleet, and its first member
+    Journal(JournalCommand),
+    /// Query or control a running dispatcher
+    #[command(name = "door")]
+    Control(ControlArgs),
+    /// Check a fleet's configuration file, or bootstrap the fleet
     #[command(subcommand)]
-    Fleet(fleet::Fleet),
+    Fleet(fleet::FleetCommand),
 }
 
 #[derive(Args)]
-struct Door {
-    /// Where the dispatcher answers operators
-    #[arg(long, env = "GW_CONTROL")]
-    at: SocketAddr,
-    /// As JSON
+struct ControlArgs {
+    /// Address of the dispatcher's control port
+    #[arg(long = "at", env = "GW_CONTROL")]
+    address: SocketAddr,
+    /// Print JSON
     #[arg(long, global = true)]
     json: bool,
-    /// Seconds to wait for the connection and for the answer, each
-    #[arg(long, default_value_t = 2.0, value_parser = seconds, global = true)]
-    patience: f64,
+    /// Timeout in seconds, for the connection and for the answer each
+    #[arg(long = "patience", default_value_t = 2.0, value_parser = parse_seconds, global = true)]
+    timeout: f64,
     #[command(subcommand)]
-    ask: Ask,
+    command: ControlCommand,
 }
 
 #[derive(Subcommand)]
-enum Ask {
-    /// Whether it is ready to serve: exit code 1 where it says no
+enum ControlCommand {
+    /// Report whether the dispatcher is ready to serve; exit code 1 if it is not
     Status,
-    /// The figures
+    /// Print the metrics
     Metrics,
-    /// The fleet's members, as this one sees them
+    /// List the fleet's members as this member sees them
     Members,
-    /// The fleet's duties: who holds which, under which epoch
+    /// List the fleet's duties with their holders and epochs
     Duties,
-    /// Take an endpoint out, until it is called back
+    /// Suspend an endpoint until it is restored
     Suspend {
         /// The endpoint's id in discovery's list
         id: String,
     },
-    /// Let an endpoint serve again
+    /// Restore a suspended endpoint
     Restore {
         /// The endpoint's id in discovery's list
         id: String,
@@ -89,210 +90,215 @@
 }
 
 #[derive(Subcommand)]
-enum Journal {
-    /// Tell what is owed, to whom and since when, and what the segments hold
+enum JournalCommand {
+    /// Summarise pending messages and notices by destination and age, and the contents of the segments
     Show {
-        /// The dispatcher's folder
-        folder: PathBuf,
+        /// The dispatcher's state directory
+        directory: PathBuf,
     },
-    /// Tell whether it is sound: exit code 1 on damage
+    /// Check the journal's integrity; exit code 1 if it is damaged
     Verify {
-        /// The dispatcher's folder
-        folder: PathBuf,
+        /// The dispatcher's state directory
+        directory: PathBuf,
     },
-    /// Write what is owed as JSON, a message a line
+    /// Write the pending messages as JSON, one a line
     Dump {
-        /// The dispatcher's folder
-        folder: PathBuf,
-        /// With the bodies, in base64
+        /// The dispatcher's state directory
+        directory: PathBuf,
+        /// Include the bodies, in base64
         #[arg(long)]
         bodies: bool,
-        /// Every record in place of what is owed
+        /// Write every record instead of the pending messages
         #[arg(long)]
         records: bool,
     },
-    /// Write all that can be read to a new folder; exit code 1 where something is lost
+    /// Copy all readable messages to a new journal; exit code 1 if data was lost
     Repair {
-        /// The folder of a dispatcher that is stopped
-        folder: PathBuf,
-        /// The new folder: not there, or empty
-        to: PathBuf,
+        /// The state directory of a stopped dispatcher
+        directory: PathBuf,
+        /// The new directory: missing or empty
+        target: PathBuf,
     },
 }
 
 #[derive(Subcommand)]
-enum Lab {
-    /// Play a scenario and judge it
+enum LabCommand {
+    /// Run a scenario and audit the result
     Run {
         /// The scenario, in TOML
         scenario: PathBuf,
         #[command(flatten)]
-        play: Play,
+        run: RunArgs,
     },
-    /// Print the script of arrivals and faults that a scenario and its seed give
+    /// Print the script of arrivals and faults that a scenario and its seed generate
     Script {
         /// The scenario, in TOML
         scenario: PathBuf,
-        /// In place of the scenario's own
+        /// Overrides the scenario's seed
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Judge a record that an earlier run kept
+    /// Audit a record kept by an earlier run
     Audit {
         /// The record, one JSON object a line
         record: PathBuf,
     },
-    /// Measure how fast one dispatcher delivers, beside a plain proxy on the same core
+    /// Measure the throughput and latency of one dispatcher, beside a plain proxy on the same core
     Bench {
-        /// Seconds of each of the four measures
-        #[arg(long, default_value_t = 4.0, value_parser = seconds)]
+        /// Duration of each of the four measurements, in seconds
+        #[arg(long, default_value_t = 4.0, value_parser = parse_seconds)]
         seconds: f64,
-        /// Bytes of a body
+        /// Body size in bytes
         #[arg(long, default_value_t = 212, value_parser = clap::value_parser!(u64).range(0..=65536))]
         body: u64,
-        /// Connections of the load
+        /// Connections of the load generator
         #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u64).range(2..=500))]
         connections: u64,
-        /// Calls that the dispatcher may have out
+        /// Maximum number of calls in flight
         #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(1..=1500))]
         slots: u64,
-        /// Length of the dispatcher's rounds, in milliseconds
-        #[arg(long, default_value_t = 5.0, value_parser = seconds)]
+        /// Tick of the dispatcher's event loop, in milliseconds
+        #[arg(long, default_value_t = 5.0, value_parser = parse_seconds)]
         tick_ms: f64,
-        /// Measure another build of the program in place of this one
+        /// Measure another build of the program instead of this one
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Sum up what all dispatchers of a fleet counted, by time and destination
+    /// Sum the traffic counters of all dispatchers of a fleet, by time and destination
     Fleet {
-        /// The folder of their logs, a file *.log each
+        /// The directory of their logs, one *.log file each
         logs: PathBuf,
-        /// Seconds of a row
-        #[arg(long, default_value_t = 5.0, value_parser = seconds)]
-        every: f64,
+        /// Length of the time interval of a row, in seconds
+        #[arg(long = "every", default_value_t = 5.0, value_parser = parse_seconds)]
+        interval: f64,
     },
-    /// Tell what a fleet lost by destination: room unused while messages were held, refusals by meaning, returns
+    /// Report a fleet's losses by destination: capacity unused while messages were queued, rejections by cause, recoveries
     Losses {
-        /// The folder of its logs, a file *.log each
+        /// The directory of its logs, one *.log file each
         logs: PathBuf,
-        /// The folder of an earlier play, to stand beside it
-        #[arg(long)]
-        before: Option<PathBuf>,
-        /// As JSON
+        /// The log directory of an earlier run to compare with
+        #[arg(long = "before")]
+        baseline: Option<PathBuf>,
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Measure how long a duty takes to be another member's after a kill, a stall, a cut and an ordinary stop
-    HandingOn {
-        /// Terms, in seconds
-        #[arg(long, value_delimiter = ',', default_value = "1,3,10", value_parser = seconds)]
+    /// Measure the failover time of a duty after a kill, a stall, a network partition and a graceful stop
+    #[command(name = "handing-on")]
+    Failover {
+        /// Lease terms, in seconds
+        #[arg(long, value_delimiter = ',', default_value = "1,3,10", value_parser = parse_seconds)]
         terms: Vec<f64>,
-        /// How often each
+        /// Repetitions for each term and kind of failure
         #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=1000))]
         times: u64,
     },
-    /// Count what dispatchers try at a place that is out, and ask of a discovery that does not answer: alone, as a fleet
-    Tries {
-        /// Dispatchers
+    /// Count the trials at an unavailable destination and the polls of an unresponsive discovery, without and with a fleet
+    #[command(name = "tries")]
+    Trials {
+        /// Number of dispatchers
         #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u64).range(1..=60))]
         count: u64,
-        /// Seconds for which the place, and then discovery, is out
-        #[arg(long, default_value_t = 30.0, value_parser = seconds)]
-        out_s: f64,
-        /// Messages a second at each
-        #[arg(long, default_value_t = 5.0, value_parser = seconds)]
-        a_second: f64,
+        /// Seconds of each outage: the destination's, then discovery's
+        #[arg(long = "out-s", default_value_t = 30.0, value_parser = parse_seconds)]
+        outage_seconds: f64,
+        /// Messages a second to each dispatcher
+        #[arg(long = "a-second", default_value_t = 5.0, value_parser = parse_seconds)]
+        messages_per_second: f64,
     },
-    /// Measure what members of a fleet cost at rest, beside dispatchers alone
-    Rest {
-        /// Dispatchers; five of them vote
+    /// Measure the resource use of idle fleet members, beside dispatchers without a fleet
+    #[command(name = "rest")]
+    IdleCost {
+        /// Numbers of dispatchers; five of them are voters
         #[arg(long, value_delimiter = ',', default_value = "5,30", value_parser = clap::value_parser!(u64).range(5..=200))]
         counts: Vec<u64>,
-        /// Seconds of each
-        #[arg(long, default_value_t = 10.0, value_parser = seconds)]
+        /// Duration of each measurement, in seconds
+        #[arg(long, default_value_t = 10.0, value_parser = parse_seconds)]
         seconds: f64,
     },
-    /// Run the plain proxy that the bench compares with
+    /// Run the plain proxy used as the baseline of the bench
     #[command(hide = true)]
     Proxy {
-        /// Where it listens
+        /// Address to listen on
         listen: SocketAddr,
-        /// Where it forwards to
+        /// Address to forward to
         to: SocketAddr,
     },
-    /// Run a dispatcher that breaks rules on purpose, in place of `serve`
+    /// Run a deliberately faulty dispatcher instead of `serve`
     #[command(hide = true)]
     Naive {
-        /// What it does wrong
+        /// The fault
         fault: String,
     },
 }
 
 #[derive(Args)]
-struct Play {
-    /// In place of the scenario's own
+struct RunArgs {
+    /// Overrides the scenario's seed
     #[arg(long)]
     seed: Option<u64>,
-    /// Play so many seeds, one after the other, counted up from the first
+    /// Number of consecutive seeds to run, one after the other
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     seeds: u64,
     /// Run naive dispatchers with this fault: forgets, early, resends, doubles, impatient, stubborn or honest
-    #[arg(long, value_name = "FAULT")]
-    broken: Option<String>,
-    /// Play another build of the program in place of this one
-    #[arg(long, conflicts_with = "broken")]
+    #[arg(long = "broken", value_name = "FAULT")]
+    fault: Option<String>,
+    /// Run another build of the program instead of this one
+    #[arg(long, conflicts_with = "fault")]
     program: Option<PathBuf>,
-    /// Keep the record of all that the stand-ins saw in this file
+    /// Write the record of everything the stand-ins observed to this file
     #[arg(long)]
     record: Option<PathBuf>,
-    /// Keep the dispatchers' logs in this folder
+    /// Keep the dispatchers' logs in this directory
     #[arg(long)]
     logs: Option<PathBuf>,
 }
 
-/// A figure that may be set from a thousandth to a minute or so.
-fn seconds(text: &str) -> Result<f64, String> {
+/// Parses a duration argument: 0.001 to 60.
+fn parse_seconds(text: &str) -> Result<f64, String> {
     let number = text.parse::<f64>().map_err(|error| error.to_string())?;
     if (0.001..=60.0).contains(&number) { Ok(number) } else { Err("must lie between 0.001 and 60".into()) }
 }
 
-impl From<Play> for command::Play {
-    fn from(play: Play) -> command::Play {
-        let Play { seed, seeds, broken, program, record, logs } = play;
-        command::Play { seed, seeds, broken, program, record, logs }
+impl From<RunArgs> for command::Play {
+    fn from(args: RunArgs) -> command::Play {
+        let RunArgs { seed, seeds, fault, program, record, logs } = args;
+        command::Play { seed, seeds, broken: fault, program, record, logs }
     }
 }
 
 fn main() -> ExitCode {
-    // As the platform starts it: nothing else is looked at.
+    // The platform starts the dispatcher without arguments, configured by its environment alone.
     if std::env::args_os().len() == 1 && std::env::var_os("GW_CONFIG").is_some() {
         return fawnspoke_node::serve();
     }
     match Cli::parse().command {
         Command::Serve => fawnspoke_node::serve(),
-        Command::Check { file } => said(fawnspoke_node::check(&file)),
-        Command::Demo { play } => command::demo(&play.into()),
-        Command::Lab(Lab::Run { scenario, play }) => command::run(&scenario, &play.into()),
-        Command::Lab(Lab::Script { scenario, seed }) => command::script(&scenario, seed),
-        Command::Lab(Lab::Audit { record }) => command::audit(&record),
-        Command::Lab(Lab::Bench { seconds, body, connections, slots, tick_ms, program }) => {
+        Command::Check { file } => print_result(fawnspoke_node::check(&file)),
+        Command::Demo { run } => command::demo(&run.into()),
+        Command::Lab(LabCommand::Run { scenario, run }) => command::run(&scenario, &run.into()),
+        Command::Lab(LabCommand::Script { scenario, seed }) => command::script(&scenario, seed),
+        Command::Lab(LabCommand::Audit { record }) => command::audit(&record),
+        Command::Lab(LabCommand::Bench { seconds, body, connections, slots, tick_ms, program }) => {
             let (body, connections, slots) = (body as usize, connections as usize, slots as usize);
             command::bench(&Settings { seconds, body, connections, slots, tick_ms, program })
         }
-        Command::Lab(Lab::Fleet { logs, every }) => command::fleet(&logs, every),
-        Command::Lab(Lab::Losses { logs, before, json }) => command::losses(&logs, before.as_deref(), json),
-        Command::Lab(Lab::HandingOn { terms, times }) => command::handing_on(&terms, times as usize),
-        Command::Lab(Lab::Tries { count, out_s, a_second }) => {
-            command::tries(count as usize, out_s, a_second)
+        Command::Lab(LabCommand::Fleet { logs, interval }) => command::fleet(&logs, interval),
+        Command::Lab(LabCommand::Losses { logs, baseline, json }) => {
+            command::losses(&logs, baseline.as_deref(), json)
+        }
+        Command::Lab(LabCommand::Failover { terms, times }) => command::handing_on(&terms, times as usize),
+        Command::Lab(LabCommand::Trials { count, outage_seconds, messages_per_second }) => {
+            command::tries(count as usize, outage_seconds, messages_per_second)
         }
-        Command::Lab(Lab::Rest { counts, seconds }) => command::rest(&counts, seconds),
-        Command::Lab(Lab::Proxy { listen, to }) => command::proxy(listen, to),
-        Command::Lab(Lab::Naive { fault }) => command::naive(&fault),
-        Command::Door(asked) => door(asked),
-        Command::Fleet(asked) => said(fleet::run(asked)),
-        Command::Journal(asked) => match journal(&asked) {
+        Command::Lab(LabCommand::IdleCost { counts, seconds }) => command::rest(&counts, seconds),
+        Command::Lab(LabCommand::Proxy { listen, to }) => command::proxy(listen, to),
+        Command::Lab(LabCommand::Naive { fault }) => command::naive(&fault),
+        Command::Control(args) => run_control(args),
+        Command::Fleet(command) => print_result(fleet::run(command)),
+        Command::Journal(command) => match run_journal(&command) {
             Ok(code) => code,
-            // Who reads has had enough.
+            // The reader closed the pipe early, as `head` does.
             Err(InspectError::Write(error)) if error.kind() == ErrorKind::BrokenPipe => ExitCode::SUCCESS,
             Err(error) => {
                 eprintln!("fawnspoke: {error}");
@@ -302,9 +308,9 @@
     }
 }
 
-/// Exit code 0, or 2 with one line that says what is wrong.
-fn said(done: Result<String, String>) -> ExitCode {
-    match done {
+/// Prints the result of a command: exit code 0, or 2 with a one-line error.
+fn print_result(result: Result<String, String>) -> ExitCode {
+    match result {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
@@ -316,42 +322,45 @@
     }
 }
 
-/// Exit code 0 for a yes or figures, 1 for a no, 2 where nobody answered.
-fn door(asked: Door) -> ExitCode {
-    let shown: Option<fn(&serde_json::Value) -> String> = match asked.ask {
-        Ask::Members => Some(fleet::members),
-        Ask::Duties => Some(fleet::duties),
+/// Sends a call to the control port and prints the reply. Exit code 0 for success or metrics, 1 for a negative reply, 2
+/// without a reply.
+fn run_control(args: ControlArgs) -> ExitCode {
+    let table_formatter: Option<fn(&serde_json::Value) -> String> = match args.command {
+        ControlCommand::Members => Some(fleet::format_members),
+        ControlCommand::Duties => Some(fleet::format_duties),
         _ => None,
     };
-    let call = match asked.ask {
-        Ask::Status => Call::Status,
-        Ask::Metrics => Call::Metrics,
-        Ask::Members | Ask::Duties => Call::Fleet,
-        Ask::Suspend { id } => Call::Suspend(id),
-        Ask::Restore { id } => Call::Restore(id),
+    let call = match args.command {
+        ControlCommand::Status => Call::Status,
+        ControlCommand::Metrics => Call::Metrics,
+        ControlCommand::Members | ControlCommand::Duties => Call::Fleet,
+        ControlCommand::Suspend { id } => Call::Suspend(id),
+        ControlCommand::Restore { id } => Call::Restore(id),
     };
-    let reply = match client::ask(asked.at, &call, Duration::from_secs_f64(asked.patience)) {
+    let reply = match client::ask(args.address, &call, Duration::from_secs_f64(args.timeout)) {
         Ok(reply) => reply,
         Err(error) => {
-            eprintln!("fawnspoke: {}: {error}", asked.at);
+            eprintln!("fawnspoke: {}: {error}", args.address);
             return ExitCode::from(2);
         }
     };
-    let (text, code) = match (&reply, asked.json) {
-        (Reply::Yes(text), json) if shown.is_some() => match (serde_json::from_str(text), shown) {
-            (Ok(fleet), Some(shown)) if !json => (shown(&fleet), 0),
-            _ => (text.clone(), 0),
-        },
+    let (text, code) = match (&reply, args.json) {
+        (Reply::Yes(text), json) if table_formatter.is_some() => {
+            match (serde_json::from_str(text), table_formatter) {
+                (Ok(fleet), Some(format_table)) if !json => (format_table(&fleet), 0),
+                _ => (text.clone(), 0),
+            }
+        }
         (Reply::Yes(text), true) => (serde_json::json!({"success": true, "text": text}).to_string(), 0),
         (Reply::No(text), true) => (serde_json::json!({"success": false, "text": text}).to_string(), 1),
         (Reply::Yes(text), false) => (format!("yes: {text}"), 0),
         (Reply::No(text), false) => (format!("no: {text}"), 1),
-        (Reply::Figures(figures), true) => {
-            let figures = figures.iter().map(|(name, value, _)| (name.clone(), (*value).into()));
-            (serde_json::Value::Object(figures.collect()).to_string(), 0)
+        (Reply::Figures(metrics), true) => {
+            let members = metrics.iter().map(|(name, value, _)| (name.clone(), (*value).into()));
+            (serde_json::Value::Object(members.collect()).to_string(), 0)
         }
-        (Reply::Figures(figures), false) => {
-            let lines = figures.iter().map(|(name, value, _)| format!("{value:>12}  {name}"));
+        (Reply::Figures(metrics), false) => {
+            let lines = metrics.iter().map(|(name, value, _)| format!("{value:>12}  {name}"));
             (lines.collect::<Vec<_>>().join("\n"), 0)
         }
     };
@@ -361,38 +370,39 @@
     }
 }
 
-fn journal(asked: &Journal) -> Result<ExitCode, InspectError> {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
-    let mut out = BufWriter::new(std::io::stdout().lock());
-    let sound = match asked {
-        Journal::Show { folder } => {
-            write!(out, "{}", inspect::show(folder, now)?)?;
+/// Runs a journal command. Exit code 1 if the journal is damaged.
+fn run_journal(command: &JournalCommand) -> Result<ExitCode, InspectError> {
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |elapsed| elapsed.as_micros() as u64);
+    let mut output = BufWriter::new(std::io::stdout().lock());
+    let intact = match command {
+        JournalCommand::Show { directory } => {
+            write!(output, "{}", inspect::show(directory, now)?)?;
             true
         }
-        Journal::Verify { folder } => {
-            let (sound, text) = inspect::verify(folder)?;
-            write!(out, "{text}")?;
-            sound
+        JournalCommand::Verify { directory } => {
+            let (intact, text) = inspect::verify(directory)?;
+            write!(output, "{text}")?;
+            intact
         }
-        Journal::Dump { folder, bodies, records: true } => {
-            inspect::dump_records(folder, *bodies, &mut out)?;
+        JournalCommand::Dump { directory, bodies, records: true } => {
+            inspect::dump_records(directory, *bodies, &mut output)?;
             true
         }
-        Journal::Dump { folder, bodies, records: false } => {
-            inspect::dump(folder, *bodies, &mut out)?;
+        JournalCommand::Dump { directory, bodies, records: false } => {
+            inspect::dump(directory, *bodies, &mut output)?;
             true
         }
-        Journal::Repair { folder, to } => {
-            let RepairReport { messages, assumed_run: doubted, problems } = inspect::repair(folder, to, now)?;
-            problems.iter().try_for_each(|line| writeln!(out, "{line}"))?;
+        JournalCommand::Repair { directory, target } => {
+            let RepairReport { messages, assumed_run, problems } = inspect::repair(directory, target, now)?;
+            problems.iter().try_for_each(|line| writeln!(output, "{line}"))?;
             writeln!(
-                out,
-                "{messages} messages written to {}; {doubted} of them count as ones that may have run",
-                to.display()
+                output,
+                "{messages} messages written to {}; {assumed_run} of them may have run",
+                target.display()
             )?;
             !problems.iter().any(|line| line.starts_with(inspect::DAMAGE_PREFIX))
         }
     };
-    out.flush()?;
-    Ok(if sound { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    output.flush()?;
+    Ok(if intact { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
