--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The dispatcher as a process, on loopback sockets. Each test waits on conditions, never on a tight time.
+//! End-to-end tests of the dispatcher as a process on loopback sockets, against the lab's stand-ins.
+//! Tests wait for conditions with a long timeout, so that they pass on a busy machine.
 
 mod answers;
 mod churn;
@@ -29,16 +30,18 @@
     Reply::status(200)
 }
 
-/// An endpoint for destination 7 that answers by the script, a platform, a dispatcher that knows both.
-fn one(script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static) -> (Endpoint, Platform, Dispatcher) {
+/// Starts an endpoint of destination 7 that answers by `script`, a platform, and a dispatcher configured with both.
+fn start_with_endpoint(
+    script: impl Fn(usize, &Http) -> Reply + Send + Sync + 'static,
+) -> (Endpoint, Platform, Dispatcher) {
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     (endpoint, platform, dispatcher)
 }
 
 #[test]
-fn delivers_unchanged_over_kept_connections() {
-    let (endpoint, platform, dispatcher) = one(|_, _| ok());
+fn delivers_bodies_unchanged_and_reuses_connections() {
+    let (endpoint, platform, dispatcher) = start_with_endpoint(|_, _| ok());
     let mut client = dispatcher.connect();
     client.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_eq!(client.answer().status(), 200);
@@ -52,13 +55,13 @@
     assert_eq!((seen[0].id(), seen[0].request.header("idempotency-key")), ("m1", Some("key-m1")));
     assert!(seen[0].request.header("request-timeout-ms").is_some_and(|ms| ms.parse::<u64>().is_ok()));
     assert_eq!(seen[0].request.body, body);
-    assert_eq!(seen[1].connection, 0, "the idle connection is used again");
-    assert!(platform.notices().is_empty(), "what is delivered needs no notice");
+    assert_eq!(seen[1].connection, 0, "the idle connection is reused");
+    assert!(platform.notices().is_empty(), "a delivered message needs no notice");
 }
 
 #[test]
-fn refuses_what_is_malformed_or_too_long() {
-    let (endpoint, _platform, dispatcher) = one(|_, _| ok());
+fn rejects_malformed_and_oversized_requests() {
+    let (endpoint, _platform, dispatcher) = start_with_endpoint(|_, _| ok());
     let status = |head: &str| {
         let mut client = dispatcher.connect();
         client.write(format!("{head}\r\nHost: x\r\n\r\n").as_bytes());
@@ -67,32 +70,32 @@
     assert_eq!(status("GET /nowhere HTTP/1.1"), 404);
     assert_eq!(status("GET /safe HTTP/1.1"), 405);
     assert_eq!(status("POST /safe HTTP/1.1\r\nContent-Length: 0"), 400);
-    let good = [
+    let valid_headers = [
         "Request-Id: m1",
         "Request-Class: safe",
         "Request-Timeout-Ms: 900",
         "X-Consignee: dest=7",
         "Content-Length: 0",
     ];
-    let wrong =
+    let invalid_headers =
         ["Request-Id: two words", "Request-Class: keyed", "Request-Timeout-Ms: soon", "X-Consignee: 7"];
-    for (i, wrong) in wrong.iter().enumerate() {
-        let mut lines = good;
-        lines[i] = wrong;
-        assert_eq!(status(&format!("POST /safe HTTP/1.1\r\n{}", lines.join("\r\n"))), 400, "{wrong}");
+    for (i, invalid) in invalid_headers.iter().enumerate() {
+        let mut headers = valid_headers;
+        headers[i] = invalid;
+        assert_eq!(status(&format!("POST /safe HTTP/1.1\r\n{}", headers.join("\r\n"))), 400, "{invalid}");
     }
-    // A keyed message without its key could not be told from its repeat.
-    let keyed = good.join("\r\n").replace("safe", "keyed");
+    // Without its key, the receiver could not tell a keyed message from a repeat of it.
+    let keyed = valid_headers.join("\r\n").replace("safe", "keyed");
     assert_eq!(status(&format!("POST /keyed HTTP/1.1\r\n{keyed}")), 400);
-    let long = vec![b'x'; 64 * 1024 + 1];
-    assert_eq!(dispatcher.connect().hand_in("safe", "m2", 7, 9000, &long).status(), 413);
-    assert_eq!(dispatcher.connect().hand_in("safe", "m3", 7, 9000, &long[1..]).status(), 202);
-    eventually("the longest body that is allowed", || endpoint.seen().len() == 1);
+    let oversized = vec![b'x'; 64 * 1024 + 1];
+    assert_eq!(dispatcher.connect().hand_in("safe", "m2", 7, 9000, &oversized).status(), 413);
+    assert_eq!(dispatcher.connect().hand_in("safe", "m3", 7, 9000, &oversized[1..]).status(), 202);
+    eventually("the call with the longest allowed body", || endpoint.seen().len() == 1);
     assert_eq!(endpoint.seen()[0].request.body.len(), 64 * 1024);
 }
 
 #[test]
-fn bad_configuration_names_the_key() {
+fn a_configuration_error_names_the_key() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[]);
     for (path, value, key) in [
@@ -101,19 +104,19 @@
         ("/settings/grades/1/repeat_window", serde_json::Value::Null, "settings.grades[1].repeat_window"),
         ("/listen", serde_json::json!("nowhere"), "listen"),
     ] {
-        let good = dispatcher.config.clone();
+        let valid_config = dispatcher.config.clone();
         *dispatcher.config.pointer_mut(path).unwrap() = value;
         let output = dispatcher.command().stderr(Stdio::piped()).output().unwrap();
         let text = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
         assert_eq!(text.lines().count(), 1, "{text}");
         assert!(text.contains(key), "{text}");
-        dispatcher.config = good;
+        dispatcher.config = valid_config;
     }
 }
 
 #[test]
-fn killed_with_messages_held() {
+fn pending_messages_survive_a_kill() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::started(&platform, &[held(7)]);
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
@@ -126,7 +129,7 @@
     let mut ids = endpoint.ids();
     ids.sort();
     assert_eq!(ids, ["m1", "m2"]);
-    // What was delivered is over for a third life, too.
+    // The third process doesn't send the delivered messages again.
     dispatcher.kill();
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("safe", "m3", 7), 202);
@@ -135,47 +138,48 @@
 }
 
 #[test]
-fn killed_with_calls_out() {
-    let (endpoint, platform, mut dispatcher) = one(|n, _| if n < 2 { Reply::Hang } else { ok() });
+fn calls_in_flight_at_a_kill_are_retried_or_given_up() {
+    let (endpoint, platform, mut dispatcher) =
+        start_with_endpoint(|n, _| if n < 2 { Reply::Hang } else { ok() });
     assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
     eventually("the first call", || endpoint.seen().len() == 1);
     assert_eq!(dispatcher.hand_in("unsafe", "m2", 7), 202);
     eventually("the second call", || endpoint.seen().len() == 2);
     dispatcher.kill();
     dispatcher.start();
-    // The key is still remembered: sent again, the same. The unsafe one may have run: it is given up.
-    eventually("the keyed message again", || endpoint.seen().len() == 3);
-    let again = &endpoint.seen()[2];
-    assert_eq!((again.id(), again.request.header("idempotency-key")), ("m1", Some("key-m1")));
-    assert_eq!(again.request.text(), "hello");
+    // The receiver still remembers the key, so the keyed message is retried. The unsafe one may have run: it is given up.
+    eventually("the retry of the keyed message", || endpoint.seen().len() == 3);
+    let retry = &endpoint.seen()[2];
+    assert_eq!((retry.id(), retry.request.header("idempotency-key")), ("m1", Some("key-m1")));
+    assert_eq!(retry.request.text(), "hello");
     eventually("the notice", || platform.told("m2") == ["given_up"]);
     assert_eq!(endpoint.ids().iter().filter(|id| *id == "m2").count(), 1);
 }
 
-/// A dispatcher that was killed while a place was out does not push it over in its next life.
+/// A dispatcher killed during a destination's outage doesn't overload the destination after its restart.
 #[test]
-fn killed_while_a_place_was_out() {
-    let out = Arc::new(AtomicBool::new(false));
-    let is_out = out.clone();
-    // An answer that takes long: what is sent before the first one shows how much is risked.
-    let (endpoint, _platform, mut dispatcher) = one(move |n, _| match n {
+fn an_outage_is_remembered_across_a_kill() {
+    let unavailable = Arc::new(AtomicBool::new(false));
+    let is_unavailable = unavailable.clone();
+    // Answers take 5 s, so the number of calls before the first one shows how many trials the dispatcher risks.
+    let (endpoint, _platform, mut dispatcher) = start_with_endpoint(move |n, _| match n {
         0 => ok(),
-        _ if is_out.load(Ordering::SeqCst) => Reply::status(500),
+        _ if is_unavailable.load(Ordering::SeqCst) => Reply::status(500),
         _ => Reply::Late(Duration::from_secs(5), 200),
     });
     assert_eq!(dispatcher.hand_in("safe", "m", 7), 202);
-    eventually("a served call", || endpoint.seen().len() == 1);
-    out.store(true, Ordering::SeqCst);
+    eventually("a successful call", || endpoint.seen().len() == 1);
+    unavailable.store(true, Ordering::SeqCst);
     for i in 0..12 {
         assert_eq!(dispatcher.hand_in("safe", &format!("n{i}"), 7), 202);
     }
-    // Trials are further apart than what is sent to a place that is thought well.
-    eventually("the outage is seen", || {
+    // Trials are further apart than calls to a destination that is believed to be available.
+    eventually("the outage is detected", || {
         let seen = endpoint.seen();
         seen.len() >= 4 && seen.last().is_some_and(|last| last.at.elapsed() > Duration::from_millis(200))
     });
     dispatcher.kill();
-    out.store(false, Ordering::SeqCst);
+    unavailable.store(false, Ordering::SeqCst);
     let before = endpoint.seen().len();
     dispatcher.start();
     eventually("a trial", || endpoint.seen().len() > before);
@@ -185,7 +189,7 @@
 }
 
 #[test]
-fn attempts_of_an_earlier_life_count() {
+fn attempts_of_previous_processes_count() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::Hang), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     dispatcher.config["settings"]["limits"]["send_cap"] = 2.into();
@@ -201,35 +205,35 @@
 }
 
 #[test]
-fn a_notice_that_nobody_answers_goes_again_before_it_is_overdue() {
+fn an_unanswered_notice_is_retried_before_it_is_overdue() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::Break), Platform::start());
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
     eventually("the first notice", || platform.told("m1") == ["given_up"]);
-    // Three are lost, the first of them on the connection that is kept.
+    // Three notices are lost, the first of them on the kept connection.
     platform.set(|mood| mood.deaf = 3);
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     assert_eq!(dispatcher.hand_in("unsafe", "m2", 7), 202);
     eventually("the second notice", || platform.told("m2") == ["given_up"]);
-    // 0.2, 0.4 and 0.8 s, with short pauses; a second each time would be 3.3 s.
-    assert!(begun.elapsed().as_secs_f64() < 3.0, "{:?}", begun.elapsed());
+    // Timeouts of 0.2, 0.4 and 0.8 s with short pauses between; a timeout of 1 s each time would add up to 3.3 s.
+    assert!(started_at.elapsed().as_secs_f64() < 3.0, "{:?}", started_at.elapsed());
 }
 
 #[test]
-fn killed_with_a_notice_unanswered() {
+fn an_unacknowledged_notice_survives_a_kill() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::Break), Platform::start());
     platform.answer(500);
     let mut dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
-    // At once, though the message had much time left; and again until it is heard.
+    // Sent at once, though the message's deadline is far off, and retried until it is acknowledged.
     eventually("the notice, twice", || platform.told("m1").len() >= 2);
     dispatcher.kill();
     let before = platform.told("m1").len();
     platform.answer(204);
     dispatcher.start();
-    eventually("the notice of the second life", || platform.told("m1").len() > before);
+    eventually("the notice of the second process", || platform.told("m1").len() > before);
     assert!(platform.told("m1").iter().all(|outcome| outcome == "given_up"));
-    eventually("the record that it was heard", || {
+    eventually("the record of the acknowledgement", || {
         let before = platform.told("m1").len();
         dispatcher.kill();
         dispatcher.start();
@@ -241,17 +245,17 @@
 }
 
 #[test]
-fn hands_back_with_a_time_to_come_again() {
+fn a_handed_back_notice_carries_a_retry_delay() {
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[held(7)]);
-    // No endpoint may get it and the time is short.
+    // No endpoint may receive the message, and its deadline is close.
     assert_eq!(dispatcher.connect().hand_in("keyed", "m1", 7, 300, b"x").status(), 202);
     eventually("the notice", || platform.told("m1") == ["handed_back"]);
     assert!(platform.notices()[0]["retry_in_ms"].as_u64().is_some_and(|ms| (1..=3000).contains(&ms)));
 }
 
 #[test]
-fn torn_journal() {
+fn a_torn_journal_is_truncated_at_the_last_whole_record() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::started(&platform, &[held(7)]);
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
@@ -260,22 +264,22 @@
     let mut bytes = fs::read(dispatcher.journal()).unwrap();
     bytes.truncate(bytes.len() - 3);
     fs::write(dispatcher.journal(), bytes).unwrap();
-    // Half of a file that was being written anew is no journal.
+    // A partially written replacement file is not taken for a journal.
     fs::write(dispatcher.state().join("journal.next"), b"half").unwrap();
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up"), held(8)]);
     dispatcher.start();
-    eventually("the whole record's call", || endpoint.ids() == ["m1"]);
-    // What comes after the torn place is read again.
+    eventually("the call of the whole record", || endpoint.ids() == ["m1"]);
+    // Records written after the truncation are read back.
     assert_eq!(dispatcher.hand_in("unsafe", "m3", 8), 202);
     dispatcher.kill();
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 8, "up")]);
     dispatcher.start();
-    eventually("the call after the tear", || endpoint.ids() == ["m1", "m3"]);
+    eventually("the call of the record after the truncation", || endpoint.ids() == ["m1", "m3"]);
 }
 
 #[test]
-fn full_disk_budget() {
+fn a_full_disk_budget_rejects_messages() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[held(7)]);
     dispatcher.config["limits"]["disk_mb"] = 0.8.into();
@@ -286,38 +290,38 @@
     };
     let mut client = dispatcher.connect();
     let body = vec![b'x'; 60_000];
-    let mut taken = 0;
-    let refused = loop {
-        let answer = client.hand_in("safe", &format!("m{taken}"), 7, 15_000, &body);
+    let mut accepted = 0;
+    let rejected = loop {
+        let answer = client.hand_in("safe", &format!("m{accepted}"), 7, 15_000, &body);
         assert!(on_disk(&dispatcher) <= 800_000);
         if answer.status() != 202 {
             break answer;
         }
-        taken += 1;
-        assert!(taken < 14, "there is no room for so many");
+        accepted += 1;
+        assert!(accepted < 14, "the budget holds fewer messages");
     };
-    assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").is_some_and(|s| s.parse::<f64>().is_ok_and(|s| s > 0.0)));
-    assert!(taken >= 3);
-    // Small ones come and go all along; the file is written anew and no message is lost by that.
+    assert_eq!(rejected.status(), 503);
+    assert!(rejected.header("retry-after").is_some_and(|s| s.parse::<f64>().is_ok_and(|s| s > 0.0)));
+    assert!(accepted >= 3);
+    // Small messages pass meanwhile: the journal is compacted for them, and no accepted message is lost by that.
     let (endpoint, other) = (Endpoint::start(|_, _| ok()), Endpoint::start(|_, _| ok()));
     platform.push(2, &[other.host("o", 8, "up")]);
     for i in 0..10 {
         dispatcher.hand_in_once_listed("safe", &format!("s{i}"), 8);
-        eventually("the small one's call", || other.seen().len() == i + 1);
+        eventually("the call of the small message", || other.seen().len() == i + 1);
     }
     dispatcher.kill();
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("all that was taken", || endpoint.seen().len() == taken);
+    eventually("the calls of all accepted messages", || endpoint.seen().len() == accepted);
     assert!(on_disk(&dispatcher) <= 800_000);
 }
 
 #[test]
-fn failed_write_is_no_taking() {
+fn a_failed_journal_write_rejects_the_message() {
     let (endpoint, platform) = (Endpoint::start(|_, _| ok()), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[held(8)]);
-    // No file may pass 20 blocks of 512 bytes; the write fails instead of ending the process.
+    // No file may exceed 20 blocks of 512 bytes; with SIGXFSZ ignored, the write fails instead of ending the process.
     dispatcher.before = "trap '' XFSZ; ulimit -f 20;".into();
     dispatcher.start();
     let mut client = dispatcher.connect();
@@ -334,25 +338,26 @@
 }
 
 #[test]
-fn more_than_the_room_is_refused() {
+fn messages_over_the_limit_are_rejected_or_ended() {
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[held(7)]);
     dispatcher.config["settings"]["limits"]["open_cap"] = 3.into();
     dispatcher.start();
     let statuses: Vec<u16> = (0..4).map(|i| dispatcher.hand_in("safe", &format!("m{i}"), 7)).collect();
     assert!(statuses.iter().all(|status| [202, 503].contains(status)));
-    let taken = statuses.iter().filter(|status| **status == 202).count();
-    eventually("each beyond the room ends", || {
+    let accepted = statuses.iter().filter(|status| **status == 202).count();
+    eventually("the end of each message over the limit", || {
         let ended = (0..4).filter(|i| !platform.told(&format!("m{i}")).is_empty()).count();
-        taken - ended < 3
+        accepted - ended < 3
     });
 }
 
 #[test]
-fn time_out_closes_the_connection() {
-    let (endpoint, platform, dispatcher) = one(|n, _| if n == 0 { Reply::Hang } else { ok() });
+fn a_timeout_closes_the_connection() {
+    let (endpoint, platform, dispatcher) =
+        start_with_endpoint(|n, _| if n == 0 { Reply::Hang } else { ok() });
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    eventually("the first call's connection closes", || endpoint.given_up() == 1);
+    eventually("the end of the first call's connection", || endpoint.given_up() == 1);
     eventually("the second call", || endpoint.seen().len() == 2);
     let seen = endpoint.seen();
     assert_ne!(seen[0].connection, seen[1].connection);
@@ -361,8 +366,8 @@
 }
 
 #[test]
-fn a_silent_endpoint_is_tried_on_a_new_connection() {
-    let (endpoint, _platform, dispatcher) = one(|n, _| match n {
+fn after_a_timeout_the_retry_uses_a_new_connection() {
+    let (endpoint, _platform, dispatcher) = start_with_endpoint(|n, _| match n {
         0 | 1 => Reply::Late(Duration::from_millis(500), 200),
         2 => Reply::Hang,
         _ => ok(),
@@ -370,18 +375,19 @@
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
     assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
     eventually("two calls", || endpoint.seen().len() == 2);
-    // Both connections are idle once both answers are in; the third call takes one of them.
+    // Both connections are idle once both answers have arrived; the third call reuses one of them.
     thread::sleep(Duration::from_millis(800));
     assert_eq!(dispatcher.hand_in("safe", "m3", 7), 202);
-    eventually("the time-out and another try", || endpoint.seen().len() == 4);
+    eventually("the retry after the timeout", || endpoint.seen().len() == 4);
     let seen = endpoint.seen();
-    assert!(seen[2].connection < 2, "an idle connection is used");
-    assert_eq!(seen[3].connection, 2, "the other idle one is not trusted any more");
+    assert!(seen[2].connection < 2, "an idle connection is reused");
+    assert_eq!(seen[3].connection, 2, "the other idle connection is not reused");
 }
 
 #[test]
-fn an_answer_that_came_during_a_stall_counts() {
-    let (endpoint, platform, dispatcher) = one(|_, _| Reply::Late(Duration::from_millis(700), 200));
+fn an_answer_that_arrived_during_a_process_stall_counts() {
+    let (endpoint, platform, dispatcher) =
+        start_with_endpoint(|_, _| Reply::Late(Duration::from_millis(700), 200));
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
     eventually("the call", || endpoint.seen().len() == 1);
     let timeout: u64 = endpoint.seen()[0].request.header("request-timeout-ms").unwrap().parse().unwrap();
@@ -391,16 +397,17 @@
     assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
     eventually("the next call", || endpoint.ids().contains(&"m2".to_string()));
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(endpoint.ids(), ["m1", "m2"], "the first one was delivered");
+    assert_eq!(endpoint.ids(), ["m1", "m2"], "the first message counts as delivered");
     assert!(platform.notices().is_empty());
 }
 
 #[test]
-fn a_broken_connection_may_have_run() {
-    let (endpoint, platform, dispatcher) = one(|_, request| match request.header("request-id") {
-        Some("m1") => Reply::Break,
-        _ => ok(),
-    });
+fn a_call_on_a_broken_connection_may_have_run() {
+    let (endpoint, platform, dispatcher) =
+        start_with_endpoint(|_, request| match request.header("request-id") {
+            Some("m1") => Reply::Break,
+            _ => ok(),
+        });
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
     eventually("the notice", || platform.told("m1") == ["given_up"]);
     assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
@@ -409,24 +416,24 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
+fn a_refused_connection_is_retried_for_unsafe_messages() {
     let platform = Platform::start();
-    // An address of its own, or another test may be given the port while it is free.
-    let gone = std::net::TcpListener::bind("127.0.0.2:0").unwrap();
-    let at = gone.local_addr().unwrap();
-    drop(gone);
-    let dispatcher = Dispatcher::started(&platform, &[host("e", at, 7, "single", "up")]);
+    // An IP address that no other test uses, so that none is given the port while it is free.
+    let listener = std::net::TcpListener::bind("127.0.0.2:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    drop(listener);
+    let dispatcher = Dispatcher::started(&platform, &[host("e", address, 7, "single", "up")]);
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
     thread::sleep(Duration::from_millis(100));
-    let endpoint = Endpoint::start_at(at, |_, _| ok());
+    let endpoint = Endpoint::start_at(address, |_, _| ok());
     eventually("the call", || endpoint.seen().iter().any(|seen| seen.id() == "m1"));
     assert!(platform.told("m1").is_empty());
 }
 
 #[test]
-fn a_stale_idle_connection_costs_no_message() {
-    // The connection is closed behind the answer. An unsafe message must not be risked on it.
-    let (endpoint, platform, dispatcher) = one(|_, _| Reply::AnswerAndClose(200));
+fn a_stale_idle_connection_loses_no_message() {
+    // The endpoint closes the connection after its answer. No unsafe message may be sent on it any more.
+    let (endpoint, platform, dispatcher) = start_with_endpoint(|_, _| Reply::AnswerAndClose(200));
     for i in 0..4 {
         assert_eq!(dispatcher.hand_in("unsafe", &format!("m{i}"), 7), 202);
         eventually("the call", || endpoint.seen().len() == i + 1);
@@ -437,20 +444,21 @@
 }
 
 #[test]
-fn a_batch_with_mixed_ends() {
-    // Those that may not run twice are waited for, and go in a call of their own.
+fn a_batch_with_mixed_outcomes() {
+    // Unsafe messages are batched apart from those that may be repeated.
     let endpoint = Endpoint::start(|n, request| {
         let text = request.text();
-        let all = |ids: &[&str]| ids.iter().all(|id| text.contains(&format!("{id} key-{id} 5\r\nhello\r\n")));
-        let ends = if n > 1 {
+        let has_all =
+            |ids: &[&str]| ids.iter().all(|id| text.contains(&format!("{id} key-{id} 5\r\nhello\r\n")));
+        let outcomes = if n > 1 {
             "safe-b delivered\nunsafe-d delivered\n"
-        } else if all(&["safe-a", "safe-b", "safe-e"]) {
+        } else if has_all(&["safe-a", "safe-b", "safe-e"]) {
             "safe-a delivered\nsafe-b refused\nsafe-e over\n"
         } else {
-            assert!(all(&["unsafe-c", "unsafe-d"]), "{text}");
+            assert!(has_all(&["unsafe-c", "unsafe-d"]), "{text}");
             "unsafe-c failed\nunsafe-d refused\n"
         };
-        Reply::Answer(200, String::new(), ends.into())
+        Reply::Answer(200, String::new(), outcomes.into())
     });
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[held(7)]);
@@ -458,59 +466,59 @@
         let class = id.split('-').next().unwrap();
         assert_eq!(dispatcher.hand_in(class, id, 7), 202);
     }
-    // All are held; once the endpoint is listed they go in one round.
+    // All of them are queued; once the endpoint is listed they are sent within one tick.
     platform.push(2, &[host("e", endpoint.at, 7, "many", "up")]);
-    eventually("the calls with all", || endpoint.seen().len() >= 2);
+    eventually("the first two batch calls", || endpoint.seen().len() >= 2);
     assert!(endpoint.seen()[..2].iter().all(|seen| seen.request.first.starts_with("POST /receive-many ")));
     eventually("the notice", || platform.told("unsafe-c") == ["given_up"]);
-    // The refused ones come again, by themselves or together; the others do not.
-    let later = |id: &str| {
+    // The rejected messages are retried, separately or together; the others are not.
+    let retried = |id: &str| {
         endpoint.seen()[2..].iter().any(|seen| seen.id() == id || seen.request.text().contains(id))
     };
-    eventually("those refused", || later("safe-b") && later("unsafe-d"));
-    assert!(!later("safe-a") && !later("unsafe-c") && !later("safe-e"));
+    eventually("the retries of the rejected messages", || retried("safe-b") && retried("unsafe-d"));
+    assert!(!retried("safe-a") && !retried("unsafe-c") && !retried("safe-e"));
     assert_eq!(platform.notices().len(), 1);
 }
 
 #[test]
-fn a_told_wait_is_kept() {
-    let (endpoint, _platform, dispatcher) = one(|n, _| match n {
+fn retry_after_is_honoured() {
+    let (endpoint, _platform, dispatcher) = start_with_endpoint(|n, _| match n {
         0 => Reply::Answer(429, "Retry-After: 1.25\r\n".into(), String::new()),
         _ => ok(),
     });
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    eventually("the refusal", || endpoint.seen().len() == 1);
+    eventually("the rejected call", || endpoint.seen().len() == 1);
     assert_eq!(dispatcher.hand_in("safe", "m2", 7), 202);
-    eventually("both after the wait", || endpoint.seen().len() == 3);
+    eventually("both calls after the wait", || endpoint.seen().len() == 3);
     let seen = endpoint.seen();
     assert!(seen[1].at - seen[0].at >= Duration::from_millis(1250));
 }
 
 #[test]
-fn drained_while_calling() {
-    let first = Endpoint::start(|_, _| Reply::Late(Duration::from_millis(400), 200));
-    let second = Endpoint::start(|_, _| ok());
+fn a_draining_endpoint_finishes_its_call_and_gets_no_more() {
+    let draining = Endpoint::start(|_, _| Reply::Late(Duration::from_millis(400), 200));
+    let remaining = Endpoint::start(|_, _| ok());
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[first.host("e1", 7, "up")]);
+    let dispatcher = Dispatcher::started(&platform, &[draining.host("e1", 7, "up")]);
     assert_eq!(dispatcher.hand_in("unsafe", "m1", 7), 202);
-    eventually("the first call", || first.seen().len() == 1);
-    platform.push(2, &[first.host("e1", 7, "draining"), second.host("e2", 7, "up")]);
-    // Once the second one gets a call, the list has come.
+    eventually("the first call", || draining.seen().len() == 1);
+    platform.push(2, &[draining.host("e1", 7, "draining"), remaining.host("e2", 7, "up")]);
+    // A call at the second endpoint shows that the dispatcher has received the list.
     for i in 0..4 {
         assert_eq!(dispatcher.hand_in("safe", &format!("n{i}"), 7), 202);
-        eventually("a call", || first.seen().len() + second.seen().len() >= i + 2);
+        eventually("a call", || draining.seen().len() + remaining.seen().len() >= i + 2);
         thread::sleep(Duration::from_millis(30));
     }
-    let drained_from = first.seen().len();
+    let calls_before = draining.seen().len();
     assert_eq!(dispatcher.hand_in("safe", "last", 7), 202);
-    eventually("the last one's call", || second.ids().contains(&"last".to_string()));
-    assert_eq!(first.seen().len(), drained_from);
+    eventually("the call of the last message", || remaining.ids().contains(&"last".to_string()));
+    assert_eq!(draining.seen().len(), calls_before);
     thread::sleep(Duration::from_millis(400));
-    assert!(platform.notices().is_empty(), "the call that was out has ended well");
+    assert!(platform.notices().is_empty(), "the call in flight was completed");
 }
 
 #[test]
-fn silent_discovery_is_watched_anew() {
+fn a_silent_watch_of_discovery_is_reopened() {
     let (endpoint, platform) = (Endpoint::start(|_, _| ok()), Platform::start());
     platform.silent(true);
     let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7, "up")]);
@@ -518,31 +526,33 @@
     eventually("the call", || endpoint.seen().len() == 1);
     eventually("a second watch", || platform.watched_from().len() >= 2);
     platform.silent(false);
-    let silent = platform.watched_from().len();
-    eventually("a watch that is answered", || platform.watched_from().len() > silent);
-    // What is no list counts for nothing, and ends its watch.
+    let unanswered = platform.watched_from().len();
+    eventually("a watch that is answered", || platform.watched_from().len() > unanswered);
+    // A malformed line is ignored and ends its watch.
     let answered = platform.watched_from().len();
     platform.push_line("this is no list");
     eventually("another watch", || platform.watched_from().len() > answered);
     platform.push(9, &[serde_json::json!({"host": "no entry"}), endpoint.host("e", 8, "up")]);
     dispatcher.hand_in_once_listed("safe", "m2", 8);
-    eventually("the call by the new list", || endpoint.seen().len() == 2);
-    // This one breaks off by its silence; the next goes on from the last version.
-    eventually("a watch from there", || platform.watched_from().iter().any(|w| w.contains("index=9 ")));
+    eventually("the call to the newly listed endpoint", || endpoint.seen().len() == 2);
+    // This watch times out because it is silent; the next one continues from the last version.
+    eventually("a watch from the last version", || {
+        platform.watched_from().iter().any(|w| w.contains("index=9 "))
+    });
 }
 
-/// Where all dispatchers ask one discovery, each call for the list costs it time: a start asks once, and a watch that
-/// lives is not asked for again.
+/// Subscriptions of many dispatchers load one discovery: each process subscribes once, and doesn't renew a subscription
+/// that still receives heartbeats.
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_for_once() {
+fn a_live_subscription_is_not_renewed() {
     let (endpoint, platform) = (Endpoint::start(|_, _| ok()), Platform::start());
     platform.set(|mood| mood.heartbeats = true);
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     dispatcher.config["settings"]["discovery"] = "subscribe".into();
     dispatcher.config["settings"]["safety"]["must_ask_in"] = 6.0.into();
     dispatcher.start();
-    eventually("the watch", || platform.watched_from().len() == 1);
-    // Longer than the share of the rule's time after which a silent watch is asked for anew.
+    eventually("the subscription", || platform.watched_from().len() == 1);
+    // Longer than the part of `must_ask_in` after which a silent subscription is renewed.
     thread::sleep(Duration::from_millis(7500));
     assert_eq!(platform.watched_from().len(), 1, "{:?}", platform.watched_from());
     platform.push(2, &[endpoint.host("e", 8, "up")]);
@@ -551,46 +561,47 @@
 }
 
 #[test]
-fn a_destination_that_no_list_names_is_refused() {
-    let (endpoint, platform, dispatcher) = one(|_, _| ok());
+fn messages_for_an_unlisted_destination_are_rejected() {
+    let (endpoint, platform, dispatcher) = start_with_endpoint(|_, _| ok());
     let answer = dispatcher.connect().hand_in("safe", "m1", 8, 400, b"x");
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some_and(|s| s.parse::<f64>().is_ok_and(|s| s > 0.0)));
-    // It may come with a later list.
+    // A later list may name the destination.
     platform.push(2, &[endpoint.host("e2", 8, "up")]);
     dispatcher.hand_in_once_listed("safe", "m1", 8);
     eventually("the call", || endpoint.ids() == ["m1"]);
 }
 
 #[test]
-fn stops_under_traffic() {
-    let (endpoint, _platform, mut dispatcher) = one(|_, _| Reply::Late(Duration::from_millis(500), 200));
-    let mut kept = dispatcher.connect();
-    assert_eq!(kept.hand_in("unsafe", "m1", 7, 15_000, b"x").status(), 202);
+fn stops_gracefully_under_traffic() {
+    let (endpoint, _platform, mut dispatcher) =
+        start_with_endpoint(|_, _| Reply::Late(Duration::from_millis(500), 200));
+    let mut kept_client = dispatcher.connect();
+    assert_eq!(kept_client.hand_in("unsafe", "m1", 7, 15_000, b"x").status(), 202);
     eventually("the call", || endpoint.seen().len() == 1);
     dispatcher.signal("TERM");
-    // A kept connection and a new one are answered still, and told to close.
-    eventually("the word to close", || {
+    // Requests on a kept and on a new connection are still answered, with `Connection: close`.
+    eventually("the shutdown", || {
         let mut probe = dispatcher.connect();
         probe.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
         probe.answer().status() == 503
     });
-    let answer = kept.hand_in("safe", "m2", 7, 15_000, b"x");
+    let answer = kept_client.hand_in("safe", "m2", 7, 15_000, b"x");
     assert_eq!((answer.status(), answer.header("connection")), (202, Some("close")));
     let answer = dispatcher.connect().hand_in("safe", "m3", 7, 15_000, b"x");
     assert_eq!((answer.status(), answer.header("connection")), (202, Some("close")));
-    assert!(dispatcher.wait(), "it ends by itself and without fault");
+    assert!(dispatcher.wait(), "the process exits by itself with success");
     dispatcher.start();
-    eventually("all that was taken", || {
+    eventually("the calls of all accepted messages", || {
         ["m1", "m2", "m3"].iter().all(|id| endpoint.ids().contains(&id.to_string()))
     });
-    // The unsafe call that was out has ended on record: it is not made again.
+    // The end of the unsafe call in flight is on record: the call is not repeated.
     assert_eq!(endpoint.ids().iter().filter(|id| *id == "m1").count(), 1);
 }
 
 #[test]
-fn a_client_that_left_before_its_answer_withdraws() {
-    let (endpoint, platform, dispatcher) = one(|_, _| ok());
+fn a_client_that_disconnects_before_its_answer_withdraws_the_message() {
+    let (endpoint, platform, dispatcher) = start_with_endpoint(|_, _| ok());
     let mut client = dispatcher.connect();
     dispatcher.signal("STOP");
     client.send("safe", "m1", 7, 15_000, b"x");
@@ -603,8 +614,8 @@
 }
 
 #[test]
-fn half_a_request_takes_nothing() {
-    let (endpoint, _platform, dispatcher) = one(|_, _| ok());
+fn a_partial_request_accepts_no_message() {
+    let (endpoint, _platform, dispatcher) = start_with_endpoint(|_, _| ok());
     let mut client = dispatcher.connect();
     client.write(
         b"POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: m1\r\nRequest-Class: safe\r\n\
--- a/crates/fawnspoke/tests/sockets/support.rs
+++ b/crates/fawnspoke/tests/sockets/support.rs
@@ -1,20 +1,22 @@
-//! The lab's stand-ins, with this program as the dispatcher.
+//! Re-exports the lab's stand-ins and wraps its dispatcher so that it runs this package's program.
 
 pub use fawnspoke_lab::stage::{Client, Endpoint, Http, Platform, Reply, eventually, held, host};
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
 
-/// The program that is tested, as a process.
+/// The program under test, as a process.
 pub struct Dispatcher(fawnspoke_lab::stage::Dispatcher);
 
 impl Dispatcher {
+    /// Prepares a dispatcher with `known` as its initial endpoint list; the process is not started yet.
     pub fn new(platform: &Platform, known: &[Value]) -> Dispatcher {
         let program = Path::new(env!("CARGO_BIN_EXE_fawnspoke"));
-        let folder = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        Dispatcher(fawnspoke_lab::stage::Dispatcher::new(program, folder, platform, known))
+        let parent_dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
+        Dispatcher(fawnspoke_lab::stage::Dispatcher::new(program, parent_dir, platform, known))
     }
 
+    /// Prepares a dispatcher and starts its process.
     pub fn started(platform: &Platform, known: &[Value]) -> Dispatcher {
         let mut dispatcher = Dispatcher::new(platform, known);
         dispatcher.start();
