--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -1,5 +1,5 @@
-//! A machine in trouble: wall clocks that are stepped, folders that refuse writes, system calls that fail or fall short.
-//! The process runs with a preloaded library (`crates/machine-faults`) that causes them.
+//! Tests with faults of the machine: steps of the wall clock, a state directory that rejects writes, system calls that fail
+//! or transfer less than asked. A preloaded library (`crates/machine-faults`) injects them into the dispatcher's process.
 
 use crate::gated::Gated;
 use crate::support::*;
@@ -9,70 +9,72 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Numbers in the file that the library reads.
+/// Number of integers in the library's control file.
 const FIELDS: usize = 16;
 
-/// The fields of the file, in the library's order.
+/// The integers of the control file, in the library's order.
 #[derive(Clone, Copy)]
 #[repr(u64)]
 pub enum Field {
-    WallOffset,
-    FolderError,
-    ReadMost,
-    WriteMost,
+    WallClockOffset,
+    StateDirError,
+    MaxReadBytes,
+    MaxWriteBytes,
     AcceptError,
-    AcceptEvery,
+    AcceptErrorInterval,
     ConnectError,
-    ConnectEvery,
-    InterruptEvery,
-    TearNext,
-    Faults,
+    ConnectErrorInterval,
+    InterruptInterval,
+    TearNextWrite,
+    FaultCount,
     SocketError,
-    BreakError,
-    BreakEvery,
+    TransferError,
+    TransferErrorInterval,
 }
 
-/// What the machine does to one dispatcher's processes.
+/// Controls the faults that are injected into the processes of one dispatcher.
 #[derive(Clone)]
-pub struct Machine {
+pub struct FaultInjector {
     path: PathBuf,
 }
 
-impl Machine {
-    /// One without trouble so far, under this dispatcher's processes.
-    pub fn under(dispatcher: &mut Dispatcher) -> Machine {
+impl FaultInjector {
+    /// Preloads the library into the processes that the dispatcher starts from now on. No fault is enabled yet.
+    pub fn attach(dispatcher: &mut Dispatcher) -> FaultInjector {
         let library = std::env::current_exe().unwrap().with_file_name("libmachine_faults.so");
         assert!(library.exists(), "{} is built with the tests", library.display());
         let path = dispatcher.state().with_file_name("machine");
         fs::write(&path, [0; FIELDS * 8]).unwrap();
         dispatcher.before =
             format!("export MACHINE_FAULTS='{}' LD_PRELOAD='{}';", path.display(), library.display());
-        Machine { path }
+        FaultInjector { path }
     }
 
+    /// Writes a field of the control file; 0 disables the fault.
     pub fn set(&self, field: Field, value: i64) {
         let file = File::options().write(true).open(&self.path).unwrap();
         file.write_all_at(&value.to_ne_bytes(), field as u64 * 8).unwrap();
     }
 
+    /// Sets the offset of the wall clock from the real one.
     pub fn step_wall_clock(&self, seconds: i64) {
-        self.set(Field::WallOffset, seconds * 1_000_000);
+        self.set(Field::WallClockOffset, seconds * 1_000_000);
     }
 
-    /// How many calls failed or fell short so far.
-    fn faults(&self) -> i64 {
+    /// Number of calls that were failed or shortened so far.
+    fn fault_count(&self) -> i64 {
         let (file, mut number) = (File::open(&self.path).unwrap(), [0; 8]);
-        file.read_exact_at(&mut number, Field::Faults as u64 * 8).unwrap();
+        file.read_exact_at(&mut number, Field::FaultCount as u64 * 8).unwrap();
         i64::from_ne_bytes(number)
     }
 
-    /// Writes to the folder fail for so long, from now on.
-    pub fn refuse_writes(&self, error: i32, time: Duration) -> thread::JoinHandle<()> {
-        self.set(Field::FolderError, error.into());
-        let machine = self.clone();
+    /// Makes writes to the state directory fail from now on, for `duration`. The returned thread ends with the fault.
+    pub fn fail_writes(&self, error: i32, duration: Duration) -> thread::JoinHandle<()> {
+        self.set(Field::StateDirError, error.into());
+        let faults = self.clone();
         thread::spawn(move || {
-            thread::sleep(time);
-            machine.set(Field::FolderError, 0);
+            thread::sleep(duration);
+            faults.set(Field::StateDirError, 0);
         })
     }
 }
@@ -81,120 +83,124 @@
     Reply::status(200)
 }
 
-/// A dispatcher that knows of an endpoint to which nothing may go yet.
-fn holding(platform: &Platform) -> (Dispatcher, Machine) {
+/// Starts a dispatcher whose only endpoint is draining, so that messages for destination 7 stay queued.
+fn start_with_draining_endpoint(platform: &Platform) -> (Dispatcher, FaultInjector) {
     let mut dispatcher = Dispatcher::new(platform, &[held(7)]);
-    let machine = Machine::under(&mut dispatcher);
+    let faults = FaultInjector::attach(&mut dispatcher);
     dispatcher.start();
-    (dispatcher, machine)
+    (dispatcher, faults)
 }
 
-/// Hands in messages of each class in turn, with this much time.
-fn hand_in(dispatcher: &Dispatcher, count: usize, time_ms: u32) -> Vec<String> {
+/// Hands in messages of the three classes in turn, with this timeout, and returns their ids.
+fn hand_in_messages(dispatcher: &Dispatcher, count: usize, timeout_ms: u32) -> Vec<String> {
     let mut client = dispatcher.connect();
     let ids: Vec<String> = (0..count).map(|number| format!("m{number}")).collect();
     for (number, id) in ids.iter().enumerate() {
         let class = ["safe", "keyed", "unsafe"][number % 3];
-        assert_eq!(client.hand_in(class, id, 7, time_ms, b"x").status(), 202);
+        assert_eq!(client.hand_in(class, id, 7, timeout_ms, b"x").status(), 202);
     }
     ids
 }
 
-/// Whether each message was called once and none has ended undelivered.
+/// Whether each of the messages was called exactly once, and no other was.
 fn all_called_once(endpoint: &Endpoint, ids: &[String]) -> bool {
     let mut called = endpoint.ids();
     called.sort();
-    let mut all = ids.to_vec();
-    all.sort();
-    called == all
+    let mut expected = ids.to_vec();
+    expected.sort();
+    called == expected
 }
 
-/// The wall clock is stepped while the process is down; what it finds has time left.
-fn found_after_a_step(seconds: i64) {
+/// Steps the wall clock while the process is down. The recovered messages have time left and must be delivered.
+fn recover_after_wall_clock_step(seconds: i64) {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
-    let ids = hand_in(&dispatcher, 20, 13_500);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+    let ids = hand_in_messages(&dispatcher, 20, 13_500);
     dispatcher.kill();
-    machine.step_wall_clock(seconds);
+    faults.step_wall_clock(seconds);
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("an end of each", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+    eventually("the end of each message", || endpoint.seen().len() + platform.notices().len() >= ids.len());
     assert_eq!(platform.notices(), [] as [serde_json::Value; 0], "{seconds} s");
     assert!(all_called_once(&endpoint, &ids));
 }
 
 #[test]
-fn what_a_restart_finds_is_tried_though_the_wall_clock_was_stepped() {
-    [3600, -3600, 30, -30].into_iter().for_each(found_after_a_step);
+fn messages_recovered_after_a_wall_clock_step_are_delivered() {
+    [3600, -3600, 30, -30].into_iter().for_each(recover_after_wall_clock_step);
 }
 
-/// Spans go on while the process is down, whatever the wall clock says: a key's memory ends in time.
+/// Time elapsed while the process was down counts, whatever the wall clock says: a keyed message is not repeated after the
+/// end of its repeat window.
 #[test]
-fn a_key_is_not_trusted_for_longer_after_a_step_back() {
+fn a_wall_clock_step_back_does_not_extend_the_repeat_window() {
     for seconds in [-3600, -2, 0] {
         let (gated, platform) = (Gated::open(), Platform::start());
         let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7)]);
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
-        let machine = Machine::under(&mut dispatcher);
+        let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
         let mut peer = gated.accept();
         assert!(peer.request().is_some());
-        let ran = Instant::now();
+        let called_at = Instant::now();
         dispatcher.kill();
-        machine.step_wall_clock(seconds);
-        eventually("the end of the window", || ran.elapsed() > Duration::from_secs(3));
+        faults.step_wall_clock(seconds);
+        eventually("the end of the repeat window", || called_at.elapsed() > Duration::from_secs(3));
         dispatcher.start();
-        eventually("its end", || !platform.told("m1").is_empty() || !gated_is_quiet(&gated));
+        eventually("a notice or a repeated call", || {
+            !platform.told("m1").is_empty() || !has_no_connection(&gated)
+        });
         assert_eq!(
             platform.told("m1"),
             ["handed_back"],
-            "{seconds} s: it may have run, and its key is forgotten"
+            "{seconds} s: it may have run, and its key has expired"
         );
     }
 }
 
-fn gated_is_quiet(gated: &Gated) -> bool {
+/// Whether no connection waits at the endpoint.
+fn has_no_connection(gated: &Gated) -> bool {
     gated.accept_within(Duration::ZERO).is_none()
 }
 
-/// Steps in service, forward and back in turn: nothing ends early or late by them.
+/// The wall clock is stepped forward and back while the dispatcher serves: no message ends early or late.
 #[test]
-fn steps_of_the_wall_clock_in_service_change_no_span() {
+fn wall_clock_steps_while_serving_change_no_deadline() {
     let platform = Platform::start();
-    let (dispatcher, machine) = holding(&platform);
+    let (dispatcher, faults) = start_with_draining_endpoint(&platform);
     let stepping = thread::spawn(move || {
         for step in 0..600 {
-            machine.step_wall_clock([3600, -3600, 1, -1, 0, 86_400][step % 6]);
+            faults.step_wall_clock([3600, -3600, 1, -1, 0, 86_400][step % 6]);
             thread::sleep(Duration::from_millis(5));
         }
     });
-    let begun = Instant::now();
-    let ids = hand_in(&dispatcher, 60, 2500);
-    let long = dispatcher.connect().hand_in("safe", "long", 7, 19_000, b"x");
-    assert_eq!(long.status(), 202);
-    eventually("their ends", || ids.iter().all(|id| !platform.told(id).is_empty()));
-    let time = begun.elapsed();
-    assert!(time > Duration::from_millis(2000) && time < Duration::from_millis(2900), "{time:?}");
+    let started_at = Instant::now();
+    let ids = hand_in_messages(&dispatcher, 60, 2500);
+    let long_lived = dispatcher.connect().hand_in("safe", "long", 7, 19_000, b"x");
+    assert_eq!(long_lived.status(), 202);
+    eventually("the notices of all messages", || ids.iter().all(|id| !platform.told(id).is_empty()));
+    let elapsed = started_at.elapsed();
+    assert!(elapsed > Duration::from_millis(2000) && elapsed < Duration::from_millis(2900), "{elapsed:?}");
     assert!(platform.told("long").is_empty());
     stepping.join().unwrap();
 }
 
-/// The folder refuses writes when the process starts, and for 1.5 s more.
-fn starts_while_the_folder_refuses(error: i32) {
+/// The state directory rejects writes when the process starts, and for 1.5 s more.
+fn start_while_writes_fail(error: i32) {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
-    let ids = hand_in(&dispatcher, 9, 15_000);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+    let ids = hand_in_messages(&dispatcher, 9, 15_000);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
-    let refusing = machine.refuse_writes(error, Duration::from_millis(1500));
-    let begun = Instant::now();
+    let fault = faults.fail_writes(error, Duration::from_millis(1500));
+    let started_at = Instant::now();
     dispatcher.start();
-    assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
-    refusing.join().unwrap();
-    assert!(machine.faults() > 0);
+    assert!(started_at.elapsed() < Duration::from_millis(2500), "{:?}", started_at.elapsed());
+    fault.join().unwrap();
+    assert!(faults.fault_count() > 0);
     eventually("all calls", || endpoint.seen().len() >= ids.len());
     assert!(all_called_once(&endpoint, &ids));
     assert!(platform.notices().is_empty());
@@ -202,53 +208,54 @@
 }
 
 #[test]
-fn a_start_outlasts_a_folder_that_refuses_writes() {
-    [libc::EIO, libc::ENOSPC].into_iter().for_each(starts_while_the_folder_refuses);
+fn a_start_waits_until_the_state_directory_accepts_writes() {
+    [libc::EIO, libc::ENOSPC].into_iter().for_each(start_while_writes_fail);
 }
 
-/// A process that waits for its folder still heeds SIGTERM.
+/// A process that waits for its state directory to accept writes stops on SIGTERM.
 #[test]
-fn a_start_that_waits_for_its_folder_can_be_told_to_stop() {
+fn a_start_that_waits_for_the_state_directory_stops_on_sigterm() {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
     dispatcher.kill();
-    machine.set(Field::FolderError, libc::EIO.into());
+    faults.set(Field::StateDirError, libc::EIO.into());
     let mut child = dispatcher.command().spawn().unwrap();
-    let faults = machine.faults();
-    eventually("a second try", || machine.faults() >= faults + 2);
-    let done = std::process::Command::new("kill").arg("-TERM").arg(child.id().to_string()).status().unwrap();
-    assert!(done.success());
+    let faults_before = faults.fault_count();
+    eventually("a second attempt to write", || faults.fault_count() >= faults_before + 2);
+    let kill_status =
+        std::process::Command::new("kill").arg("-TERM").arg(child.id().to_string()).status().unwrap();
+    assert!(kill_status.success());
     let mut status = None;
-    eventually("its end", || {
+    eventually("the exit of the process", || {
         status = child.try_wait().unwrap();
         status.is_some()
     });
     assert!(status.unwrap().success());
 }
 
-/// The folder refuses writes while messages wait for a place that is out; some come back before it does.
-fn held_while_the_folder_refuses(error: i32) {
+/// The state directory rejects writes while messages are queued; their endpoint becomes available before the fault ends.
+fn deliver_queued_messages_while_writes_fail(error: i32) {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
-    let ids = hand_in(&dispatcher, 10, 12_000);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+    let ids = hand_in_messages(&dispatcher, 10, 12_000);
     let endpoint = Endpoint::start(|_, _| ok());
-    let refusing = machine.refuse_writes(error, Duration::from_millis(2000));
+    let fault = faults.fail_writes(error, Duration::from_millis(2000));
     platform.push(2, &[endpoint.host("e", 7, "up")]);
-    // What may be repeated goes on; new messages are turned away and may come again.
+    // Messages that may be repeated are sent; new messages are rejected with a Retry-After.
     eventually("the calls that need no record", || endpoint.seen().len() >= 4);
     let answer = dispatcher.connect().hand_in("safe", "new", 7, 15_000, b"x");
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
-    refusing.join().unwrap();
-    let ended = Instant::now();
+    fault.join().unwrap();
+    let fault_ended_at = Instant::now();
     eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
-    assert!(ended.elapsed() < Duration::from_millis(500), "{:?}", ended.elapsed());
+    assert!(fault_ended_at.elapsed() < Duration::from_millis(500), "{:?}", fault_ended_at.elapsed());
     assert!(all_called_once(&endpoint, &ids), "{:?} {:?}", endpoint.ids(), platform.notices());
     assert!(platform.notices().is_empty());
     assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
     eventually("the last call", || endpoint.ids().contains(&"after".to_string()));
-    // All of it is over for the next life too.
-    eventually("its record", || dispatcher.hand_in("unsafe", "m2", 7) == 202);
+    // The next process doesn't send the ended messages again.
+    eventually("a write to the journal", || dispatcher.hand_in("unsafe", "m2", 7) == 202);
     dispatcher.kill();
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
@@ -258,44 +265,45 @@
 }
 
 #[test]
-fn what_is_held_outlasts_a_folder_that_refuses_writes() {
-    [libc::EIO, libc::ENOSPC].into_iter().for_each(held_while_the_folder_refuses);
+fn queued_messages_are_delivered_after_write_failures() {
+    [libc::EIO, libc::ENOSPC].into_iter().for_each(deliver_queued_messages_while_writes_fail);
 }
 
-/// The process is killed while its folder refuses writes, with messages that were never sent.
+/// The process is killed while its state directory rejects writes, with unsafe messages that were never sent: the next
+/// process may send them.
 #[test]
-fn a_kill_while_the_folder_refuses_leaves_unsent_messages_unsent() {
+fn unsent_messages_survive_a_kill_during_write_failures() {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
     let mut client = dispatcher.connect();
     for id in ["u1", "u2", "u3"] {
         assert_eq!(client.hand_in("unsafe", id, 7, 15_000, b"x").status(), 202);
     }
     let endpoint = Endpoint::start(|_, _| ok());
-    machine.set(Field::FolderError, libc::ENOSPC.into());
+    faults.set(Field::StateDirError, libc::ENOSPC.into());
     platform.push(2, &[endpoint.host("e", 7, "up")]);
-    let faults = machine.faults();
-    eventually("calls that could not be recorded", || machine.faults() >= faults + 3);
+    let faults_before = faults.fault_count();
+    eventually("failed records of the calls' starts", || faults.fault_count() >= faults_before + 3);
     dispatcher.kill();
     assert!(endpoint.seen().is_empty() && platform.notices().is_empty());
-    machine.set(Field::FolderError, 0);
+    faults.set(Field::StateDirError, 0);
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("their calls", || endpoint.seen().len() + platform.notices().len() >= 3);
-    assert!(platform.notices().is_empty(), "they had surely not run: {:?}", platform.notices());
+    eventually("the calls of all messages", || endpoint.seen().len() + platform.notices().len() >= 3);
+    assert!(platform.notices().is_empty(), "none of them can have run: {:?}", platform.notices());
 }
 
-/// A write stops half way and the process dies in it: what stood before it holds.
+/// The process is killed in the middle of a journal write: the records before the write survive.
 #[test]
-fn a_kill_in_the_middle_of_a_write_loses_nothing_before_it() {
+fn a_kill_in_the_middle_of_a_write_loses_no_earlier_record() {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
-    let ids = hand_in(&dispatcher, 6, 15_000);
-    machine.set(Field::TearNext, 1);
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+    let ids = hand_in_messages(&dispatcher, 6, 15_000);
+    faults.set(Field::TearNextWrite, 1);
     let mut client = dispatcher.connect();
     client.send("safe", "torn", 7, 15_000, b"x");
-    assert!(!dispatcher.wait(), "it dies in the write");
-    machine.set(Field::TearNext, 0);
+    assert!(!dispatcher.wait(), "the process is killed during the write");
+    faults.set(Field::TearNextWrite, 0);
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
@@ -305,9 +313,9 @@
     assert!(!endpoint.ids().contains(&"torn".to_string()));
 }
 
-/// Reads and writes that fall short, at clients, calls, the watch and notices.
+/// Short reads and writes on the connections of clients, calls, the watch and notices.
 #[test]
-fn reads_and_writes_of_a_few_bytes_are_no_end() {
+fn short_reads_and_writes_break_no_connection() {
     for (read, write) in [(1, 0), (0, 1), (1, 1), (7, 5)] {
         let endpoint = Endpoint::start(|_, request| match request.header("request-id") {
             Some(id) if id.starts_with("bad") => Reply::Break,
@@ -315,9 +323,9 @@
         });
         let platform = Platform::start();
         let mut dispatcher = Dispatcher::new(&platform, &[held(8)]);
-        let machine = Machine::under(&mut dispatcher);
-        machine.set(Field::ReadMost, read);
-        machine.set(Field::WriteMost, write);
+        let faults = FaultInjector::attach(&mut dispatcher);
+        faults.set(Field::MaxReadBytes, read);
+        faults.set(Field::MaxWriteBytes, write);
         dispatcher.start();
         eventually("the watch", || !platform.watched_from().is_empty());
         platform.push(2, &[endpoint.host("e", 7, "up")]);
@@ -331,126 +339,141 @@
         assert_eq!(client.hand_in("unsafe", "bad", 7, 15_000, b"x").status(), 202);
         eventually("all calls", || endpoint.seen().len() == 22);
         eventually("the notice", || platform.told("bad") == ["given_up"]);
-        assert!(machine.faults() > 0);
+        assert!(faults.fault_count() > 0);
     }
 }
 
-/// Errors of a moment at accept, connect and epoll_wait.
+/// Transient errors of accept, connect and epoll_wait.
 #[test]
-fn errors_of_a_moment_end_no_request_and_close_no_idle_client() {
-    let accepts = [libc::ECONNABORTED, libc::EINTR, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPERM];
-    let connects = [libc::ENETUNREACH, libc::EADDRNOTAVAIL, libc::ETIMEDOUT, libc::EHOSTUNREACH];
-    for (round, accept) in accepts.into_iter().enumerate() {
+fn transient_errors_end_no_request_and_close_no_idle_client() {
+    let accept_errors =
+        [libc::ECONNABORTED, libc::EINTR, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EPERM];
+    let connect_errors = [libc::ENETUNREACH, libc::EADDRNOTAVAIL, libc::ETIMEDOUT, libc::EHOSTUNREACH];
+    for (round, accept_error) in accept_errors.into_iter().enumerate() {
         let endpoint = Endpoint::start(|_, _| Reply::AnswerAndClose(200));
         let platform = Platform::start();
         let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-        let machine = Machine::under(&mut dispatcher);
+        let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
-        let mut resting: Vec<_> = (0..5).map(|_| dispatcher.connect()).collect();
-        for (number, client) in resting.iter_mut().enumerate() {
+        let mut idle_clients: Vec<_> = (0..5).map(|_| dispatcher.connect()).collect();
+        for (number, client) in idle_clients.iter_mut().enumerate() {
             assert_eq!(client.hand_in("safe", &format!("r{number}"), 7, 15_000, b"x").status(), 202);
         }
-        machine.set(Field::AcceptError, accept.into());
-        machine.set(Field::ConnectError, connects[round % connects.len()].into());
-        machine.set(Field::InterruptEvery, 3);
-        machine.set(Field::ConnectEvery, 2);
-        machine.set(Field::AcceptEvery, 2);
+        faults.set(Field::AcceptError, accept_error.into());
+        faults.set(Field::ConnectError, connect_errors[round % connect_errors.len()].into());
+        faults.set(Field::InterruptInterval, 3);
+        faults.set(Field::ConnectErrorInterval, 2);
+        faults.set(Field::AcceptErrorInterval, 2);
         for number in 0..10 {
             let id = format!("m{number}");
-            assert_eq!(dispatcher.connect().hand_in("safe", &id, 7, 15_000, b"x").status(), 202, "{accept}");
+            assert_eq!(
+                dispatcher.connect().hand_in("safe", &id, 7, 15_000, b"x").status(),
+                202,
+                "{accept_error}"
+            );
         }
-        for (number, client) in resting.iter_mut().enumerate() {
+        for (number, client) in idle_clients.iter_mut().enumerate() {
             let answer = client.hand_in("safe", &format!("again{number}"), 7, 15_000, b"x");
-            assert_eq!(answer.status(), 202, "{accept}: an idle client keeps its connection");
+            assert_eq!(answer.status(), 202, "{accept_error}: an idle client keeps its connection");
         }
         eventually("all calls", || endpoint.seen().len() == 20);
         assert!(platform.notices().is_empty());
     }
 }
 
-/// Standard output takes nothing: lines are lost, and nothing else.
+/// Writes to standard output and standard error fail with ENOSPC: log lines are lost, and the process keeps running.
 #[test]
-fn a_log_that_cannot_be_written_ends_nothing() {
+fn a_log_that_cannot_be_written_does_not_stop_the_process() {
     let endpoint = Endpoint::start(|_, _| ok());
     let platform = Platform::start();
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     drop(listener);
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-    dispatcher.config["listen"] = at.to_string().into();
+    dispatcher.config["listen"] = address.to_string().into();
     let full = File::options().write(true).open("/dev/full").unwrap();
     let mut child = dispatcher.command().stdout(full.try_clone().unwrap()).stderr(full).spawn().unwrap();
     let mut status = None;
-    eventually("that it listens", || {
+    eventually("the listening socket", || {
         status = child.try_wait().unwrap();
-        status.is_some() || std::net::TcpStream::connect(at).is_ok()
+        status.is_some() || std::net::TcpStream::connect(address).is_ok()
     });
     assert!(status.is_none(), "{status:?}");
-    let done = std::process::Command::new("kill").arg("-HUP").arg(child.id().to_string()).status().unwrap();
-    assert!(done.success());
+    let kill_status =
+        std::process::Command::new("kill").arg("-HUP").arg(child.id().to_string()).status().unwrap();
+    assert!(kill_status.success());
     thread::sleep(Duration::from_millis(300));
-    assert!(child.try_wait().unwrap().is_none(), "it lives on");
+    assert!(child.try_wait().unwrap().is_none(), "the process is still running");
     child.kill().unwrap();
     child.wait().unwrap();
 }
 
-/// The folder refuses the record of an end; the process is killed; the message has time left in the next life. What was handed
-/// back may have been handed in elsewhere.
+/// The state directory rejects the record of a message's end, and the process is killed. The message has time left in the
+/// next process, which must not send it: its client may have handed it in elsewhere after the notice.
 #[test]
-fn what_was_handed_back_is_not_sent_by_the_next_life() {
+fn a_handed_back_message_is_not_sent_by_the_next_process() {
     let platform = Platform::start();
-    let (mut dispatcher, machine) = holding(&platform);
-    let handed = Instant::now();
+    let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+    let handed_in_at = Instant::now();
     assert_eq!(dispatcher.connect().hand_in("unsafe", "m1", 7, 4900, b"x").status(), 202);
-    machine.set(Field::FolderError, libc::EIO.into());
+    faults.set(Field::StateDirError, libc::EIO.into());
     dispatcher.signal("TERM");
-    // Its answer is due before this process ends.
-    eventually("the end of the process's time", || handed.elapsed() > Duration::from_millis(3000));
+    // The notice is due before the process has to exit.
+    eventually("the end of the shutdown time", || handed_in_at.elapsed() > Duration::from_millis(3000));
     dispatcher.kill();
-    machine.set(Field::FolderError, 0);
+    faults.set(Field::StateDirError, 0);
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
     dispatcher.start();
-    eventually("its end", || !endpoint.seen().is_empty() || !platform.told("m1").is_empty());
+    eventually("a call or a notice", || !endpoint.seen().is_empty() || !platform.told("m1").is_empty());
     thread::sleep(Duration::from_millis(300));
-    assert!(endpoint.seen().is_empty() || platform.told("m1").is_empty(), "handed back, and sent");
+    assert!(
+        endpoint.seen().is_empty() || platform.told("m1").is_empty(),
+        "the message was both handed back and sent"
+    );
 }
 
-/// An upgrade while the folder refuses writes: whoever owns afterwards, each message is called once, and no request is lost.
+/// An upgrade while the state directory rejects writes: whichever process owns it afterwards, each message is called once, and
+/// no request is lost.
 #[test]
-fn an_upgrade_while_the_folder_refuses_loses_and_doubles_nothing() {
-    for time in [0, 700, 1500] {
+fn an_upgrade_during_write_failures_loses_and_repeats_no_message() {
+    for fault_ms in [0, 700, 1500] {
         let platform = Platform::start();
-        let (mut dispatcher, machine) = holding(&platform);
-        let ids = hand_in(&dispatcher, 9, 15_000);
-        machine.step_wall_clock(3600);
-        let refusing = machine.refuse_writes(libc::EIO, Duration::from_millis(time));
-        let mut old = dispatcher.upgrade();
-        refusing.join().unwrap();
+        let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
+        let ids = hand_in_messages(&dispatcher, 9, 15_000);
+        faults.step_wall_clock(3600);
+        let fault = faults.fail_writes(libc::EIO, Duration::from_millis(fault_ms));
+        let mut old_process = dispatcher.upgrade();
+        fault.join().unwrap();
         let endpoint = Endpoint::start(|_, _| ok());
         platform.push(2, &[endpoint.host("e", 7, "up")]);
         eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
-        assert!(all_called_once(&endpoint, &ids), "{time} ms: {:?} {:?}", endpoint.ids(), platform.notices());
+        assert!(
+            all_called_once(&endpoint, &ids),
+            "{fault_ms} ms: {:?} {:?}",
+            endpoint.ids(),
+            platform.notices()
+        );
         assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
         eventually("the new call", || endpoint.ids().contains(&"after".to_string()));
-        let _ = old.kill();
-        old.wait().unwrap();
+        let _ = old_process.kill();
+        old_process.wait().unwrap();
     }
 }
 
-/// "Requests with very little time left": each gets its final answer in time.
+/// Requests with a timeout of 0 to 100 ms: each gets its final answer or notice on time.
 #[test]
-fn requests_without_time_are_ended_in_time() {
+fn requests_with_almost_no_time_left_end_on_time() {
     let platform = Platform::start();
-    let (dispatcher, _machine) = holding(&platform);
-    for (number, time) in [0, 1, 5, 30, 100].into_iter().enumerate() {
+    let (dispatcher, _machine) = start_with_draining_endpoint(&platform);
+    for (number, timeout_ms) in [0, 1, 5, 30, 100].into_iter().enumerate() {
         for class in ["safe", "keyed", "unsafe"] {
-            let (id, handed) = (format!("{class}{number}"), Instant::now());
-            let status = dispatcher.connect().hand_in(class, &id, 7, time, b"x").status();
+            let (id, handed_in_at) = (format!("{class}{number}"), Instant::now());
+            let status = dispatcher.connect().hand_in(class, &id, 7, timeout_ms, b"x").status();
             if status == 202 {
-                eventually("its notice", || platform.told(&id) == ["handed_back"]);
-                let late = handed.elapsed().saturating_sub(Duration::from_millis(time.into()));
-                assert!(late < Duration::from_millis(300), "{id}: {late:?}");
+                eventually("the notice", || platform.told(&id) == ["handed_back"]);
+                let delay = handed_in_at.elapsed().saturating_sub(Duration::from_millis(timeout_ms.into()));
+                assert!(delay < Duration::from_millis(300), "{id}: {delay:?}");
             } else {
                 assert_eq!(status, 503);
             }
@@ -458,79 +481,82 @@
     }
 }
 
-/// An endpoint is taken out by hand while the folder refuses the order's record; it holds in the next life too.
+/// An operator suspends an endpoint while the state directory rejects writes: the suspension is saved once writes succeed, and
+/// so still holds in the next process.
 #[test]
-fn an_order_that_could_not_be_recorded_is_recorded_later() {
+fn an_override_that_could_not_be_saved_is_saved_later() {
     let endpoint = Endpoint::start(|_, _| ok());
     let platform = Platform::start();
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
     dispatcher.door = true;
-    let machine = Machine::under(&mut dispatcher);
+    let faults = FaultInjector::attach(&mut dispatcher);
     dispatcher.start();
-    machine.set(Field::FolderError, libc::ENOSPC.into());
+    faults.set(Field::StateDirError, libc::ENOSPC.into());
     let answer = dispatcher.ask(&fawnspoke_control::protocol::Call::Suspend("e".into()));
     let text = format!("{answer:?}");
     assert!(text.contains("not on record"), "{text}");
-    machine.set(Field::FolderError, 0);
+    faults.set(Field::StateDirError, 0);
     thread::sleep(Duration::from_millis(1500));
     dispatcher.kill();
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
     thread::sleep(Duration::from_millis(1500));
-    assert!(endpoint.seen().is_empty(), "it is out by hand until it is called back");
+    assert!(endpoint.seen().is_empty(), "the endpoint is suspended until it is restored");
 }
 
-/// No socket, no epoll and no place to listen at in the first second of a start.
+/// In the first second of a start, calls that create a socket or an epoll instance, or that listen, fail.
 #[test]
-fn a_start_outlasts_a_machine_that_is_short_of_sockets() {
+fn a_start_waits_until_sockets_are_available() {
     for error in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
         let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
         dispatcher.door = true;
-        let machine = Machine::under(&mut dispatcher);
-        machine.set(Field::SocketError, error.into());
-        let passing = machine.clone();
-        let passed = thread::spawn(move || {
+        let faults = FaultInjector::attach(&mut dispatcher);
+        faults.set(Field::SocketError, error.into());
+        let faulty_machine = faults.clone();
+        let fault = thread::spawn(move || {
             thread::sleep(Duration::from_millis(1000));
-            passing.set(Field::SocketError, 0);
+            faulty_machine.set(Field::SocketError, 0);
         });
         dispatcher.start();
-        passed.join().unwrap();
-        assert!(machine.faults() > 0);
+        fault.join().unwrap();
+        assert!(faults.fault_count() > 0);
         assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-        eventually("its call", || endpoint.seen().len() == 1);
+        eventually("the call", || endpoint.seen().len() == 1);
     }
 }
 
-/// A broken connection shows as ETIMEDOUT or EHOSTUNREACH, at reads and at writes: what may have run is never sent again if it may not
-/// be repeated, and everything has its end.
+/// Reads and writes report a broken connection as ETIMEDOUT, EHOSTUNREACH or ENETUNREACH: an unsafe message that may have run
+/// is not sent again, and every accepted message ends.
 #[test]
-fn breaks_that_show_otherwise_are_breaks() {
+fn network_errors_on_transfers_count_as_broken_connections() {
     for (error, every) in [(libc::ETIMEDOUT, 7), (libc::EHOSTUNREACH, 5), (libc::ENETUNREACH, 11)] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
         let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-        let machine = Machine::under(&mut dispatcher);
+        let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
-        machine.set(Field::BreakError, error.into());
-        machine.set(Field::BreakEvery, every);
-        let at = dispatcher.connect();
-        drop(at);
-        let mut taken = Vec::new();
+        faults.set(Field::TransferError, error.into());
+        faults.set(Field::TransferErrorInterval, every);
+        let unused_client = dispatcher.connect();
+        drop(unused_client);
+        let mut accepted = Vec::new();
         for number in 0..40 {
             let (id, class) = (format!("m{number}"), ["safe", "keyed", "unsafe"][number % 3]);
             let mut client = dispatcher.connect();
             client.send(class, &id, 7, 3000, b"x");
-            // Its own connection may be one that breaks.
+            // The client's own connection may break, too.
             if client.try_answer().is_some_and(|answer| answer.status() == 202) {
-                taken.push((id, class));
+                accepted.push((id, class));
             }
         }
-        machine.set(Field::BreakEvery, 0);
-        assert!(taken.len() >= 10, "{} taken", taken.len());
-        for (id, class) in &taken {
-            eventually("its end", || endpoint.ids().contains(id) || !platform.told(id).is_empty());
+        faults.set(Field::TransferErrorInterval, 0);
+        assert!(accepted.len() >= 10, "{} accepted", accepted.len());
+        for (id, class) in &accepted {
+            eventually("the end of the message", || {
+                endpoint.ids().contains(id) || !platform.told(id).is_empty()
+            });
             let calls = endpoint.ids().iter().filter(|other| *other == id).count();
             assert!(calls <= 1 || *class != "unsafe", "{id}: {calls} calls");
         }
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -445,7 +445,7 @@
 
 #[test]
 fn a_batch_with_mixed_outcomes() {
-    // Unsafe messages are batched apart from those that may be repeated.
+    // Unsafe messages get a call of their own: they are waited for beyond the usual timeout, and a call has one timeout.
     let endpoint = Endpoint::start(|n, request| {
         let text = request.text();
         let has_all =
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -1,7 +1,7 @@
-//! What operators do to a dispatcher that serves: questions and orders at its door, and upgrades.
+//! Operating a running dispatcher: queries and commands on its control port, and upgrades.
 
 use crate::support::*;
-use fawnspoke_control::protocol::{Call, Reply as Said};
+use fawnspoke_control::protocol::{Call, Reply as ControlReply};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,12 +10,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-fn with_door(platform: &Platform, known: &[serde_json::Value]) -> Dispatcher {
+/// Starts a dispatcher with a control port and waits until it is ready.
+fn start_with_control_port(platform: &Platform, known: &[serde_json::Value]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(platform, known);
     dispatcher.door = true;
     dispatcher.start();
-    // It listens a moment before it says so.
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+    // The process listens shortly before its status is ready.
+    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
     dispatcher
 }
 
@@ -27,178 +28,184 @@
     Call::Restore(id.into())
 }
 
-fn yes(said: &Said) -> bool {
-    matches!(said, Said::Yes(_))
+fn is_success(reply: &ControlReply) -> bool {
+    matches!(reply, ControlReply::Yes(_))
 }
 
-fn figures(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let Said::Figures(figures) = dispatcher.ask(&Call::Metrics) else { panic!("no figures") };
-    figures.into_iter().map(|(name, value, _)| (name, value)).collect()
+fn metrics(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
+    let ControlReply::Figures(metrics) = dispatcher.ask(&Call::Metrics) else { panic!("no metrics") };
+    metrics.into_iter().map(|(name, value, _)| (name, value)).collect()
 }
 
-/// The old process is told to stop, and ends well.
-fn stop(old: &mut Child) {
-    let told = std::process::Command::new("sh").arg("-c").arg(format!("kill -TERM {}", old.id())).status();
-    assert!(told.is_ok_and(|status| status.success()));
-    let told = Instant::now();
-    assert!(old.wait().unwrap().success());
-    assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
+/// Sends the old process SIGTERM and waits until it exits with success.
+fn stop(old_process: &mut Child) {
+    let kill_status =
+        std::process::Command::new("sh").arg("-c").arg(format!("kill -TERM {}", old_process.id())).status();
+    assert!(kill_status.is_ok_and(|status| status.success()));
+    let signalled_at = Instant::now();
+    assert!(old_process.wait().unwrap().success());
+    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "{:?}", signalled_at.elapsed());
 }
 
 #[test]
-fn an_endpoint_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn a_suspended_endpoint_gets_no_calls_until_it_is_restored() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
-    assert!(!yes(&dispatcher.ask(&suspend("nobody"))), "never listed");
-    assert!(!yes(&dispatcher.ask(&restore("nobody"))));
-    assert!(yes(&dispatcher.ask(&suspend("e"))));
-    assert!(yes(&dispatcher.ask(&suspend("e"))), "the same order");
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
+    assert!(!is_success(&dispatcher.ask(&suspend("nobody"))), "an endpoint that was never listed");
+    assert!(!is_success(&dispatcher.ask(&restore("nobody"))));
+    assert!(is_success(&dispatcher.ask(&suspend("e"))));
+    assert!(is_success(&dispatcher.ask(&suspend("e"))), "suspending twice succeeds");
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    // Whatever discovery says in between.
+    // An update from discovery doesn't end the suspension.
     platform.push(2, &[endpoint.host("e", 7, "up")]);
     thread::sleep(Duration::from_millis(300));
     assert!(endpoint.seen().is_empty());
-    assert_eq!(figures(&dispatcher)["app.out_of_rotation"], 1);
-    assert_eq!(figures(&dispatcher)["app.open_requests"], 1);
-    // Over a kill, and while it is not listed.
+    assert_eq!(metrics(&dispatcher)["app.out_of_rotation"], 1);
+    assert_eq!(metrics(&dispatcher)["app.open_requests"], 1);
+    // Neither does a kill, nor an absence from the list.
     dispatcher.kill();
     dispatcher.start();
     platform.push(3, &[endpoint.host("e", 7, "removed")]);
     platform.push(4, &[endpoint.host("e", 7, "up")]);
     thread::sleep(Duration::from_millis(300));
     assert!(endpoint.seen().is_empty());
-    assert!(yes(&dispatcher.ask(&restore("e"))), "one call back ends it");
-    eventually("the message", || endpoint.ids() == ["m1"]);
-    eventually("the figures", || figures(&dispatcher)["app.fulfilled.safe"] == 1);
-    let figures = figures(&dispatcher);
-    assert_eq!((figures["app.relayed"], figures["app.registry_entries"]), (1, 1));
+    assert!(is_success(&dispatcher.ask(&restore("e"))), "one restore ends the suspension");
+    eventually("the call", || endpoint.ids() == ["m1"]);
+    eventually("the metrics", || metrics(&dispatcher)["app.fulfilled.safe"] == 1);
+    let metrics = metrics(&dispatcher);
+    assert_eq!((metrics["app.relayed"], metrics["app.registry_entries"]), (1, 1));
 }
 
 #[test]
-fn what_is_called_back_while_it_is_not_listed_comes_back_cold() {
+fn an_endpoint_restored_while_unlisted_is_cold_when_listed_again() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::Hang), Platform::start());
-    let dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
-    assert!(yes(&dispatcher.ask(&suspend("e"))));
+    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
+    assert!(is_success(&dispatcher.ask(&suspend("e"))));
     platform.push(2, &[endpoint.host("e", 7, "removed")]);
-    eventually("its end in the list", || figures(&dispatcher)["app.registry_entries"] == 1);
-    assert!(yes(&dispatcher.ask(&restore("e"))), "known, though not listed now");
+    eventually("its removal from the list", || metrics(&dispatcher)["app.registry_entries"] == 1);
+    assert!(is_success(&dispatcher.ask(&restore("e"))), "an endpoint that was listed before can be restored");
     platform.push(3, &[endpoint.host("e", 7, "up")]);
-    eventually("its line", || figures(&dispatcher)["app.registry_entries"] == 2);
-    // Nothing was sent there: it is out by the dispatcher's own choice, until a trial is served.
-    eventually("both out of rotation", || figures(&dispatcher)["app.out_of_rotation"] == 2);
+    eventually("its entry in the list", || metrics(&dispatcher)["app.registry_entries"] == 2);
+    // Nothing was sent to it yet: the dispatcher itself keeps it out of rotation until a trial succeeds.
+    eventually("both endpoints out of rotation", || metrics(&dispatcher)["app.out_of_rotation"] == 2);
 }
 
 #[test]
-fn figures_tell_each_end_once() {
+fn metrics_count_each_outcome_once() {
     let (endpoint, platform) = (
         Endpoint::start(|n, _| match n {
             0 => Reply::status(200),
-            // It may have run: an unsafe one fails.
+            // The call may have run, so that an unsafe message fails.
             1 => Reply::Break,
             _ => Reply::status(200),
         }),
         Platform::start(),
     );
-    let dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
+    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
     assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
-    eventually("the first end", || figures(&dispatcher)["app.fulfilled.keyed"] == 1);
+    eventually("the first outcome", || metrics(&dispatcher)["app.fulfilled.keyed"] == 1);
     assert_eq!(dispatcher.hand_in("unsafe", "m2", 7), 202);
-    eventually("the failure", || figures(&dispatcher)["app.faulted.unsafe"] == 1);
+    eventually("the failure", || metrics(&dispatcher)["app.faulted.unsafe"] == 1);
     assert_eq!(dispatcher.hand_in("safe", "m3", 99), 503);
-    let told = figures(&dispatcher);
-    assert_eq!(told["app.throttled.safe"], 1);
-    assert_eq!((told["app.relayed"], told["app.open_requests"]), (2, 0));
-    assert_eq!(told.values().sum::<u64>(), 1 + 1 + 1 + 2 + 1, "{told:?}");
+    let metrics = metrics(&dispatcher);
+    assert_eq!(metrics["app.throttled.safe"], 1);
+    assert_eq!((metrics["app.relayed"], metrics["app.open_requests"]), (2, 0));
+    assert_eq!(metrics.values().sum::<u64>(), 1 + 1 + 1 + 2 + 1, "{metrics:?}");
 }
 
 #[test]
-fn an_upgrade_takes_all_along() {
-    let slow = |n: usize, _: &Http| match n {
+fn an_upgrade_hands_over_all_state_and_connections() {
+    let slow_script = |n: usize, _: &Http| match n {
         0 => Reply::Late(Duration::from_millis(1500), 200),
         _ => Reply::status(200),
     };
-    let (slow, banned, platform) =
-        (Endpoint::start(slow), Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = with_door(&platform, &[slow.host("slow", 7, "up"), banned.host("banned", 8, "up")]);
-    // A call that is out and may not be repeated, a request that is half there, an idle connection, a ban.
-    assert_eq!(dispatcher.hand_in("unsafe", "out", 7), 202);
+    let (slow, suspended, platform) =
+        (Endpoint::start(slow_script), Endpoint::start(|_, _| Reply::status(200)), Platform::start());
+    let mut dispatcher = start_with_control_port(
+        &platform,
+        &[slow.host("slow", 7, "up"), suspended.host("suspended", 8, "up")],
+    );
+    // An unsafe call in flight, a partial request, an idle connection and a suspended endpoint.
+    assert_eq!(dispatcher.hand_in("unsafe", "in-flight", 7), 202);
     eventually("the call", || slow.seen().len() == 1);
-    let mut idle = dispatcher.connect();
-    assert_eq!(idle.hand_in("safe", "banned-1", 8, 15_000, b"x").status(), 202);
-    eventually("the other call", || banned.ids() == ["banned-1"]);
-    assert!(yes(&dispatcher.ask(&suspend("banned"))));
-    let mut half = dispatcher.connect();
-    let head = "POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: half\r\nRequest-Class: safe\r\nRequest-Timeout-Ms: 15000\r\n\
+    let mut idle_client = dispatcher.connect();
+    assert_eq!(idle_client.hand_in("safe", "suspended-1", 8, 15_000, b"x").status(), 202);
+    eventually("the other call", || suspended.ids() == ["suspended-1"]);
+    assert!(is_success(&dispatcher.ask(&suspend("suspended"))));
+    let mut partial_client = dispatcher.connect();
+    let head = "POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: partial\r\nRequest-Class: safe\r\nRequest-Timeout-Ms: 15000\r\n\
                 X-Consignee: dest=7\r\nContent-Length: 10\r\n\r\n";
-    half.write(head.as_bytes());
-    half.write(b"01234");
-    let door = dispatcher.control();
+    partial_client.write(head.as_bytes());
+    partial_client.write(b"01234");
+    let old_control_address = dispatcher.control();
     thread::sleep(Duration::from_millis(50));
 
-    let mut old = dispatcher.upgrade();
-    assert_ne!(dispatcher.control(), door);
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
-    // Neither connection has noticed.
-    half.write(b"56789");
-    assert_eq!(half.answer().status(), 202);
-    assert_eq!(idle.hand_in("safe", "idle", 8, 15_000, b"y").status(), 202);
-    stop(&mut old);
-    eventually("the half request's call", || slow.ids() == ["out", "half"]);
+    let mut old_process = dispatcher.upgrade();
+    assert_ne!(dispatcher.control(), old_control_address);
+    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+    // Both connections continue in the new process.
+    partial_client.write(b"56789");
+    assert_eq!(partial_client.answer().status(), 202);
+    assert_eq!(idle_client.hand_in("safe", "idle", 8, 15_000, b"y").status(), 202);
+    stop(&mut old_process);
+    eventually("the call of the partial request", || slow.ids() == ["in-flight", "partial"]);
     assert_eq!(slow.seen()[1].request.body, b"0123456789");
     assert!(dispatcher.logged("with all that it knew"));
-    // The call that was out ended once, and its end is known: nothing is owed, nothing goes again.
-    eventually("all ends but the ban's", || figures(&dispatcher)["app.open_requests"] == 1);
+    // The outcome of the call in flight was recorded once: no notice is due, and the call is not repeated.
+    eventually("the end of all messages except the suspended endpoint's", || {
+        metrics(&dispatcher)["app.open_requests"] == 1
+    });
     assert!(platform.notices().is_empty());
-    assert_eq!(banned.ids(), ["banned-1"]);
-    assert!(yes(&dispatcher.ask(&restore("banned"))));
-    eventually("what the ban held", || banned.ids() == ["banned-1", "idle"]);
+    assert_eq!(suspended.ids(), ["suspended-1"]);
+    assert!(is_success(&dispatcher.ask(&restore("suspended"))));
+    eventually("the call at the restored endpoint", || suspended.ids() == ["suspended-1", "idle"]);
 }
 
 #[test]
-fn five_upgrades_in_a_row_with_messages_held() {
+fn five_upgrades_in_a_row_keep_pending_messages() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
-    assert!(yes(&dispatcher.ask(&suspend("e"))));
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
+    assert!(is_success(&dispatcher.ask(&suspend("e"))));
     for i in 0..5 {
         for class in ["safe", "keyed", "unsafe"] {
             assert_eq!(dispatcher.hand_in(class, &format!("{class}-{i}"), 7), 202);
         }
-        let mut old = dispatcher.upgrade();
-        eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
-        stop(&mut old);
+        let mut old_process = dispatcher.upgrade();
+        eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+        stop(&mut old_process);
     }
-    assert_eq!(figures(&dispatcher)["app.open_requests"], 15);
-    assert!(yes(&dispatcher.ask(&restore("e"))));
+    assert_eq!(metrics(&dispatcher)["app.open_requests"], 15);
+    assert!(is_success(&dispatcher.ask(&restore("e"))));
     eventually("all messages", || endpoint.seen().len() >= 15);
     let mut ids = endpoint.ids();
     ids.sort();
     ids.dedup();
-    assert_eq!((ids.len(), endpoint.seen().len()), (15, 15), "each once");
+    assert_eq!((ids.len(), endpoint.seen().len()), (15, 15), "each message is called once");
 }
 
 #[test]
-fn a_process_with_other_settings_takes_what_is_on_record() {
+fn an_upgrade_with_other_settings_recovers_from_the_journal() {
     let script = |n: usize, _: &Http| if n == 0 { Reply::Hang } else { Reply::status(200) };
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
-    let mut dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
-    assert_eq!(dispatcher.hand_in("keyed", "out", 7), 202);
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
+    assert_eq!(dispatcher.hand_in("keyed", "in-flight", 7), 202);
     eventually("the call", || endpoint.seen().len() == 1);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
-    let mut old = dispatcher.upgrade();
-    eventually("the yes", || yes(&dispatcher.ask(&Call::Status)));
+    let mut old_process = dispatcher.upgrade();
+    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
     assert!(dispatcher.logged("with what is on record"));
-    // The old one broke its call off before anything was given: never two attempts at once.
-    eventually("the old one's word", || dispatcher.logged("calls out"));
+    // The old process cancelled its call before the handover, so that no message has two attempts at once.
+    eventually("the old process's log line", || dispatcher.logged("calls out"));
     assert!(dispatcher.logged("; 0 calls out"));
-    eventually("the old call's end", || endpoint.given_up() == 1);
-    eventually("the message again", || endpoint.ids() == ["out", "out"]);
-    stop(&mut old);
-    eventually("its end", || figures(&dispatcher)["app.open_requests"] == 0);
+    eventually("the end of the old call's connection", || endpoint.given_up() == 1);
+    eventually("the retry", || endpoint.ids() == ["in-flight", "in-flight"]);
+    stop(&mut old_process);
+    eventually("the end of the message", || metrics(&dispatcher)["app.open_requests"] == 0);
 }
 
-/// The first line that is answered to a message; none where the connection breaks.
-fn try_hand_in(at: std::net::SocketAddr, id: &str) -> Option<String> {
-    let mut stream = TcpStream::connect(at).ok()?;
+/// Hands in a message and returns the status line of the answer; `None` if the connection breaks.
+fn try_hand_in(address: std::net::SocketAddr, id: &str) -> Option<String> {
+    let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     let head = format!(
         "POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: {id}\r\nRequest-Class: safe\r\nRequest-Timeout-Ms: 15000\r\n\
@@ -211,39 +218,40 @@
 }
 
 #[test]
-fn whoever_is_left_serves_when_the_new_process_is_killed() {
+fn the_old_process_serves_again_when_the_new_one_is_killed() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-    // An address that stays the same where the old process begins anew.
-    let at = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    dispatcher.config["listen"] = at.to_string().into();
+    // A fixed address, which stays the same if the old process restarts.
+    let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    dispatcher.config["listen"] = address.to_string().into();
     dispatcher.start();
     for i in 0..20 {
         let mut child = dispatcher.command().spawn().unwrap();
         thread::sleep(Duration::from_millis(2 * i));
         child.kill().unwrap();
         child.wait().unwrap();
-        // Where it had taken over already, the old one begins anew from what is on record.
+        // If the new process had taken over already, the old one restarts from the journal.
         let id = format!("m{i}");
-        eventually("an answer", || try_hand_in(at, &id).is_some_and(|line| line.contains(" 202 ")));
+        eventually("an answer", || try_hand_in(address, &id).is_some_and(|line| line.contains(" 202 ")));
     }
-    eventually("all", || (0..20).all(|i| endpoint.ids().contains(&format!("m{i}"))));
+    eventually("the calls of all messages", || (0..20).all(|i| endpoint.ids().contains(&format!("m{i}"))));
 }
 
 #[test]
-fn a_process_that_waits_for_the_folder_can_be_told_to_stop() {
+fn a_process_that_waits_for_the_state_directory_stops_on_sigterm() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-    // Somebody owns the folder, and answers nobody.
-    let held = fawnspoke_handover::lock::try_lock(&dispatcher.state()).unwrap();
-    assert!(held.is_some());
-    let door = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut child = dispatcher.command().env("GW_CONTROL", door.to_string()).spawn().unwrap();
-    // Its door answers while it waits.
-    let asked = || fawnspoke_control::client::ask(door, &Call::Status, Duration::from_secs(5));
-    eventually("a no", || asked().is_ok_and(|said| !yes(&said)));
+    // Another process owns the state directory and answers no handover request.
+    let lock = fawnspoke_handover::lock::try_lock(&dispatcher.state()).unwrap();
+    assert!(lock.is_some());
+    let control_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let mut child = dispatcher.command().env("GW_CONTROL", control_address.to_string()).spawn().unwrap();
+    // Its control port answers while it waits.
+    let ask_status =
+        || fawnspoke_control::client::ask(control_address, &Call::Status, Duration::from_secs(5));
+    eventually("a negative status", || ask_status().is_ok_and(|reply| !is_success(&reply)));
     stop(&mut child);
-    drop(held);
+    drop(lock);
     dispatcher.start();
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
 }
@@ -253,52 +261,52 @@
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    // A connection that nobody has accepted yet is served by whoever comes.
-    let mut early = TcpStream::connect(at).unwrap();
-    early.write_all(b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
-    dispatcher.config["listen"] = at.to_string().into();
+    let address = listener.local_addr().unwrap();
+    // The new process serves a connection that was waiting in the backlog.
+    let mut waiting_client = TcpStream::connect(address).unwrap();
+    waiting_client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
+    dispatcher.config["listen"] = address.to_string().into();
     let mut child =
         dispatcher.command().stdin(OwnedFd::from(listener)).env("GW_INHERITED_FD", "0").spawn().unwrap();
     let mut answer = String::new();
-    early.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
-    early.read_to_string(&mut answer).unwrap();
+    waiting_client.set_read_timeout(Some(Duration::from_secs(30))).unwrap();
+    waiting_client.read_to_string(&mut answer).unwrap();
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     child.kill().unwrap();
     child.wait().unwrap();
-    // One that is no socket is told of in a line.
+    // A descriptor that is not a socket is an error.
     let output = dispatcher.command().env("GW_INHERITED_FD", "77").output().unwrap();
     assert_eq!(output.status.code(), Some(1));
 }
 
 #[test]
-fn the_door_answers_beside_callers_that_say_nothing() {
+fn the_control_port_answers_beside_silent_and_malformed_callers() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let dispatcher = with_door(&platform, &[endpoint.host("e", 7, "up")]);
-    let at = dispatcher.control().unwrap();
-    let (mut bad, mut quick) = (Vec::new(), 0);
+    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
+    let address = dispatcher.control().unwrap();
+    let (mut bad_connections, mut quick_replies) = (Vec::new(), 0);
     for i in 0..200 {
-        let mut stream = TcpStream::connect(at).unwrap();
+        let mut stream = TcpStream::connect(address).unwrap();
         match i % 5 {
             0 => {}
             1 => drop(stream.write_all(b"SUSP")),
             2 => drop(stream.write_all(&[0; 64])),
             3 => drop(stream.write_all(&[b'x'; 100_000])),
-            // Several calls in one write, and nothing read.
+            // Several calls in one write; the replies are never read.
             _ => drop(stream.write_all(b"METRICS\nMETRICS\nSUSPEND e\n")),
         }
-        bad.push(stream);
+        bad_connections.push(stream);
         if i % 20 == 0 {
-            let asked = Instant::now();
-            assert!(yes(&dispatcher.ask(&Call::Status)));
-            assert!(yes(&dispatcher.ask(&restore("e"))));
-            assert!(!figures(&dispatcher).is_empty());
-            quick += u32::from(asked.elapsed() < Duration::from_secs(1));
+            let asked_at = Instant::now();
+            assert!(is_success(&dispatcher.ask(&Call::Status)));
+            assert!(is_success(&dispatcher.ask(&restore("e"))));
+            assert!(!metrics(&dispatcher).is_empty());
+            quick_replies += u32::from(asked_at.elapsed() < Duration::from_secs(1));
         }
     }
-    // A busy machine may be late now and then; a door that waits for bad callers is late from the second time on.
-    assert!(quick >= 7, "{quick} of 10 times answered within a second");
-    // What stood behind the first call was no call.
+    // A busy machine may delay some replies; a server blocked by bad callers would be late from the second time on.
+    assert!(quick_replies >= 7, "{quick_replies} of 10 times answered within a second");
+    // Of several calls on one connection only the first counts: the SUSPEND was ignored.
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    eventually("the message", || endpoint.ids() == ["m1"]);
+    eventually("the call", || endpoint.ids() == ["m1"]);
 }
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -1,8 +1,9 @@
-//! For tests alone: preloaded into one process, this library lets its system calls fail as a machine in trouble would.
+//! A fault-injection library for tests. Preloaded into a process (`LD_PRELOAD`), it makes system calls fail the way they
+//! do on a faulty or overloaded machine.
 //!
-//! `MACHINE_FAULTS` names a file of [`FIELDS`] 64-bit numbers in the machine's byte order, one for each [`Field`]. It is
-//! mapped, so what a test writes there holds from the next call on. Without the variable every call is passed on.
-//! Calls on files count as the folder's where their path lies below `GW_STATE`.
+//! `MACHINE_FAULTS` names a control file of [`FIELDS`] 64-bit integers in native byte order, one for each [`Field`]. The
+//! file is mapped, so a value that a test writes takes effect from the next call on. Without the variable, all calls are
+//! passed on. File faults affect only files below the state directory, `GW_STATE`.
 
 #![allow(unsafe_code)]
 
@@ -10,153 +11,157 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
-/// Numbers in the file.
+/// Number of integers in the control file.
 const FIELDS: usize = 16;
-/// Descriptors above this one are never the folder's.
-const DESCRIPTORS_MOST: usize = 4096;
+/// Files with this descriptor or a higher one never count as files of the state directory.
+const MAX_DESCRIPTORS: usize = 4096;
 
-/// What each number of the file means. Zero: no such fault.
+/// The integers of the control file. Zero disables a fault.
 #[repr(usize)]
 enum Field {
-    /// Microseconds by which the wall clock is ahead.
-    WallOffset,
-    /// Calls that change the folder fail with this error.
-    FolderError,
-    /// Bytes that one read from a socket brings at most.
-    ReadMost,
-    /// Bytes that one write to a socket takes at most.
-    WriteMost,
-    /// Every `AcceptEvery`-th accept fails with this error.
+    /// Microseconds added to the wall clock.
+    WallClockOffset,
+    /// Calls that modify the state directory fail with this error.
+    StateDirError,
+    /// Maximum number of bytes that one read from a socket returns.
+    MaxReadBytes,
+    /// Maximum number of bytes that one write to a socket accepts.
+    MaxWriteBytes,
+    /// Every `AcceptErrorInterval`-th accept fails with this error.
     AcceptError,
-    AcceptEvery,
-    /// Every `ConnectEvery`-th connect fails with this error.
+    AcceptErrorInterval,
+    /// Every `ConnectErrorInterval`-th connect fails with this error.
     ConnectError,
-    ConnectEvery,
-    /// Every so many waits are interrupted.
-    InterruptEvery,
-    /// The next write to the folder stops half way, and the process is killed there.
-    TearNext,
-    /// Calls that this library let fail or cut short so far.
-    Faults,
-    /// Calls for a new socket, an epoll or a listening address fail with this error.
+    ConnectErrorInterval,
+    /// Every `InterruptInterval`-th `epoll_wait` fails with `EINTR`.
+    InterruptInterval,
+    /// The next write to the state directory stops half way, and the process is killed.
+    TearNextWrite,
+    /// Number of calls that this library has failed or shortened so far.
+    FaultCount,
+    /// Calls that create a socket or an epoll instance, or that listen, fail with this error.
     SocketError,
-    /// Every `BreakEvery`-th read from or write to a socket that is no look fails with this error.
-    BreakError,
-    BreakEvery,
+    /// Every `TransferErrorInterval`-th `recv` or `send` fails with this error; reads with `MSG_PEEK` don't count.
+    TransferError,
+    TransferErrorInterval,
 }
 
-static FOLDER_FILES: [AtomicBool; DESCRIPTORS_MOST] = [const { AtomicBool::new(false) }; DESCRIPTORS_MOST];
+static STATE_DIR_FILES: [AtomicBool; MAX_DESCRIPTORS] = [const { AtomicBool::new(false) }; MAX_DESCRIPTORS];
 static ACCEPTS: AtomicI64 = AtomicI64::new(0);
 static CONNECTS: AtomicI64 = AtomicI64::new(0);
 static WAITS: AtomicI64 = AtomicI64::new(0);
 static TRANSFERS: AtomicI64 = AtomicI64::new(0);
 
-/// The mapped file, and the folder's path.
-struct Plan {
+/// The mapped control file, and the path of the state directory.
+struct FaultTable {
     fields: &'static [AtomicI64; FIELDS],
-    folder: Vec<u8>,
-}
-
-/// The plan, where this process has one.
-fn plan() -> Option<&'static Plan> {
-    static PLAN: OnceLock<Option<Plan>> = OnceLock::new();
-    PLAN.get_or_init(|| {
-        let path = std::env::var_os("MACHINE_FAULTS")?;
-        let folder = std::env::var_os("GW_STATE")?.into_encoded_bytes();
-        let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
-        // SAFETY: the path ends in a zero byte; the mapping is shared, of whole words, and is never unmapped.
-        unsafe {
-            let file =
-                libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR, 0) as c_int;
-            if file < 0 {
-                return None;
-            }
-            let length = FIELDS * size_of::<AtomicI64>();
-            let flags = libc::PROT_READ | libc::PROT_WRITE;
-            let at = libc::mmap(std::ptr::null_mut(), length, flags, libc::MAP_SHARED, file, 0);
-            libc::syscall(libc::SYS_close, file);
-            if at == libc::MAP_FAILED {
-                return None;
+    state_dir: Vec<u8>,
+}
+
+/// The fault table of this process; `None` where no faults are configured.
+fn fault_table() -> Option<&'static FaultTable> {
+    static TABLE: OnceLock<Option<FaultTable>> = OnceLock::new();
+    TABLE
+        .get_or_init(|| {
+            let path = std::env::var_os("MACHINE_FAULTS")?;
+            let state_dir = std::env::var_os("GW_STATE")?.into_encoded_bytes();
+            let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
+            // SAFETY: the path is NUL-terminated; the mapping is shared, aligned and long enough for the array, and is never
+            // unmapped.
+            unsafe {
+                let file =
+                    libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR, 0) as c_int;
+                if file < 0 {
+                    return None;
+                }
+                let length = FIELDS * size_of::<AtomicI64>();
+                let flags = libc::PROT_READ | libc::PROT_WRITE;
+                let address = libc::mmap(std::ptr::null_mut(), length, flags, libc::MAP_SHARED, file, 0);
+                libc::syscall(libc::SYS_close, file);
+                if address == libc::MAP_FAILED {
+                    return None;
+                }
+                Some(FaultTable { fields: &*address.cast(), state_dir })
             }
-            Some(Plan { fields: &*at.cast(), folder })
-        }
-    })
-    .as_ref()
+        })
+        .as_ref()
 }
 
-/// The number in a field; zero without a plan.
+/// The value of a field; zero without a fault table.
 fn field(field: Field) -> i64 {
-    plan().map_or(0, |plan| plan.fields[field as usize].load(Ordering::Relaxed))
+    fault_table().map_or(0, |table| table.fields[field as usize].load(Ordering::Relaxed))
 }
 
 fn count_fault() {
-    if let Some(plan) = plan() {
-        plan.fields[Field::Faults as usize].fetch_add(1, Ordering::Relaxed);
+    if let Some(table) = fault_table() {
+        table.fields[Field::FaultCount as usize].fetch_add(1, Ordering::Relaxed);
     }
 }
 
-/// Fails with an error.
+/// Sets `errno` and returns the value of a failed call.
 fn fail(error: i64) -> c_int {
     count_fault();
-    // SAFETY: the C library's own place for the error of this thread.
+    // SAFETY: points to the C library's `errno` of this thread.
     unsafe { *libc::__errno_location() = error as c_int };
     -1
 }
 
-/// Whether this call of a kind is one that fails.
-fn is_due(calls: &AtomicI64, every: i64) -> bool {
-    every > 0 && (calls.fetch_add(1, Ordering::Relaxed) + 1) % every == 0
+/// Counts a call and returns whether it has to fail: every `interval`-th does.
+fn is_due(calls: &AtomicI64, interval: i64) -> bool {
+    interval > 0 && (calls.fetch_add(1, Ordering::Relaxed) + 1) % interval == 0
 }
 
-fn is_folder_file(file: c_int) -> bool {
-    usize::try_from(file)
-        .is_ok_and(|file| FOLDER_FILES.get(file).is_some_and(|belongs| belongs.load(Ordering::Relaxed)))
+fn is_state_dir_file(file: c_int) -> bool {
+    usize::try_from(file).is_ok_and(|file| {
+        STATE_DIR_FILES.get(file).is_some_and(|is_inside| is_inside.load(Ordering::Relaxed))
+    })
 }
 
-fn mark(file: c_int, belongs: bool) {
+/// Records whether a descriptor is open on a file of the state directory.
+fn set_state_dir_file(file: c_int, is_inside: bool) {
     if let Ok(file) = usize::try_from(file)
-        && let Some(place) = FOLDER_FILES.get(file)
+        && let Some(entry) = STATE_DIR_FILES.get(file)
     {
-        place.store(belongs, Ordering::Relaxed);
+        entry.store(is_inside, Ordering::Relaxed);
     }
 }
 
-/// Whether a path lies in the folder.
+/// Whether a path lies in the state directory.
 ///
 /// # Safety
-/// The path ends in a zero byte.
-unsafe fn is_in_folder(path: *const c_char) -> bool {
-    // SAFETY: by this function's own condition.
+/// The path must be NUL-terminated.
+unsafe fn is_in_state_dir(path: *const c_char) -> bool {
+    // SAFETY: the caller guarantees it.
     let path = unsafe { std::ffi::CStr::from_ptr(path) }.to_bytes();
-    plan().is_some_and(|plan| path.starts_with(&plan.folder))
+    fault_table().is_some_and(|table| path.starts_with(&table.state_dir))
 }
 
-/// Cuts a length to what one call may move.
-fn cut(length: size_t, most: i64) -> size_t {
-    match usize::try_from(most) {
-        Ok(most @ 1..) if most < length => {
+/// Limits the number of bytes that one call transfers.
+fn limit_length(length: size_t, max_bytes: i64) -> size_t {
+    match usize::try_from(max_bytes) {
+        Ok(max_bytes @ 1..) if max_bytes < length => {
             count_fault();
-            most
+            max_bytes
         }
         _ => length,
     }
 }
 
-// SAFETY of all that follows: each function has the C library's own form and passes its arguments on to the kernel as
-// they came, but for a length that is made smaller.
+// SAFETY of the functions below: each has the signature of the C library's function and passes its arguments on to the
+// kernel unchanged, except for a length that may be reduced.
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
-    let done = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) } as c_int;
-    if done == 0 && clock == libc::CLOCK_REALTIME {
-        let offset = field(Field::WallOffset);
+    let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, time) } as c_int;
+    if result == 0 && clock == libc::CLOCK_REALTIME {
+        let offset = field(Field::WallClockOffset);
         unsafe {
             let nanos = (*time).tv_nsec + offset % 1_000_000 * 1000;
             (*time).tv_sec += offset / 1_000_000 + nanos.div_euclid(1_000_000_000);
             (*time).tv_nsec = nanos.rem_euclid(1_000_000_000);
         }
     }
-    done
+    result
 }
 
 #[unsafe(no_mangle)]
@@ -166,32 +171,33 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if flags & libc::MSG_PEEK == 0 && is_due(&TRANSFERS, field(Field::BreakEvery)) {
-        return fail(field(Field::BreakError)) as ssize_t;
+    if flags & libc::MSG_PEEK == 0 && is_due(&TRANSFERS, field(Field::TransferErrorInterval)) {
+        return fail(field(Field::TransferError)) as ssize_t;
     }
-    let length = if flags & libc::MSG_PEEK == 0 { cut(length, field(Field::ReadMost)) } else { length };
+    let length =
+        if flags & libc::MSG_PEEK == 0 { limit_length(length, field(Field::MaxReadBytes)) } else { length };
     let (from, size) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<c_void>());
     unsafe { libc::syscall(libc::SYS_recvfrom, socket, bytes, length, flags, from, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    if is_due(&TRANSFERS, field(Field::BreakEvery)) {
-        return fail(field(Field::BreakError)) as ssize_t;
+    if is_due(&TRANSFERS, field(Field::TransferErrorInterval)) {
+        return fail(field(Field::TransferError)) as ssize_t;
     }
-    let length = cut(length, field(Field::WriteMost));
+    let length = limit_length(length, field(Field::MaxWriteBytes));
     let (to, size) = (std::ptr::null::<c_void>(), 0);
     unsafe { libc::syscall(libc::SYS_sendto, socket, bytes, length, flags, to, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(file: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let most = field(Field::WriteMost);
-    if most > 0 && count > 0 && !is_folder_file(file) {
-        let filled =
+    let max_bytes = field(Field::MaxWriteBytes);
+    if max_bytes > 0 && count > 0 && !is_state_dir_file(file) {
+        let first_filled =
             (0..count as usize).map(|part| unsafe { &*parts.add(part) }).find(|part| part.iov_len > 0);
-        if let Some(part) = filled {
-            let length = cut(part.iov_len, most);
+        if let Some(part) = first_filled {
+            let length = limit_length(part.iov_len, max_bytes);
             return unsafe { libc::syscall(libc::SYS_write, file, part.iov_base, length) as ssize_t };
         }
     }
@@ -200,12 +206,12 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    if is_folder_file(file) {
-        let error = field(Field::FolderError);
+    if is_state_dir_file(file) {
+        let error = field(Field::StateDirError);
         if error != 0 {
             return fail(error) as ssize_t;
         }
-        if field(Field::TearNext) != 0 && length > 1 {
+        if field(Field::TearNextWrite) != 0 && length > 1 {
             unsafe {
                 libc::syscall(libc::SYS_write, file, bytes, length / 2);
                 libc::kill(libc::getpid(), libc::SIGKILL);
@@ -215,22 +221,22 @@
     unsafe { libc::syscall(libc::SYS_write, file, bytes, length) as ssize_t }
 }
 
-/// A call that changes the folder: it fails, or is passed on.
-fn folder_call(concerned: bool, call: impl FnOnce() -> libc::c_long) -> c_int {
-    match field(Field::FolderError) {
-        error if error != 0 && concerned => fail(error),
+/// A call that may modify the state directory: fails it, or passes it on.
+fn state_dir_call(is_inside: bool, call: impl FnOnce() -> libc::c_long) -> c_int {
+    match field(Field::StateDirError) {
+        error if error != 0 && is_inside => fail(error),
         _ => call() as c_int,
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    let belongs = unsafe { is_in_folder(path) };
-    let opened = folder_call(belongs && flags & libc::O_CREAT != 0, || unsafe {
+    let is_inside = unsafe { is_in_state_dir(path) };
+    let descriptor = state_dir_call(is_inside && flags & libc::O_CREAT != 0, || unsafe {
         libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode)
     });
-    mark(opened, belongs);
-    opened
+    set_state_dir_file(descriptor, is_inside);
+    descriptor
 }
 
 #[unsafe(no_mangle)]
@@ -240,39 +246,41 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(file: c_int) -> c_int {
-    mark(file, false);
+    set_state_dir_file(file, false);
     unsafe { libc::syscall(libc::SYS_close, file) as c_int }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn ftruncate64(file: c_int, length: off64_t) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_ftruncate, file, length) })
+    state_dir_call(is_state_dir_file(file), || unsafe { libc::syscall(libc::SYS_ftruncate, file, length) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_fsync, file) })
+    state_dir_call(is_state_dir_file(file), || unsafe { libc::syscall(libc::SYS_fsync, file) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_fdatasync, file) })
+    state_dir_call(is_state_dir_file(file), || unsafe { libc::syscall(libc::SYS_fdatasync, file) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    let concerned = unsafe { is_in_folder(path) };
-    folder_call(concerned, || unsafe { libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) })
+    let is_inside = unsafe { is_in_state_dir(path) };
+    state_dir_call(is_inside, || unsafe { libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    let concerned = unsafe { is_in_folder(to) };
-    let here = libc::AT_FDCWD;
-    folder_call(concerned, || unsafe { libc::syscall(libc::SYS_renameat2, here, from, here, to, 0) })
+    let is_inside = unsafe { is_in_state_dir(to) };
+    let current_dir = libc::AT_FDCWD;
+    state_dir_call(is_inside, || unsafe {
+        libc::syscall(libc::SYS_renameat2, current_dir, from, current_dir, to, 0)
+    })
 }
 
-/// A call for something that the machine may be short of: it fails, or is passed on.
+/// A call that allocates a kernel resource: fails it, or passes it on.
 fn resource_call(call: impl FnOnce() -> libc::c_long) -> c_int {
     match field(Field::SocketError) {
         0 => call() as c_int,
@@ -296,15 +304,15 @@
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn listen(socket: c_int, most: c_int) -> c_int {
-    resource_call(|| unsafe { libc::syscall(libc::SYS_listen, socket, most) })
+unsafe extern "C" fn listen(socket: c_int, backlog: c_int) -> c_int {
+    resource_call(|| unsafe { libc::syscall(libc::SYS_listen, socket, backlog) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn accept4(
     socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int,
 ) -> c_int {
-    if is_due(&ACCEPTS, field(Field::AcceptEvery)) {
+    if is_due(&ACCEPTS, field(Field::AcceptErrorInterval)) {
         return fail(field(Field::AcceptError));
     }
     unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int }
@@ -312,7 +320,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if is_due(&CONNECTS, field(Field::ConnectEvery)) {
+    if is_due(&CONNECTS, field(Field::ConnectErrorInterval)) {
         return fail(field(Field::ConnectError));
     }
     unsafe { libc::syscall(libc::SYS_connect, socket, address, length) as c_int }
@@ -320,10 +328,10 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_wait(
-    epoll: c_int, events: *mut libc::epoll_event, most: c_int, timeout: c_int,
+    epoll: c_int, events: *mut libc::epoll_event, max_events: c_int, timeout: c_int,
 ) -> c_int {
-    if is_due(&WAITS, field(Field::InterruptEvery)) {
+    if is_due(&WAITS, field(Field::InterruptInterval)) {
         return fail(i64::from(libc::EINTR));
     }
-    unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, most, timeout) as c_int }
+    unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, max_events, timeout) as c_int }
 }
