--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -4,7 +4,7 @@
 
 use clap::{Args, Parser, Subcommand};
 use fawnspoke_control::client;
-use fawnspoke_control::protocol::{Call, Reply};
+use fawnspoke_control::protocol::{Request, Response};
 use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
 use fawnspoke_lab::bench::Settings;
 use fawnspoke_lab::command;
@@ -331,13 +331,13 @@
         _ => None,
     };
     let call = match args.command {
-        ControlCommand::Status => Call::Status,
-        ControlCommand::Metrics => Call::Metrics,
-        ControlCommand::Members | ControlCommand::Duties => Call::Fleet,
-        ControlCommand::Suspend { id } => Call::Suspend(id),
-        ControlCommand::Restore { id } => Call::Restore(id),
+        ControlCommand::Status => Request::Status,
+        ControlCommand::Metrics => Request::Metrics,
+        ControlCommand::Members | ControlCommand::Duties => Request::Fleet,
+        ControlCommand::Suspend { id } => Request::Suspend(id),
+        ControlCommand::Restore { id } => Request::Restore(id),
     };
-    let reply = match client::ask(args.address, &call, Duration::from_secs_f64(args.timeout)) {
+    let reply = match client::send_request(args.address, &call, Duration::from_secs_f64(args.timeout)) {
         Ok(reply) => reply,
         Err(error) => {
             eprintln!("fawnspoke: {}: {error}", args.address);
@@ -345,21 +345,25 @@
         }
     };
     let (text, code) = match (&reply, args.json) {
-        (Reply::Yes(text), json) if table_formatter.is_some() => {
+        (Response::Success(text), json) if table_formatter.is_some() => {
             match (serde_json::from_str(text), table_formatter) {
                 (Ok(fleet), Some(format_table)) if !json => (format_table(&fleet), 0),
                 _ => (text.clone(), 0),
             }
         }
-        (Reply::Yes(text), true) => (serde_json::json!({"success": true, "text": text}).to_string(), 0),
-        (Reply::No(text), true) => (serde_json::json!({"success": false, "text": text}).to_string(), 1),
-        (Reply::Yes(text), false) => (format!("yes: {text}"), 0),
-        (Reply::No(text), false) => (format!("no: {text}"), 1),
-        (Reply::Figures(metrics), true) => {
+        (Response::Success(text), true) => {
+            (serde_json::json!({"success": true, "text": text}).to_string(), 0)
+        }
+        (Response::Failure(text), true) => {
+            (serde_json::json!({"success": false, "text": text}).to_string(), 1)
+        }
+        (Response::Success(text), false) => (format!("yes: {text}"), 0),
+        (Response::Failure(text), false) => (format!("no: {text}"), 1),
+        (Response::Metrics(metrics), true) => {
             let members = metrics.iter().map(|(name, value, _)| (name.clone(), (*value).into()));
             (serde_json::Value::Object(members.collect()).to_string(), 0)
         }
-        (Reply::Figures(metrics), false) => {
+        (Response::Metrics(metrics), false) => {
             let lines = metrics.iter().map(|(name, value, _)| format!("{value:>12}  {name}"));
             (lines.collect::<Vec<_>>().join("\n"), 0)
         }
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -492,7 +492,7 @@
     let faults = FaultInjector::attach(&mut dispatcher);
     dispatcher.start();
     faults.set(Field::StateDirError, libc::ENOSPC.into());
-    let answer = dispatcher.ask(&fawnspoke_control::protocol::Call::Suspend("e".into()));
+    let answer = dispatcher.ask(&fawnspoke_control::protocol::Request::Suspend("e".into()));
     let text = format!("{answer:?}");
     assert!(text.contains("not on record"), "{text}");
     faults.set(Field::StateDirError, 0);
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -1,7 +1,7 @@
 //! Operating a running dispatcher: queries and commands on its control port, and upgrades.
 
 use crate::support::*;
-use fawnspoke_control::protocol::{Call, Reply as ControlReply};
+use fawnspoke_control::protocol::{Request, Response as ControlReply};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -16,24 +16,24 @@
     dispatcher.door = true;
     dispatcher.start();
     // The process listens shortly before its status is ready.
-    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
     dispatcher
 }
 
-fn suspend(id: &str) -> Call {
-    Call::Suspend(id.into())
+fn suspend(id: &str) -> Request {
+    Request::Suspend(id.into())
 }
 
-fn restore(id: &str) -> Call {
-    Call::Restore(id.into())
+fn restore(id: &str) -> Request {
+    Request::Restore(id.into())
 }
 
 fn is_success(reply: &ControlReply) -> bool {
-    matches!(reply, ControlReply::Yes(_))
+    matches!(reply, ControlReply::Success(_))
 }
 
 fn metrics(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let ControlReply::Figures(metrics) = dispatcher.ask(&Call::Metrics) else { panic!("no metrics") };
+    let ControlReply::Metrics(metrics) = dispatcher.ask(&Request::Metrics) else { panic!("no metrics") };
     metrics.into_iter().map(|(name, value, _)| (name, value)).collect()
 }
 
@@ -142,7 +142,7 @@
 
     let mut old_process = dispatcher.upgrade();
     assert_ne!(dispatcher.control(), old_control_address);
-    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
     // Both connections continue in the new process.
     partial_client.write(b"56789");
     assert_eq!(partial_client.answer().status(), 202);
@@ -171,7 +171,7 @@
             assert_eq!(dispatcher.hand_in(class, &format!("{class}-{i}"), 7), 202);
         }
         let mut old_process = dispatcher.upgrade();
-        eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+        eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
         stop(&mut old_process);
     }
     assert_eq!(metrics(&dispatcher)["app.open_requests"], 15);
@@ -192,7 +192,7 @@
     eventually("the call", || endpoint.seen().len() == 1);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old_process = dispatcher.upgrade();
-    eventually("the ready status", || is_success(&dispatcher.ask(&Call::Status)));
+    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
     assert!(dispatcher.logged("with what is on record"));
     // The old process cancelled its call before the handover, so that no message has two attempts at once.
     eventually("the old process's log line", || dispatcher.logged("calls out"));
@@ -248,7 +248,7 @@
     let mut child = dispatcher.command().env("GW_CONTROL", control_address.to_string()).spawn().unwrap();
     // Its control port answers while it waits.
     let ask_status =
-        || fawnspoke_control::client::ask(control_address, &Call::Status, Duration::from_secs(5));
+        || fawnspoke_control::client::send_request(control_address, &Request::Status, Duration::from_secs(5));
     eventually("a negative status", || ask_status().is_ok_and(|reply| !is_success(&reply)));
     stop(&mut child);
     drop(lock);
@@ -298,7 +298,7 @@
         bad_connections.push(stream);
         if i % 20 == 0 {
             let asked_at = Instant::now();
-            assert!(is_success(&dispatcher.ask(&Call::Status)));
+            assert!(is_success(&dispatcher.ask(&Request::Status)));
             assert!(is_success(&dispatcher.ask(&restore("e"))));
             assert!(!metrics(&dispatcher).is_empty());
             quick_replies += u32::from(asked_at.elapsed() < Duration::from_secs(1));
