--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -322,29 +322,29 @@
     }
 }
 
-/// Sends a call to the control port and prints the reply. Exit code 0 for success or metrics, 1 for a negative reply, 2
-/// without a reply.
+/// Sends a request to the control port and prints the response. Exit code 0 for success or metrics, 1 for a negative
+/// response, 2 without a response.
 fn run_control(args: ControlArgs) -> ExitCode {
     let table_formatter: Option<fn(&serde_json::Value) -> String> = match args.command {
         ControlCommand::Members => Some(fleet::format_members),
         ControlCommand::Duties => Some(fleet::format_duties),
         _ => None,
     };
-    let call = match args.command {
+    let request = match args.command {
         ControlCommand::Status => Request::Status,
         ControlCommand::Metrics => Request::Metrics,
         ControlCommand::Members | ControlCommand::Duties => Request::Fleet,
         ControlCommand::Suspend { id } => Request::Suspend(id),
         ControlCommand::Restore { id } => Request::Restore(id),
     };
-    let reply = match client::send_request(args.address, &call, Duration::from_secs_f64(args.timeout)) {
-        Ok(reply) => reply,
+    let response = match client::send_request(args.address, &request, Duration::from_secs_f64(args.timeout)) {
+        Ok(response) => response,
         Err(error) => {
             eprintln!("fawnspoke: {}: {error}", args.address);
             return ExitCode::from(2);
         }
     };
-    let (text, code) = match (&reply, args.json) {
+    let (text, code) = match (&response, args.json) {
         (Response::Success(text), json) if table_formatter.is_some() => {
             match (serde_json::from_str(text), table_formatter) {
                 (Ok(fleet), Some(format_table)) if !json => (format_table(&fleet), 0),
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -465,7 +465,7 @@
 #[test]
 fn requests_with_almost_no_time_left_end_on_time() {
     let platform = Platform::start();
-    let (dispatcher, _machine) = start_with_draining_endpoint(&platform);
+    let (dispatcher, _faults) = start_with_draining_endpoint(&platform);
     for (number, timeout_ms) in [0, 1, 5, 30, 100].into_iter().enumerate() {
         for class in ["safe", "keyed", "unsafe"] {
             let (id, handed_in_at) = (format!("{class}{number}"), Instant::now());
@@ -514,10 +514,10 @@
         dispatcher.door = true;
         let faults = FaultInjector::attach(&mut dispatcher);
         faults.set(Field::SocketError, error.into());
-        let faulty_machine = faults.clone();
+        let faults_to_clear = faults.clone();
         let fault = thread::spawn(move || {
             thread::sleep(Duration::from_millis(1000));
-            faulty_machine.set(Field::SocketError, 0);
+            faults_to_clear.set(Field::SocketError, 0);
         });
         dispatcher.start();
         fault.join().unwrap();
@@ -531,14 +531,14 @@
 /// is not sent again, and every accepted message ends.
 #[test]
 fn network_errors_on_transfers_count_as_broken_connections() {
-    for (error, every) in [(libc::ETIMEDOUT, 7), (libc::EHOSTUNREACH, 5), (libc::ENETUNREACH, 11)] {
+    for (error, interval) in [(libc::ETIMEDOUT, 7), (libc::EHOSTUNREACH, 5), (libc::ENETUNREACH, 11)] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
         let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         faults.set(Field::TransferError, error.into());
-        faults.set(Field::TransferErrorInterval, every);
+        faults.set(Field::TransferErrorInterval, interval);
         let unused_client = dispatcher.connect();
         drop(unused_client);
         let mut accepted = Vec::new();
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -1,7 +1,7 @@
 //! Operating a running dispatcher: queries and commands on its control port, and upgrades.
 
 use crate::support::*;
-use fawnspoke_control::protocol::{Request, Response as ControlReply};
+use fawnspoke_control::protocol::{Request, Response as ControlResponse};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -28,12 +28,12 @@
     Request::Restore(id.into())
 }
 
-fn is_success(reply: &ControlReply) -> bool {
-    matches!(reply, ControlReply::Success(_))
+fn is_success(response: &ControlResponse) -> bool {
+    matches!(response, ControlResponse::Success(_))
 }
 
 fn metrics(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let ControlReply::Metrics(metrics) = dispatcher.ask(&Request::Metrics) else { panic!("no metrics") };
+    let ControlResponse::Metrics(metrics) = dispatcher.ask(&Request::Metrics) else { panic!("no metrics") };
     metrics.into_iter().map(|(name, value, _)| (name, value)).collect()
 }
 
@@ -249,7 +249,7 @@
     // Its control port answers while it waits.
     let ask_status =
         || fawnspoke_control::client::send_request(control_address, &Request::Status, Duration::from_secs(5));
-    eventually("a negative status", || ask_status().is_ok_and(|reply| !is_success(&reply)));
+    eventually("a negative status", || ask_status().is_ok_and(|response| !is_success(&response)));
     stop(&mut child);
     drop(lock);
     dispatcher.start();
@@ -284,7 +284,7 @@
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
     let address = dispatcher.control().unwrap();
-    let (mut bad_connections, mut quick_replies) = (Vec::new(), 0);
+    let (mut bad_connections, mut quick_responses) = (Vec::new(), 0);
     for i in 0..200 {
         let mut stream = TcpStream::connect(address).unwrap();
         match i % 5 {
@@ -292,7 +292,7 @@
             1 => drop(stream.write_all(b"SUSP")),
             2 => drop(stream.write_all(&[0; 64])),
             3 => drop(stream.write_all(&[b'x'; 100_000])),
-            // Several calls in one write; the replies are never read.
+            // Several requests in one write; the responses are never read.
             _ => drop(stream.write_all(b"METRICS\nMETRICS\nSUSPEND e\n")),
         }
         bad_connections.push(stream);
@@ -301,12 +301,12 @@
             assert!(is_success(&dispatcher.ask(&Request::Status)));
             assert!(is_success(&dispatcher.ask(&restore("e"))));
             assert!(!metrics(&dispatcher).is_empty());
-            quick_replies += u32::from(asked_at.elapsed() < Duration::from_secs(1));
+            quick_responses += u32::from(asked_at.elapsed() < Duration::from_secs(1));
         }
     }
-    // A busy machine may delay some replies; a server blocked by bad callers would be late from the second time on.
-    assert!(quick_replies >= 7, "{quick_replies} of 10 times answered within a second");
-    // Of several calls on one connection only the first counts: the SUSPEND was ignored.
+    // A busy machine may delay some responses; a server blocked by bad callers would be late from the second time on.
+    assert!(quick_responses >= 7, "{quick_responses} of 10 times answered within a second");
+    // Of several requests on one connection only the first counts: the SUSPEND was ignored.
     assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
     eventually("the call", || endpoint.ids() == ["m1"]);
 }
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -178,11 +178,9 @@
     while !stop.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(rng.u64(5..40)));
         earlier_requests = if stream.is_some() { earlier_requests + 1 } else { 0 };
-        let Some(mut connection) = stream.take().or_else(|| TcpStream::connect(address).ok()) else {
-            continue;
-        };
-        let _ = connection.set_nodelay(true);
-        let _ = connection.set_read_timeout(Some(Duration::from_secs(2)));
+        let Some(mut socket) = stream.take().or_else(|| TcpStream::connect(address).ok()) else { continue };
+        let _ = socket.set_nodelay(true);
+        let _ = socket.set_read_timeout(Some(Duration::from_secs(2)));
         count += 1;
         let class = ["safe", "keyed", "unsafe"][rng.usize(..3)];
         let id = format!("{}-{number}-{count}", &class[..1]);
@@ -194,7 +192,7 @@
             timeout.as_millis()
         );
         let (sent_at, was_alive) = (Instant::now(), alive.load(Ordering::SeqCst));
-        let result = send_request(&mut connection, request.as_bytes());
+        let result = send_request(&mut socket, request.as_bytes());
         let killed = !was_alive || !alive.load(Ordering::SeqCst);
         match result {
             RequestResult::Status(status, stays_open) => {
@@ -207,7 +205,7 @@
                 if ![200, 202, 429, 503].contains(&status) {
                     observations.report_violation(format!("{id}: a valid request was answered {status}"));
                 }
-                stream = stays_open.then_some(connection);
+                stream = stays_open.then_some(socket);
             }
             RequestResult::ClosedWithoutAnswer if !killed => observations.report_violation(format!(
                 "{id}: read, and its connection closed without an answer (request {} on it)",
