--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -1,7 +1,7 @@
 //! Tests with faults of the machine: steps of the wall clock, a state directory that rejects writes, system calls that fail
 //! or transfer less than asked. A preloaded library (`crates/machine-faults`) injects them into the dispatcher's process.
 
-use crate::gated::Gated;
+use crate::manual_endpoint::ManualEndpoint;
 use crate::support::*;
 use std::fs::{self, File};
 use std::os::unix::fs::FileExt;
@@ -136,14 +136,14 @@
 #[test]
 fn a_wall_clock_step_back_does_not_extend_the_repeat_window() {
     for seconds in [-3600, -2, 0] {
-        let (gated, platform) = (Gated::open(), Platform::start());
+        let (gated, platform) = (ManualEndpoint::start(), Platform::start());
         let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7)]);
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
         let mut peer = gated.accept();
-        assert!(peer.request().is_some());
+        assert!(peer.read_request().is_some());
         let called_at = Instant::now();
         dispatcher.kill();
         faults.step_wall_clock(seconds);
@@ -161,7 +161,7 @@
 }
 
 /// Whether no connection waits at the endpoint.
-fn has_no_connection(gated: &Gated) -> bool {
+fn has_no_connection(gated: &ManualEndpoint) -> bool {
     gated.accept_within(Duration::ZERO).is_none()
 }
 
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -1,19 +1,19 @@
 //! End-to-end tests of the dispatcher as a process on loopback sockets, against the lab's stand-ins.
 //! Tests wait for conditions with a long timeout, so that they pass on a busy machine.
 
-mod answers;
 mod churn;
 mod clients;
 mod closing;
-mod crossings;
-mod gated;
 mod limits;
 mod machine_faults;
+mod malformed_responses;
+mod manual_endpoint;
 mod operations;
+mod races;
 mod reload;
 mod settings;
+mod shutdown;
 mod soak;
-mod stopping;
 mod support;
 mod watch;
 
