--- a/crates/fawnspoke/tests/journal.rs
+++ b/crates/fawnspoke/tests/journal.rs
@@ -206,8 +206,8 @@
 fn a_directory_without_a_journal_is_a_one_line_error() {
     let directory = TempDir::new("nothing");
     for command in ["show", "verify", "dump"] {
-        let (code, out, error) = run(&[command], &directory.0);
-        assert_eq!((code, out.as_str(), error.lines().count()), (Some(2), "", 1), "{error}");
+        let (code, output, error) = run(&[command], &directory.0);
+        assert_eq!((code, output.as_str(), error.lines().count()), (Some(2), "", 1), "{error}");
         assert!(error.contains("no journal there"), "{error}");
         let (code, _, error) = run(&[command], &directory.0.join("missing"));
         assert_eq!((code, error.lines().count()), (Some(2), 1), "{error}");
