--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -6,7 +6,7 @@
 use fawnspoke_control::client;
 use fawnspoke_control::protocol::{Request, Response};
 use fawnspoke_journal::inspect::{self, InspectError, RepairReport};
-use fawnspoke_lab::bench::Settings;
+use fawnspoke_lab::bench::BenchSettings;
 use fawnspoke_lab::command;
 use std::io::{BufWriter, ErrorKind, Write};
 use std::net::SocketAddr;
@@ -260,10 +260,10 @@
     if (0.001..=60.0).contains(&number) { Ok(number) } else { Err("must lie between 0.001 and 60".into()) }
 }
 
-impl From<RunArgs> for command::Play {
-    fn from(args: RunArgs) -> command::Play {
+impl From<RunArgs> for command::PlayOptions {
+    fn from(args: RunArgs) -> command::PlayOptions {
         let RunArgs { seed, seeds, fault, program, record, logs } = args;
-        command::Play { seed, seeds, broken: fault, program, record, logs }
+        command::PlayOptions { seed, seeds, naive_fault: broken: fault, program, record, logs }
     }
 }
 
@@ -281,17 +281,19 @@
         Command::Lab(LabCommand::Audit { record }) => command::audit(&record),
         Command::Lab(LabCommand::Bench { seconds, body, connections, slots, tick_ms, program }) => {
             let (body, connections, slots) = (body as usize, connections as usize, slots as usize);
-            command::bench(&Settings { seconds, body, connections, slots, tick_ms, program })
+            command::bench(&BenchSettings { seconds, body, connections, slots, tick_ms, program })
         }
         Command::Lab(LabCommand::Fleet { logs, interval }) => command::fleet(&logs, interval),
         Command::Lab(LabCommand::Losses { logs, baseline, json }) => {
             command::losses(&logs, baseline.as_deref(), json)
         }
-        Command::Lab(LabCommand::Failover { terms, times }) => command::handing_on(&terms, times as usize),
+        Command::Lab(LabCommand::Failover { terms, times }) => {
+            command::measure_duty_failover(&terms, times as usize)
+        }
         Command::Lab(LabCommand::Trials { count, outage_seconds, messages_per_second }) => {
-            command::tries(count as usize, outage_seconds, messages_per_second)
+            command::measure_trials(count as usize, outage_seconds, messages_per_second)
         }
-        Command::Lab(LabCommand::IdleCost { counts, seconds }) => command::rest(&counts, seconds),
+        Command::Lab(LabCommand::IdleCost { counts, seconds }) => command::measure_idle_cost(&counts, seconds),
         Command::Lab(LabCommand::Proxy { listen, to }) => command::proxy(listen, to),
         Command::Lab(LabCommand::Naive { fault }) => command::naive(&fault),
         Command::Control(args) => run_control(args),
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -43,9 +43,9 @@
     pub fn attach(dispatcher: &mut Dispatcher) -> FaultInjector {
         let library = std::env::current_exe().unwrap().with_file_name("libmachine_faults.so");
         assert!(library.exists(), "{} is built with the tests", library.display());
-        let path = dispatcher.state().with_file_name("machine");
+        let path = dispatcher.state_dir().with_file_name("machine");
         fs::write(&path, [0; FIELDS * 8]).unwrap();
-        dispatcher.before =
+        dispatcher.shell_prelude =
             format!("export MACHINE_FAULTS='{}' LD_PRELOAD='{}';", path.display(), library.display());
         FaultInjector { path }
     }
@@ -85,7 +85,7 @@
 
 /// Starts a dispatcher whose only endpoint is draining, so that messages for destination 7 stay queued.
 fn start_with_draining_endpoint(platform: &Platform) -> (Dispatcher, FaultInjector) {
-    let mut dispatcher = Dispatcher::new(platform, &[held(7)]);
+    let mut dispatcher = Dispatcher::new(platform, &[draining_endpoint(7)]);
     let faults = FaultInjector::attach(&mut dispatcher);
     dispatcher.start();
     (dispatcher, faults)
@@ -97,14 +97,14 @@
     let ids: Vec<String> = (0..count).map(|number| format!("m{number}")).collect();
     for (number, id) in ids.iter().enumerate() {
         let class = ["safe", "keyed", "unsafe"][number % 3];
-        assert_eq!(client.hand_in(class, id, 7, timeout_ms, b"x").status(), 202);
+        assert_eq!(client.submit(class, id, 7, timeout_ms, b"x").status(), 202);
     }
     ids
 }
 
 /// Whether each of the messages was called exactly once, and no other was.
 fn all_called_once(endpoint: &Endpoint, ids: &[String]) -> bool {
-    let mut called = endpoint.ids();
+    let mut called = endpoint.message_ids();
     called.sort();
     let mut expected = ids.to_vec();
     expected.sort();
@@ -119,9 +119,11 @@
     dispatcher.kill();
     faults.step_wall_clock(seconds);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("the end of each message", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+    eventually("the end of each message", || {
+        endpoint.requests().len() + platform.notices().len() >= ids.len()
+    });
     assert_eq!(platform.notices(), [] as [serde_json::Value; 0], "{seconds} s");
     assert!(all_called_once(&endpoint, &ids));
 }
@@ -141,7 +143,7 @@
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
-        assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
+        assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
         let mut peer = gated.accept();
         assert!(peer.read_request().is_some());
         let called_at = Instant::now();
@@ -150,10 +152,10 @@
         eventually("the end of the repeat window", || called_at.elapsed() > Duration::from_secs(3));
         dispatcher.start();
         eventually("a notice or a repeated call", || {
-            !platform.told("m1").is_empty() || !has_no_connection(&gated)
+            !platform.outcomes("m1").is_empty() || !has_no_connection(&gated)
         });
         assert_eq!(
-            platform.told("m1"),
+            platform.outcomes("m1"),
             ["handed_back"],
             "{seconds} s: it may have run, and its key has expired"
         );
@@ -178,12 +180,12 @@
     });
     let started_at = Instant::now();
     let ids = hand_in_messages(&dispatcher, 60, 2500);
-    let long_lived = dispatcher.connect().hand_in("safe", "long", 7, 19_000, b"x");
+    let long_lived = dispatcher.connect().submit("safe", "long", 7, 19_000, b"x");
     assert_eq!(long_lived.status(), 202);
-    eventually("the notices of all messages", || ids.iter().all(|id| !platform.told(id).is_empty()));
+    eventually("the notices of all messages", || ids.iter().all(|id| !platform.outcomes(id).is_empty()));
     let elapsed = started_at.elapsed();
     assert!(elapsed > Duration::from_millis(2000) && elapsed < Duration::from_millis(2900), "{elapsed:?}");
-    assert!(platform.told("long").is_empty());
+    assert!(platform.outcomes("long").is_empty());
     stepping.join().unwrap();
 }
 
@@ -194,17 +196,17 @@
     let ids = hand_in_messages(&dispatcher, 9, 15_000);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     let fault = faults.fail_writes(error, Duration::from_millis(1500));
     let started_at = Instant::now();
     dispatcher.start();
     assert!(started_at.elapsed() < Duration::from_millis(2500), "{:?}", started_at.elapsed());
     fault.join().unwrap();
     assert!(faults.fault_count() > 0);
-    eventually("all calls", || endpoint.seen().len() >= ids.len());
+    eventually("all calls", || endpoint.requests().len() >= ids.len());
     assert!(all_called_once(&endpoint, &ids));
     assert!(platform.notices().is_empty());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
 }
 
 #[test]
@@ -240,28 +242,28 @@
     let ids = hand_in_messages(&dispatcher, 10, 12_000);
     let endpoint = Endpoint::start(|_, _| ok());
     let fault = faults.fail_writes(error, Duration::from_millis(2000));
-    platform.push(2, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
     // Messages that may be repeated are sent; new messages are rejected with a Retry-After.
-    eventually("the calls that need no record", || endpoint.seen().len() >= 4);
-    let answer = dispatcher.connect().hand_in("safe", "new", 7, 15_000, b"x");
+    eventually("the calls that need no record", || endpoint.requests().len() >= 4);
+    let answer = dispatcher.connect().submit("safe", "new", 7, 15_000, b"x");
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
     fault.join().unwrap();
     let fault_ended_at = Instant::now();
-    eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+    eventually("all calls", || endpoint.requests().len() + platform.notices().len() >= ids.len());
     assert!(fault_ended_at.elapsed() < Duration::from_millis(500), "{:?}", fault_ended_at.elapsed());
-    assert!(all_called_once(&endpoint, &ids), "{:?} {:?}", endpoint.ids(), platform.notices());
+    assert!(all_called_once(&endpoint, &ids), "{:?} {:?}", endpoint.message_ids(), platform.notices());
     assert!(platform.notices().is_empty());
-    assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-    eventually("the last call", || endpoint.ids().contains(&"after".to_string()));
+    assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+    eventually("the last call", || endpoint.message_ids().contains(&"after".to_string()));
     // The next process doesn't send the ended messages again.
-    eventually("a write to the journal", || dispatcher.hand_in("unsafe", "m2", 7) == 202);
+    eventually("a write to the journal", || dispatcher.submit("unsafe", "m2", 7) == 202);
     dispatcher.kill();
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "later", 7), 202);
-    eventually("the new call", || endpoint.ids().contains(&"later".to_string()));
-    assert_eq!(endpoint.seen().len(), ids.len() + 2);
+    assert_eq!(dispatcher.submit("safe", "later", 7), 202);
+    eventually("the new call", || endpoint.message_ids().contains(&"later".to_string()));
+    assert_eq!(endpoint.requests().len(), ids.len() + 2);
 }
 
 #[test]
@@ -277,19 +279,19 @@
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
     let mut client = dispatcher.connect();
     for id in ["u1", "u2", "u3"] {
-        assert_eq!(client.hand_in("unsafe", id, 7, 15_000, b"x").status(), 202);
+        assert_eq!(client.submit("unsafe", id, 7, 15_000, b"x").status(), 202);
     }
     let endpoint = Endpoint::start(|_, _| ok());
     faults.set(Field::StateDirError, libc::ENOSPC.into());
-    platform.push(2, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
     let faults_before = faults.fault_count();
     eventually("failed records of the calls' starts", || faults.fault_count() >= faults_before + 3);
     dispatcher.kill();
-    assert!(endpoint.seen().is_empty() && platform.notices().is_empty());
+    assert!(endpoint.requests().is_empty() && platform.notices().is_empty());
     faults.set(Field::StateDirError, 0);
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("the calls of all messages", || endpoint.seen().len() + platform.notices().len() >= 3);
+    eventually("the calls of all messages", || endpoint.requests().len() + platform.notices().len() >= 3);
     assert!(platform.notices().is_empty(), "none of them can have run: {:?}", platform.notices());
 }
 
@@ -305,12 +307,12 @@
     assert!(!dispatcher.wait(), "the process is killed during the write");
     faults.set(Field::TearNextWrite, 0);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("all calls", || endpoint.seen().len() >= ids.len());
-    assert_eq!(dispatcher.hand_in("unsafe", "after", 7), 202);
-    eventually("the new call", || endpoint.ids().contains(&"after".to_string()));
-    assert!(!endpoint.ids().contains(&"torn".to_string()));
+    eventually("all calls", || endpoint.requests().len() >= ids.len());
+    assert_eq!(dispatcher.submit("unsafe", "after", 7), 202);
+    eventually("the new call", || endpoint.message_ids().contains(&"after".to_string()));
+    assert!(!endpoint.message_ids().contains(&"torn".to_string()));
 }
 
 /// Short reads and writes on the connections of clients, calls, the watch and notices.
@@ -318,27 +320,27 @@
 fn short_reads_and_writes_break_no_connection() {
     for (read, write) in [(1, 0), (0, 1), (1, 1), (7, 5)] {
         let endpoint = Endpoint::start(|_, request| match request.header("request-id") {
-            Some(id) if id.starts_with("bad") => Reply::Break,
+            Some(id) if id.starts_with("bad") => Reply::Disconnect,
             _ => ok(),
         });
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[held(8)]);
+        let mut dispatcher = Dispatcher::new(&platform, &[draining_endpoint(8)]);
         let faults = FaultInjector::attach(&mut dispatcher);
         faults.set(Field::MaxReadBytes, read);
         faults.set(Field::MaxWriteBytes, write);
         dispatcher.start();
-        eventually("the watch", || !platform.watched_from().is_empty());
-        platform.push(2, &[endpoint.host("e", 7, "up")]);
-        dispatcher.hand_in_once_listed("safe", "first", 7);
+        eventually("the watch", || !platform.watch_paths().is_empty());
+        platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
+        dispatcher.submit_once_listed("safe", "first", 7);
         let mut client = dispatcher.connect();
         for number in 0..20 {
             let body = vec![b'x'; number * 40];
-            let answer = client.hand_in("safe", &format!("m{number}"), 7, 15_000, &body);
+            let answer = client.submit("safe", &format!("m{number}"), 7, 15_000, &body);
             assert_eq!(answer.status(), 202, "{read} {write}: m{number}");
         }
-        assert_eq!(client.hand_in("unsafe", "bad", 7, 15_000, b"x").status(), 202);
-        eventually("all calls", || endpoint.seen().len() == 22);
-        eventually("the notice", || platform.told("bad") == ["given_up"]);
+        assert_eq!(client.submit("unsafe", "bad", 7, 15_000, b"x").status(), 202);
+        eventually("all calls", || endpoint.requests().len() == 22);
+        eventually("the notice", || platform.outcomes("bad") == ["given_up"]);
         assert!(faults.fault_count() > 0);
     }
 }
@@ -352,12 +354,12 @@
     for (round, accept_error) in accept_errors.into_iter().enumerate() {
         let endpoint = Endpoint::start(|_, _| Reply::AnswerAndClose(200));
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         let mut idle_clients: Vec<_> = (0..5).map(|_| dispatcher.connect()).collect();
         for (number, client) in idle_clients.iter_mut().enumerate() {
-            assert_eq!(client.hand_in("safe", &format!("r{number}"), 7, 15_000, b"x").status(), 202);
+            assert_eq!(client.submit("safe", &format!("r{number}"), 7, 15_000, b"x").status(), 202);
         }
         faults.set(Field::AcceptError, accept_error.into());
         faults.set(Field::ConnectError, connect_errors[round % connect_errors.len()].into());
@@ -367,16 +369,16 @@
         for number in 0..10 {
             let id = format!("m{number}");
             assert_eq!(
-                dispatcher.connect().hand_in("safe", &id, 7, 15_000, b"x").status(),
+                dispatcher.connect().submit("safe", &id, 7, 15_000, b"x").status(),
                 202,
                 "{accept_error}"
             );
         }
         for (number, client) in idle_clients.iter_mut().enumerate() {
-            let answer = client.hand_in("safe", &format!("again{number}"), 7, 15_000, b"x");
+            let answer = client.submit("safe", &format!("again{number}"), 7, 15_000, b"x");
             assert_eq!(answer.status(), 202, "{accept_error}: an idle client keeps its connection");
         }
-        eventually("all calls", || endpoint.seen().len() == 20);
+        eventually("all calls", || endpoint.requests().len() == 20);
         assert!(platform.notices().is_empty());
     }
 }
@@ -389,7 +391,7 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["listen"] = address.to_string().into();
     let full = File::options().write(true).open("/dev/full").unwrap();
     let mut child = dispatcher.command().stdout(full.try_clone().unwrap()).stderr(full).spawn().unwrap();
@@ -415,7 +417,7 @@
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
     let handed_in_at = Instant::now();
-    assert_eq!(dispatcher.connect().hand_in("unsafe", "m1", 7, 4900, b"x").status(), 202);
+    assert_eq!(dispatcher.connect().submit("unsafe", "m1", 7, 4900, b"x").status(), 202);
     faults.set(Field::StateDirError, libc::EIO.into());
     dispatcher.signal("TERM");
     // The notice is due before the process has to exit.
@@ -423,12 +425,14 @@
     dispatcher.kill();
     faults.set(Field::StateDirError, 0);
     let endpoint = Endpoint::start(|_, _| ok());
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7, "up")]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
     dispatcher.start();
-    eventually("a call or a notice", || !endpoint.seen().is_empty() || !platform.told("m1").is_empty());
+    eventually("a call or a notice", || {
+        !endpoint.requests().is_empty() || !platform.outcomes("m1").is_empty()
+    });
     thread::sleep(Duration::from_millis(300));
     assert!(
-        endpoint.seen().is_empty() || platform.told("m1").is_empty(),
+        endpoint.requests().is_empty() || platform.outcomes("m1").is_empty(),
         "the message was both handed back and sent"
     );
 }
@@ -446,16 +450,16 @@
         let mut old_process = dispatcher.upgrade();
         fault.join().unwrap();
         let endpoint = Endpoint::start(|_, _| ok());
-        platform.push(2, &[endpoint.host("e", 7, "up")]);
-        eventually("all calls", || endpoint.seen().len() + platform.notices().len() >= ids.len());
+        platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
+        eventually("all calls", || endpoint.requests().len() + platform.notices().len() >= ids.len());
         assert!(
             all_called_once(&endpoint, &ids),
             "{fault_ms} ms: {:?} {:?}",
-            endpoint.ids(),
+            endpoint.message_ids(),
             platform.notices()
         );
-        assert_eq!(dispatcher.hand_in("safe", "after", 7), 202);
-        eventually("the new call", || endpoint.ids().contains(&"after".to_string()));
+        assert_eq!(dispatcher.submit("safe", "after", 7), 202);
+        eventually("the new call", || endpoint.message_ids().contains(&"after".to_string()));
         let _ = old_process.kill();
         old_process.wait().unwrap();
     }
@@ -469,9 +473,9 @@
     for (number, timeout_ms) in [0, 1, 5, 30, 100].into_iter().enumerate() {
         for class in ["safe", "keyed", "unsafe"] {
             let (id, handed_in_at) = (format!("{class}{number}"), Instant::now());
-            let status = dispatcher.connect().hand_in(class, &id, 7, timeout_ms, b"x").status();
+            let status = dispatcher.connect().submit(class, &id, 7, timeout_ms, b"x").status();
             if status == 202 {
-                eventually("the notice", || platform.told(&id) == ["handed_back"]);
+                eventually("the notice", || platform.outcomes(&id) == ["handed_back"]);
                 let delay = handed_in_at.elapsed().saturating_sub(Duration::from_millis(timeout_ms.into()));
                 assert!(delay < Duration::from_millis(300), "{id}: {delay:?}");
             } else {
@@ -487,21 +491,22 @@
 fn an_override_that_could_not_be_saved_is_saved_later() {
     let endpoint = Endpoint::start(|_, _| ok());
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
-    dispatcher.door = true;
+    let mut dispatcher =
+        Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up"), draining_endpoint(8)]);
+    dispatcher.control_enabled = true;
     let faults = FaultInjector::attach(&mut dispatcher);
     dispatcher.start();
     faults.set(Field::StateDirError, libc::ENOSPC.into());
-    let answer = dispatcher.ask(&fawnspoke_control::protocol::Request::Suspend("e".into()));
+    let answer = dispatcher.send_control_request(&fawnspoke_control::protocol::Request::Suspend("e".into()));
     let text = format!("{answer:?}");
     assert!(text.contains("not on record"), "{text}");
     faults.set(Field::StateDirError, 0);
     thread::sleep(Duration::from_millis(1500));
     dispatcher.kill();
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
     thread::sleep(Duration::from_millis(1500));
-    assert!(endpoint.seen().is_empty(), "the endpoint is suspended until it is restored");
+    assert!(endpoint.requests().is_empty(), "the endpoint is suspended until it is restored");
 }
 
 /// In the first second of a start, calls that create a socket or an epoll instance, or that listen, fail.
@@ -510,8 +515,8 @@
     for error in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
-        dispatcher.door = true;
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
+        dispatcher.control_enabled = true;
         let faults = FaultInjector::attach(&mut dispatcher);
         faults.set(Field::SocketError, error.into());
         let faults_to_clear = faults.clone();
@@ -522,8 +527,8 @@
         dispatcher.start();
         fault.join().unwrap();
         assert!(faults.fault_count() > 0);
-        assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-        eventually("the call", || endpoint.seen().len() == 1);
+        assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+        eventually("the call", || endpoint.requests().len() == 1);
     }
 }
 
@@ -534,7 +539,7 @@
     for (error, interval) in [(libc::ETIMEDOUT, 7), (libc::EHOSTUNREACH, 5), (libc::ENETUNREACH, 11)] {
         let endpoint = Endpoint::start(|_, _| ok());
         let platform = Platform::start();
-        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+        let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         faults.set(Field::TransferError, error.into());
@@ -547,7 +552,7 @@
             let mut client = dispatcher.connect();
             client.send(class, &id, 7, 3000, b"x");
             // The client's own connection may break, too.
-            if client.try_answer().is_some_and(|answer| answer.status() == 202) {
+            if client.try_read_response().is_some_and(|answer| answer.status() == 202) {
                 accepted.push((id, class));
             }
         }
@@ -555,9 +560,9 @@
         assert!(accepted.len() >= 10, "{} accepted", accepted.len());
         for (id, class) in &accepted {
             eventually("the end of the message", || {
-                endpoint.ids().contains(id) || !platform.told(id).is_empty()
+                endpoint.message_ids().contains(id) || !platform.outcomes(id).is_empty()
             });
-            let calls = endpoint.ids().iter().filter(|other| *other == id).count();
+            let calls = endpoint.message_ids().iter().filter(|other| *other == id).count();
             assert!(calls <= 1 || *class != "unsafe", "{id}: {calls} calls");
         }
     }
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -13,10 +13,10 @@
 /// Starts a dispatcher with a control port and waits until it is ready.
 fn start_with_control_port(platform: &Platform, known: &[serde_json::Value]) -> Dispatcher {
     let mut dispatcher = Dispatcher::new(platform, known);
-    dispatcher.door = true;
+    dispatcher.control_enabled = true;
     dispatcher.start();
     // The process listens shortly before its status is ready.
-    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
+    eventually("the ready status", || is_success(&dispatcher.send_control_request(&Request::Status)));
     dispatcher
 }
 
@@ -33,7 +33,9 @@
 }
 
 fn metrics(dispatcher: &Dispatcher) -> BTreeMap<String, u64> {
-    let ControlResponse::Metrics(metrics) = dispatcher.ask(&Request::Metrics) else { panic!("no metrics") };
+    let ControlResponse::Metrics(metrics) = dispatcher.send_control_request(&Request::Metrics) else {
+        panic!("no metrics")
+    };
     metrics.into_iter().map(|(name, value, _)| (name, value)).collect()
 }
 
@@ -50,27 +52,30 @@
 #[test]
 fn a_suspended_endpoint_gets_no_calls_until_it_is_restored() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
-    assert!(!is_success(&dispatcher.ask(&suspend("nobody"))), "an endpoint that was never listed");
-    assert!(!is_success(&dispatcher.ask(&restore("nobody"))));
-    assert!(is_success(&dispatcher.ask(&suspend("e"))));
-    assert!(is_success(&dispatcher.ask(&suspend("e"))), "suspending twice succeeds");
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    assert!(
+        !is_success(&dispatcher.send_control_request(&suspend("nobody"))),
+        "an endpoint that was never listed"
+    );
+    assert!(!is_success(&dispatcher.send_control_request(&restore("nobody"))));
+    assert!(is_success(&dispatcher.send_control_request(&suspend("e"))));
+    assert!(is_success(&dispatcher.send_control_request(&suspend("e"))), "suspending twice succeeds");
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
     // An update from discovery doesn't end the suspension.
-    platform.push(2, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
     thread::sleep(Duration::from_millis(300));
-    assert!(endpoint.seen().is_empty());
+    assert!(endpoint.requests().is_empty());
     assert_eq!(metrics(&dispatcher)["app.out_of_rotation"], 1);
     assert_eq!(metrics(&dispatcher)["app.open_requests"], 1);
     // Neither does a kill, nor an absence from the list.
     dispatcher.kill();
     dispatcher.start();
-    platform.push(3, &[endpoint.host("e", 7, "removed")]);
-    platform.push(4, &[endpoint.host("e", 7, "up")]);
+    platform.push_changes(3, &[endpoint.list_entry("e", 7, "removed")]);
+    platform.push_changes(4, &[endpoint.list_entry("e", 7, "up")]);
     thread::sleep(Duration::from_millis(300));
-    assert!(endpoint.seen().is_empty());
-    assert!(is_success(&dispatcher.ask(&restore("e"))), "one restore ends the suspension");
-    eventually("the call", || endpoint.ids() == ["m1"]);
+    assert!(endpoint.requests().is_empty());
+    assert!(is_success(&dispatcher.send_control_request(&restore("e"))), "one restore ends the suspension");
+    eventually("the call", || endpoint.message_ids() == ["m1"]);
     eventually("the metrics", || metrics(&dispatcher)["app.fulfilled.safe"] == 1);
     let metrics = metrics(&dispatcher);
     assert_eq!((metrics["app.relayed"], metrics["app.registry_entries"]), (1, 1));
@@ -79,12 +84,16 @@
 #[test]
 fn an_endpoint_restored_while_unlisted_is_cold_when_listed_again() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::Hang), Platform::start());
-    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up"), held(8)]);
-    assert!(is_success(&dispatcher.ask(&suspend("e"))));
-    platform.push(2, &[endpoint.host("e", 7, "removed")]);
+    let dispatcher =
+        start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up"), draining_endpoint(8)]);
+    assert!(is_success(&dispatcher.send_control_request(&suspend("e"))));
+    platform.push_changes(2, &[endpoint.list_entry("e", 7, "removed")]);
     eventually("its removal from the list", || metrics(&dispatcher)["app.registry_entries"] == 1);
-    assert!(is_success(&dispatcher.ask(&restore("e"))), "an endpoint that was listed before can be restored");
-    platform.push(3, &[endpoint.host("e", 7, "up")]);
+    assert!(
+        is_success(&dispatcher.send_control_request(&restore("e"))),
+        "an endpoint that was listed before can be restored"
+    );
+    platform.push_changes(3, &[endpoint.list_entry("e", 7, "up")]);
     eventually("its entry in the list", || metrics(&dispatcher)["app.registry_entries"] == 2);
     // Nothing was sent to it yet: the dispatcher itself keeps it out of rotation until a trial succeeds.
     eventually("both endpoints out of rotation", || metrics(&dispatcher)["app.out_of_rotation"] == 2);
@@ -96,17 +105,17 @@
         Endpoint::start(|n, _| match n {
             0 => Reply::status(200),
             // The call may have run, so that an unsafe message fails.
-            1 => Reply::Break,
+            1 => Reply::Disconnect,
             _ => Reply::status(200),
         }),
         Platform::start(),
     );
-    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
-    assert_eq!(dispatcher.hand_in("keyed", "m1", 7), 202);
+    let dispatcher = start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
     eventually("the first outcome", || metrics(&dispatcher)["app.fulfilled.keyed"] == 1);
-    assert_eq!(dispatcher.hand_in("unsafe", "m2", 7), 202);
+    assert_eq!(dispatcher.submit("unsafe", "m2", 7), 202);
     eventually("the failure", || metrics(&dispatcher)["app.faulted.unsafe"] == 1);
-    assert_eq!(dispatcher.hand_in("safe", "m3", 99), 503);
+    assert_eq!(dispatcher.submit("safe", "m3", 99), 503);
     let metrics = metrics(&dispatcher);
     assert_eq!(metrics["app.throttled.safe"], 1);
     assert_eq!((metrics["app.relayed"], metrics["app.open_requests"]), (2, 0));
@@ -115,90 +124,90 @@
 
 #[test]
 fn an_upgrade_hands_over_all_state_and_connections() {
-    let slow_script = |n: usize, _: &Http| match n {
-        0 => Reply::Late(Duration::from_millis(1500), 200),
+    let slow_script = |n: usize, _: &HttpMessage| match n {
+        0 => Reply::Delayed(Duration::from_millis(1500), 200),
         _ => Reply::status(200),
     };
     let (slow, suspended, platform) =
         (Endpoint::start(slow_script), Endpoint::start(|_, _| Reply::status(200)), Platform::start());
     let mut dispatcher = start_with_control_port(
         &platform,
-        &[slow.host("slow", 7, "up"), suspended.host("suspended", 8, "up")],
+        &[slow.list_entry("slow", 7, "up"), suspended.list_entry("suspended", 8, "up")],
     );
     // An unsafe call in flight, a partial request, an idle connection and a suspended endpoint.
-    assert_eq!(dispatcher.hand_in("unsafe", "in-flight", 7), 202);
-    eventually("the call", || slow.seen().len() == 1);
+    assert_eq!(dispatcher.submit("unsafe", "in-flight", 7), 202);
+    eventually("the call", || slow.requests().len() == 1);
     let mut idle_client = dispatcher.connect();
-    assert_eq!(idle_client.hand_in("safe", "suspended-1", 8, 15_000, b"x").status(), 202);
-    eventually("the other call", || suspended.ids() == ["suspended-1"]);
-    assert!(is_success(&dispatcher.ask(&suspend("suspended"))));
+    assert_eq!(idle_client.submit("safe", "suspended-1", 8, 15_000, b"x").status(), 202);
+    eventually("the other call", || suspended.message_ids() == ["suspended-1"]);
+    assert!(is_success(&dispatcher.send_control_request(&suspend("suspended"))));
     let mut partial_client = dispatcher.connect();
     let head = "POST /safe HTTP/1.1\r\nHost: x\r\nRequest-Id: partial\r\nRequest-Class: safe\r\nRequest-Timeout-Ms: 15000\r\n\
                 X-Consignee: dest=7\r\nContent-Length: 10\r\n\r\n";
     partial_client.write(head.as_bytes());
     partial_client.write(b"01234");
-    let old_control_address = dispatcher.control();
+    let old_control_address = dispatcher.control_address();
     thread::sleep(Duration::from_millis(50));
 
     let mut old_process = dispatcher.upgrade();
-    assert_ne!(dispatcher.control(), old_control_address);
-    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
+    assert_ne!(dispatcher.control_address(), old_control_address);
+    eventually("the ready status", || is_success(&dispatcher.send_control_request(&Request::Status)));
     // Both connections continue in the new process.
     partial_client.write(b"56789");
-    assert_eq!(partial_client.answer().status(), 202);
-    assert_eq!(idle_client.hand_in("safe", "idle", 8, 15_000, b"y").status(), 202);
+    assert_eq!(partial_client.read_response().status(), 202);
+    assert_eq!(idle_client.submit("safe", "idle", 8, 15_000, b"y").status(), 202);
     stop(&mut old_process);
-    eventually("the call of the partial request", || slow.ids() == ["in-flight", "partial"]);
-    assert_eq!(slow.seen()[1].request.body, b"0123456789");
-    assert!(dispatcher.logged("with all that it knew"));
+    eventually("the call of the partial request", || slow.message_ids() == ["in-flight", "partial"]);
+    assert_eq!(slow.requests()[1].request.body, b"0123456789");
+    assert!(dispatcher.log_contains("with all that it knew"));
     // The outcome of the call in flight was recorded once: no notice is due, and the call is not repeated.
     eventually("the end of all messages except the suspended endpoint's", || {
         metrics(&dispatcher)["app.open_requests"] == 1
     });
     assert!(platform.notices().is_empty());
-    assert_eq!(suspended.ids(), ["suspended-1"]);
-    assert!(is_success(&dispatcher.ask(&restore("suspended"))));
-    eventually("the call at the restored endpoint", || suspended.ids() == ["suspended-1", "idle"]);
+    assert_eq!(suspended.message_ids(), ["suspended-1"]);
+    assert!(is_success(&dispatcher.send_control_request(&restore("suspended"))));
+    eventually("the call at the restored endpoint", || suspended.message_ids() == ["suspended-1", "idle"]);
 }
 
 #[test]
 fn five_upgrades_in_a_row_keep_pending_messages() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
-    assert!(is_success(&dispatcher.ask(&suspend("e"))));
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    assert!(is_success(&dispatcher.send_control_request(&suspend("e"))));
     for i in 0..5 {
         for class in ["safe", "keyed", "unsafe"] {
-            assert_eq!(dispatcher.hand_in(class, &format!("{class}-{i}"), 7), 202);
+            assert_eq!(dispatcher.submit(class, &format!("{class}-{i}"), 7), 202);
         }
         let mut old_process = dispatcher.upgrade();
-        eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
+        eventually("the ready status", || is_success(&dispatcher.send_control_request(&Request::Status)));
         stop(&mut old_process);
     }
     assert_eq!(metrics(&dispatcher)["app.open_requests"], 15);
-    assert!(is_success(&dispatcher.ask(&restore("e"))));
-    eventually("all messages", || endpoint.seen().len() >= 15);
-    let mut ids = endpoint.ids();
+    assert!(is_success(&dispatcher.send_control_request(&restore("e"))));
+    eventually("all messages", || endpoint.requests().len() >= 15);
+    let mut ids = endpoint.message_ids();
     ids.sort();
     ids.dedup();
-    assert_eq!((ids.len(), endpoint.seen().len()), (15, 15), "each message is called once");
+    assert_eq!((ids.len(), endpoint.requests().len()), (15, 15), "each message is called once");
 }
 
 #[test]
 fn an_upgrade_with_other_settings_recovers_from_the_journal() {
-    let script = |n: usize, _: &Http| if n == 0 { Reply::Hang } else { Reply::status(200) };
+    let script = |n: usize, _: &HttpMessage| if n == 0 { Reply::Hang } else { Reply::status(200) };
     let (endpoint, platform) = (Endpoint::start(script), Platform::start());
-    let mut dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
-    assert_eq!(dispatcher.hand_in("keyed", "in-flight", 7), 202);
-    eventually("the call", || endpoint.seen().len() == 1);
+    let mut dispatcher = start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    assert_eq!(dispatcher.submit("keyed", "in-flight", 7), 202);
+    eventually("the call", || endpoint.requests().len() == 1);
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old_process = dispatcher.upgrade();
-    eventually("the ready status", || is_success(&dispatcher.ask(&Request::Status)));
-    assert!(dispatcher.logged("with what is on record"));
+    eventually("the ready status", || is_success(&dispatcher.send_control_request(&Request::Status)));
+    assert!(dispatcher.log_contains("with what is on record"));
     // The old process cancelled its call before the handover, so that no message has two attempts at once.
-    eventually("the old process's log line", || dispatcher.logged("calls out"));
-    assert!(dispatcher.logged("; 0 calls out"));
-    eventually("the end of the old call's connection", || endpoint.given_up() == 1);
-    eventually("the retry", || endpoint.ids() == ["in-flight", "in-flight"]);
+    eventually("the old process's log line", || dispatcher.log_contains("calls out"));
+    assert!(dispatcher.log_contains("; 0 calls out"));
+    eventually("the end of the old call's connection", || endpoint.abandoned_calls() == 1);
+    eventually("the retry", || endpoint.message_ids() == ["in-flight", "in-flight"]);
     stop(&mut old_process);
     eventually("the end of the message", || metrics(&dispatcher)["app.open_requests"] == 0);
 }
@@ -220,7 +229,7 @@
 #[test]
 fn the_old_process_serves_again_when_the_new_one_is_killed() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     // A fixed address, which stays the same if the old process restarts.
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     dispatcher.config["listen"] = address.to_string().into();
@@ -234,15 +243,17 @@
         let id = format!("m{i}");
         eventually("an answer", || try_hand_in(address, &id).is_some_and(|line| line.contains(" 202 ")));
     }
-    eventually("the calls of all messages", || (0..20).all(|i| endpoint.ids().contains(&format!("m{i}"))));
+    eventually("the calls of all messages", || {
+        (0..20).all(|i| endpoint.message_ids().contains(&format!("m{i}")))
+    });
 }
 
 #[test]
 fn a_process_that_waits_for_the_state_directory_stops_on_sigterm() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     // Another process owns the state directory and answers no handover request.
-    let lock = fawnspoke_handover::lock::try_lock(&dispatcher.state()).unwrap();
+    let lock = fawnspoke_handover::lock::try_lock(&dispatcher.state_dir()).unwrap();
     assert!(lock.is_some());
     let control_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut child = dispatcher.command().env("GW_CONTROL", control_address.to_string()).spawn().unwrap();
@@ -253,13 +264,13 @@
     stop(&mut child);
     drop(lock);
     dispatcher.start();
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
 }
 
 #[test]
 fn the_listening_socket_is_inherited() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7, "up")]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     // The new process serves a connection that was waiting in the backlog.
@@ -282,8 +293,8 @@
 #[test]
 fn the_control_port_answers_beside_silent_and_malformed_callers() {
     let (endpoint, platform) = (Endpoint::start(|_, _| Reply::status(200)), Platform::start());
-    let dispatcher = start_with_control_port(&platform, &[endpoint.host("e", 7, "up")]);
-    let address = dispatcher.control().unwrap();
+    let dispatcher = start_with_control_port(&platform, &[endpoint.list_entry("e", 7, "up")]);
+    let address = dispatcher.control_address().unwrap();
     let (mut bad_connections, mut quick_responses) = (Vec::new(), 0);
     for i in 0..200 {
         let mut stream = TcpStream::connect(address).unwrap();
@@ -298,8 +309,8 @@
         bad_connections.push(stream);
         if i % 20 == 0 {
             let asked_at = Instant::now();
-            assert!(is_success(&dispatcher.ask(&Request::Status)));
-            assert!(is_success(&dispatcher.ask(&restore("e"))));
+            assert!(is_success(&dispatcher.send_control_request(&Request::Status)));
+            assert!(is_success(&dispatcher.send_control_request(&restore("e"))));
             assert!(!metrics(&dispatcher).is_empty());
             quick_responses += u32::from(asked_at.elapsed() < Duration::from_secs(1));
         }
@@ -307,6 +318,6 @@
     // A busy machine may delay some responses; a server blocked by bad callers would be late from the second time on.
     assert!(quick_responses >= 7, "{quick_responses} of 10 times answered within a second");
     // Of several requests on one connection only the first counts: the SUSPEND was ignored.
-    assert_eq!(dispatcher.hand_in("safe", "m1", 7), 202);
-    eventually("the call", || endpoint.ids() == ["m1"]);
+    assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
+    eventually("the call", || endpoint.message_ids() == ["m1"]);
 }
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -82,7 +82,7 @@
         let mut rng = rng.lock().unwrap();
         let (mut may_have_run, mut delivered, mut retry_after) = (true, false, None);
         let reply = match rng.u32(..100) {
-            0..4 => Reply::Break,
+            0..4 => Reply::Disconnect,
             4..8 => Reply::Hang,
             8..14 => Reply::status(500),
             14..18 => {
@@ -103,7 +103,7 @@
             24 => Reply::Raw(b"HTTP/1.1 5".to_vec()),
             _ => {
                 delivered = true;
-                Reply::Late(Duration::from_millis(rng.u64(..60)), 200)
+                Reply::Delayed(Duration::from_millis(rng.u64(..60)), 200)
             }
         };
         observations.calls.lock().unwrap().push(ReceivedCall {
@@ -267,7 +267,9 @@
     let known: Vec<Value> = endpoints
         .iter()
         .zip(destinations)
-        .map(|(endpoint, (number, destination))| endpoint.host(&format!("e{number}"), destination, "up"))
+        .map(|(endpoint, (number, destination))| {
+            endpoint.list_entry(&format!("e{number}"), destination, "up")
+        })
         .collect();
     let mut dispatcher = Dispatcher::new(&platform, &known);
     let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
@@ -294,7 +296,10 @@
             thread::sleep(Duration::from_millis(rng.u64(300..900)));
         }
         let mut set_health = |health: &str| {
-            platform.push(list_version, &[endpoints[DRAINING_ENDPOINT as usize].host("e2", 7, health)]);
+            platform.push_changes(
+                list_version,
+                &[endpoints[DRAINING_ENDPOINT as usize].list_entry("e2", 7, health)],
+            );
             list_version += 1;
             Instant::now()
         };
--- a/crates/fawnspoke/tests/sockets/support.rs
+++ b/crates/fawnspoke/tests/sockets/support.rs
@@ -1,19 +1,21 @@
 //! Re-exports the lab's stand-ins and wraps its dispatcher so that it runs this package's program.
 
-pub use fawnspoke_lab::stage::{Client, Endpoint, Http, Platform, Reply, eventually, held, host};
+pub use fawnspoke_lab::blocking::{
+    Client, Endpoint, HttpMessage, Platform, Reply, draining_endpoint, eventually, list_entry,
+};
 use serde_json::Value;
 use std::ops::{Deref, DerefMut};
 use std::path::Path;
 
 /// The program under test, as a process.
-pub struct Dispatcher(fawnspoke_lab::stage::Dispatcher);
+pub struct Dispatcher(fawnspoke_lab::blocking::Dispatcher);
 
 impl Dispatcher {
     /// Prepares a dispatcher with `known` as its initial endpoint list; the process is not started yet.
     pub fn new(platform: &Platform, known: &[Value]) -> Dispatcher {
         let program = Path::new(env!("CARGO_BIN_EXE_fawnspoke"));
         let parent_dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
-        Dispatcher(fawnspoke_lab::stage::Dispatcher::new(program, parent_dir, platform, known))
+        Dispatcher(fawnspoke_lab::blocking::Dispatcher::new(program, parent_dir, platform, known))
     }
 
     /// Prepares a dispatcher and starts its process.
@@ -25,7 +27,7 @@
 }
 
 impl Deref for Dispatcher {
-    type Target = fawnspoke_lab::stage::Dispatcher;
+    type Target = fawnspoke_lab::blocking::Dispatcher;
 
     fn deref(&self) -> &Self::Target {
         &self.0
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,10 +1,10 @@
 //! Stand-ins for clients and the front before the dispatchers: they hand messages in at their own times, wait
 //! 400 ms, and come again by habit.
 
-use crate::http::Wire;
-use crate::ledger::Ledger;
+use crate::http::HttpConnection;
+use crate::message_registry::MessageRegistry;
 use crate::platform::Notice;
-use crate::record::{Effect, Micros, Outcome, Recorder, What, digest};
+use crate::record::{Effect, Event, Micros, Outcome, Recorder, digest};
 use crate::scenario::Scenario;
 use crate::script::Arrival;
 use std::collections::HashMap;
@@ -34,14 +34,14 @@
 }
 
 /// All clients of a run.
-pub struct Crowd {
+pub struct SimulatedClients {
     scenario: Scenario,
     recorder: Recorder,
-    ledger: Arc<Ledger>,
+    ledger: Arc<MessageRegistry>,
     at: Vec<SocketAddr>,
     /// Whom the front takes to be alive.
     alive: Mutex<Vec<bool>>,
-    kept: Vec<Mutex<Vec<Wire>>>,
+    kept: Vec<Mutex<Vec<HttpConnection>>>,
     /// Taken on, and not yet known to be over: a notice may send its client once more.
     taken: Mutex<HashMap<String, Errand>>,
     /// Errands under way.
@@ -64,13 +64,13 @@
     Unreached,
 }
 
-impl Crowd {
+impl SimulatedClients {
     /// Clients of dispatchers at these addresses.
     pub fn new(
-        scenario: Scenario, recorder: Recorder, ledger: Arc<Ledger>, at: Vec<SocketAddr>,
-    ) -> Arc<Crowd> {
+        scenario: Scenario, recorder: Recorder, ledger: Arc<MessageRegistry>, at: Vec<SocketAddr>,
+    ) -> Arc<SimulatedClients> {
         let count = at.len();
-        Arc::new(Crowd {
+        Arc::new(SimulatedClients {
             scenario,
             recorder,
             ledger,
@@ -84,7 +84,7 @@
     }
 
     /// What the front thinks of a dispatcher from now on.
-    pub fn believe(&self, dispatcher: usize, alive: bool) {
+    pub fn set_alive(&self, dispatcher: usize, alive: bool) {
         lock(&self.alive)[dispatcher] = alive;
         if !alive {
             lock(&self.kept[dispatcher]).clear();
@@ -92,21 +92,21 @@
     }
 
     /// Errands under way.
-    pub fn active(&self) -> usize {
+    pub fn active_submissions(&self) -> usize {
         self.active.load(Ordering::SeqCst)
     }
 
     /// Messages that never found a dispatcher that would listen.
-    pub fn never(&self) -> usize {
+    pub fn unreached_messages(&self) -> usize {
         self.never.load(Ordering::SeqCst)
     }
 
     /// Hands in all arrivals at their times, from `began` on.
-    pub async fn arrive(self: Arc<Crowd>, arrivals: Vec<Arrival>, began: Micros) {
+    pub async fn submit_arrivals(self: Arc<SimulatedClients>, arrivals: Vec<Arrival>, began: Micros) {
         for arrival in arrivals {
             tokio::time::sleep_until(self.recorder.instant(began + arrival.at).into()).await;
             let mut rng = fastrand::Rng::with_seed(arrival.seed);
-            let body = Arc::new((0..arrival.length).map(|_| rng.u8(..)).collect());
+            let body = Arc::new((0..arrival.body_bytes).map(|_| rng.u8(..)).collect());
             let since = self.recorder.now();
             self.spawn(
                 Errand { arrival, rng, hand_ins: 0, refusals: 0, reached: false, since, body },
@@ -116,7 +116,7 @@
     }
 
     /// Hears what the platform was told: a message that is handed back may come again.
-    pub async fn hear(self: Arc<Crowd>, mut notices: mpsc::UnboundedReceiver<Notice>) {
+    pub async fn handle_notices(self: Arc<SimulatedClients>, mut notices: mpsc::UnboundedReceiver<Notice>) {
         while let Some(notice) = notices.recv().await {
             let Some(mut errand) = lock(&self.taken).remove(&notice.message) else { continue };
             errand.reached = true;
@@ -126,14 +126,15 @@
                 // With a key that may be forgotten by then nobody comes again.
                 let class = &self.scenario.classes[errand.arrival.class];
                 let then = self.recorder.now() + wait.as_micros() as Micros;
-                if class.effect != Effect::Keyed || then < errand.since + (class.window_s * 1e6) as Micros {
+                if class.effect != Effect::Keyed || then < errand.since + (class.key_window_s * 1e6) as Micros
+                {
                     self.spawn(errand, wait);
                 }
             }
         }
     }
 
-    fn spawn(self: &Arc<Crowd>, errand: Errand, after: Duration) {
+    fn spawn(self: &Arc<SimulatedClients>, errand: Errand, after: Duration) {
         self.active.fetch_add(1, Ordering::SeqCst);
         let crowd = self.clone();
         tokio::spawn(async move {
@@ -146,7 +147,7 @@
     /// Whether a message that was turned away comes again: by habit, and once.
     fn comes_again(&self, errand: &mut Errand) -> bool {
         errand.refusals += 1;
-        errand.refusals == 1 && errand.rng.f64() < self.scenario.clients.retries
+        errand.refusals == 1 && errand.rng.f64() < self.scenario.clients.retry_probability
     }
 
     fn backoff(&self, errand: &mut Errand) -> Duration {
@@ -163,7 +164,7 @@
         }
     }
 
-    async fn run(self: &Arc<Crowd>, mut errand: Errand) {
+    async fn run(self: &Arc<SimulatedClients>, mut errand: Errand) {
         let class = &self.scenario.classes[errand.arrival.class];
         let span = (class.deadline_s * 1e6) as Micros;
         while errand.hand_ins < HAND_INS_MOST {
@@ -212,16 +213,16 @@
         let arrival = &errand.arrival;
         let class = &self.scenario.classes[arrival.class];
         let dest = arrival.partner as u32 + 1;
-        let window = (class.window_s * 1e6) as Micros;
-        self.ledger.enter(id, dest, deadline, class.effect, window);
-        let patience = Duration::from_millis(self.scenario.clients.patience_ms);
+        let window = (class.key_window_s * 1e6) as Micros;
+        self.ledger.register(id, dest, deadline, class.effect, window);
+        let patience = Duration::from_millis(self.scenario.clients.response_timeout_ms);
         let mut fresh = false;
         loop {
             let kept = if fresh { None } else { self.reuse(dispatcher) };
             fresh = kept.is_none();
             let mut wire = match kept {
                 Some(wire) => wire,
-                None => match Wire::connect(self.at[dispatcher], patience).await {
+                None => match HttpConnection::connect(self.at[dispatcher], patience).await {
                     Ok(wire) => wire,
                     Err(_) => return Heard::Unreached,
                 },
@@ -237,7 +238,7 @@
             if let Some(key) = &key {
                 head.push_str(&format!("Idempotency-Key: {key}\r\n"));
             }
-            if let Some(customer) = &self.scenario.partners[arrival.partner].customer {
+            if let Some(customer) = &self.scenario.partners[arrival.partner].tenant {
                 head.push_str(&format!("Tenant: {customer}\r\n"));
             }
             if errand.hand_ins > 1 {
@@ -256,22 +257,22 @@
                     }
                 }
             }
-            self.recorder.add(What::Asked {
+            self.recorder.add(Event::Submitted {
                 id: id.into(),
                 origin: arrival.id.clone(),
                 class: class.name.clone(),
-                dest,
+                destination: dest,
                 key,
                 order: None,
-                body: digest(&errand.body),
+                body_digest: digest(&errand.body),
                 deadline,
                 dispatcher,
-                fresh,
+                new_connection: fresh,
             });
-            let answer = match timeout(patience, wire.answer()).await {
+            let answer = match timeout(patience, wire.read_response()).await {
                 Ok(Ok(answer)) => answer,
                 Ok(Err(_)) => {
-                    self.recorder.add(What::Dropped { id: id.into() });
+                    self.recorder.add(Event::ConnectionLost { id: id.into() });
                     if !fresh {
                         fresh = true;
                         continue;
@@ -279,14 +280,14 @@
                     return Heard::Nothing;
                 }
                 Err(_) => {
-                    self.recorder.add(What::Left { id: id.into() });
+                    self.recorder.add(Event::ClientTimedOut { id: id.into() });
                     return Heard::Nothing;
                 }
             };
-            self.recorder.add(What::Answered { id: id.into(), status: answer.status() });
+            self.recorder.add(Event::Answered { id: id.into(), status: answer.status() });
             if !answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
                 let mut kept = lock(&self.kept[dispatcher]);
-                if kept.len() < self.scenario.clients.connections {
+                if kept.len() < self.scenario.clients.max_connections {
                     kept.push(wire);
                 }
             }
@@ -302,11 +303,11 @@
         }
     }
 
-    fn reuse(&self, dispatcher: usize) -> Option<Wire> {
+    fn reuse(&self, dispatcher: usize) -> Option<HttpConnection> {
         let mut kept = lock(&self.kept[dispatcher]);
         loop {
             let mut wire = kept.pop()?;
-            if !wire.spent() {
+            if !wire.is_stale() {
                 return Some(wire);
             }
         }
