--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -242,9 +242,9 @@
     seeds: u64,
     /// Run naive dispatchers with this fault: forgets, early, resends, doubles, impatient, stubborn or honest
     #[arg(long = "broken", value_name = "FAULT")]
-    fault: Option<String>,
+    naive_fault: Option<String>,
     /// Run another build of the program instead of this one
-    #[arg(long, conflicts_with = "fault")]
+    #[arg(long, conflicts_with = "naive_fault")]
     program: Option<PathBuf>,
     /// Write the record of everything the stand-ins observed to this file
     #[arg(long)]
@@ -262,8 +262,8 @@
 
 impl From<RunArgs> for command::PlayOptions {
     fn from(args: RunArgs) -> command::PlayOptions {
-        let RunArgs { seed, seeds, fault, program, record, logs } = args;
-        command::PlayOptions { seed, seeds, naive_fault: broken: fault, program, record, logs }
+        let RunArgs { seed, seeds, naive_fault, program, record, logs } = args;
+        command::PlayOptions { seed, seeds, naive_fault, program, record, logs }
     }
 }
 
@@ -293,7 +293,9 @@
         Command::Lab(LabCommand::Trials { count, outage_seconds, messages_per_second }) => {
             command::measure_trials(count as usize, outage_seconds, messages_per_second)
         }
-        Command::Lab(LabCommand::IdleCost { counts, seconds }) => command::measure_idle_cost(&counts, seconds),
+        Command::Lab(LabCommand::IdleCost { counts, seconds }) => {
+            command::measure_idle_cost(&counts, seconds)
+        }
         Command::Lab(LabCommand::Proxy { listen, to }) => command::proxy(listen, to),
         Command::Lab(LabCommand::Naive { fault }) => command::naive(&fault),
         Command::Control(args) => run_control(args),
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -91,8 +91,8 @@
     (dispatcher, faults)
 }
 
-/// Hands in messages of the three classes in turn, with this timeout, and returns their ids.
-fn hand_in_messages(dispatcher: &Dispatcher, count: usize, timeout_ms: u32) -> Vec<String> {
+/// Submits messages of the three classes in turn, with this timeout, and returns their ids.
+fn submit_messages(dispatcher: &Dispatcher, count: usize, timeout_ms: u32) -> Vec<String> {
     let mut client = dispatcher.connect();
     let ids: Vec<String> = (0..count).map(|number| format!("m{number}")).collect();
     for (number, id) in ids.iter().enumerate() {
@@ -115,7 +115,7 @@
 fn recover_after_wall_clock_step(seconds: i64) {
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-    let ids = hand_in_messages(&dispatcher, 20, 13_500);
+    let ids = submit_messages(&dispatcher, 20, 13_500);
     dispatcher.kill();
     faults.step_wall_clock(seconds);
     let endpoint = Endpoint::start(|_, _| ok());
@@ -179,7 +179,7 @@
         }
     });
     let started_at = Instant::now();
-    let ids = hand_in_messages(&dispatcher, 60, 2500);
+    let ids = submit_messages(&dispatcher, 60, 2500);
     let long_lived = dispatcher.connect().submit("safe", "long", 7, 19_000, b"x");
     assert_eq!(long_lived.status(), 202);
     eventually("the notices of all messages", || ids.iter().all(|id| !platform.outcomes(id).is_empty()));
@@ -193,7 +193,7 @@
 fn start_while_writes_fail(error: i32) {
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-    let ids = hand_in_messages(&dispatcher, 9, 15_000);
+    let ids = submit_messages(&dispatcher, 9, 15_000);
     dispatcher.kill();
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7, "up")]);
@@ -239,7 +239,7 @@
 fn deliver_queued_messages_while_writes_fail(error: i32) {
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-    let ids = hand_in_messages(&dispatcher, 10, 12_000);
+    let ids = submit_messages(&dispatcher, 10, 12_000);
     let endpoint = Endpoint::start(|_, _| ok());
     let fault = faults.fail_writes(error, Duration::from_millis(2000));
     platform.push_changes(2, &[endpoint.list_entry("e", 7, "up")]);
@@ -300,7 +300,7 @@
 fn a_kill_in_the_middle_of_a_write_loses_no_earlier_record() {
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-    let ids = hand_in_messages(&dispatcher, 6, 15_000);
+    let ids = submit_messages(&dispatcher, 6, 15_000);
     faults.set(Field::TearNextWrite, 1);
     let mut client = dispatcher.connect();
     client.send("safe", "torn", 7, 15_000, b"x");
@@ -411,17 +411,17 @@
 }
 
 /// The state directory rejects the record of a message's end, and the process is killed. The message has time left in the
-/// next process, which must not send it: its client may have handed it in elsewhere after the notice.
+/// next process, which must not send it: its client may have submitted it elsewhere after the notice.
 #[test]
 fn a_handed_back_message_is_not_sent_by_the_next_process() {
     let platform = Platform::start();
     let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-    let handed_in_at = Instant::now();
+    let submitted_at = Instant::now();
     assert_eq!(dispatcher.connect().submit("unsafe", "m1", 7, 4900, b"x").status(), 202);
     faults.set(Field::StateDirError, libc::EIO.into());
     dispatcher.signal("TERM");
     // The notice is due before the process has to exit.
-    eventually("the end of the shutdown time", || handed_in_at.elapsed() > Duration::from_millis(3000));
+    eventually("the end of the shutdown time", || submitted_at.elapsed() > Duration::from_millis(3000));
     dispatcher.kill();
     faults.set(Field::StateDirError, 0);
     let endpoint = Endpoint::start(|_, _| ok());
@@ -444,7 +444,7 @@
     for fault_ms in [0, 700, 1500] {
         let platform = Platform::start();
         let (mut dispatcher, faults) = start_with_draining_endpoint(&platform);
-        let ids = hand_in_messages(&dispatcher, 9, 15_000);
+        let ids = submit_messages(&dispatcher, 9, 15_000);
         faults.step_wall_clock(3600);
         let fault = faults.fail_writes(libc::EIO, Duration::from_millis(fault_ms));
         let mut old_process = dispatcher.upgrade();
@@ -472,11 +472,11 @@
     let (dispatcher, _faults) = start_with_draining_endpoint(&platform);
     for (number, timeout_ms) in [0, 1, 5, 30, 100].into_iter().enumerate() {
         for class in ["safe", "keyed", "unsafe"] {
-            let (id, handed_in_at) = (format!("{class}{number}"), Instant::now());
+            let (id, submitted_at) = (format!("{class}{number}"), Instant::now());
             let status = dispatcher.connect().submit(class, &id, 7, timeout_ms, b"x").status();
             if status == 202 {
                 eventually("the notice", || platform.outcomes(&id) == ["handed_back"]);
-                let delay = handed_in_at.elapsed().saturating_sub(Duration::from_millis(timeout_ms.into()));
+                let delay = submitted_at.elapsed().saturating_sub(Duration::from_millis(timeout_ms.into()));
                 assert!(delay < Duration::from_millis(300), "{id}: {delay:?}");
             } else {
                 assert_eq!(status, 503);
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -50,12 +50,15 @@
     eventually("the first call", || endpoint.requests().len() == 1);
     assert_eq!(client.submit("safe", "m2", 7, 15_000, b"two").status(), 202);
     eventually("the second call", || endpoint.requests().len() == 2);
-    let seen = endpoint.requests();
-    assert!(seen[0].request.start_line.starts_with("POST /receive "));
-    assert_eq!((seen[0].message_id(), seen[0].request.header("idempotency-key")), ("m1", Some("key-m1")));
-    assert!(seen[0].request.header("request-timeout-ms").is_some_and(|ms| ms.parse::<u64>().is_ok()));
-    assert_eq!(seen[0].request.body, body);
-    assert_eq!(seen[1].connection, 0, "the idle connection is reused");
+    let requests = endpoint.requests();
+    assert!(requests[0].request.start_line.starts_with("POST /receive "));
+    assert_eq!(
+        (requests[0].message_id(), requests[0].request.header("idempotency-key")),
+        ("m1", Some("key-m1"))
+    );
+    assert!(requests[0].request.header("request-timeout-ms").is_some_and(|ms| ms.parse::<u64>().is_ok()));
+    assert_eq!(requests[0].request.body, body);
+    assert_eq!(requests[1].connection, 0, "the idle connection is reused");
     assert!(platform.notices().is_empty(), "a delivered message needs no notice");
 }
 
@@ -175,9 +178,9 @@
     }
     // Trials are further apart than calls to a destination that is believed to be available.
     eventually("the outage is detected", || {
-        let seen = endpoint.requests();
-        seen.len() >= 4
-            && seen.last().is_some_and(|last| last.received_at.elapsed() > Duration::from_millis(200))
+        let requests = endpoint.requests();
+        requests.len() >= 4
+            && requests.last().is_some_and(|last| last.received_at.elapsed() > Duration::from_millis(200))
     });
     dispatcher.kill();
     unavailable.store(false, Ordering::SeqCst);
@@ -361,9 +364,9 @@
     assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
     eventually("the end of the first call's connection", || endpoint.abandoned_calls() == 1);
     eventually("the second call", || endpoint.requests().len() == 2);
-    let seen = endpoint.requests();
-    assert_ne!(seen[0].connection, seen[1].connection);
-    assert_eq!(seen[1].message_id(), "m1");
+    let requests = endpoint.requests();
+    assert_ne!(requests[0].connection, requests[1].connection);
+    assert_eq!(requests[1].message_id(), "m1");
     assert!(platform.notices().is_empty());
 }
 
@@ -381,9 +384,9 @@
     thread::sleep(Duration::from_millis(800));
     assert_eq!(dispatcher.submit("safe", "m3", 7), 202);
     eventually("the retry after the timeout", || endpoint.requests().len() == 4);
-    let seen = endpoint.requests();
-    assert!(seen[2].connection < 2, "an idle connection is reused");
-    assert_eq!(seen[3].connection, 2, "the other idle connection is not reused");
+    let requests = endpoint.requests();
+    assert!(requests[2].connection < 2, "an idle connection is reused");
+    assert_eq!(requests[3].connection, 2, "the other idle connection is not reused");
 }
 
 #[test]
@@ -428,7 +431,7 @@
     assert_eq!(dispatcher.submit("unsafe", "m1", 7), 202);
     thread::sleep(Duration::from_millis(100));
     let endpoint = Endpoint::start_at(address, |_, _| ok());
-    eventually("the call", || endpoint.requests().iter().any(|seen| seen.message_id() == "m1"));
+    eventually("the call", || endpoint.requests().iter().any(|received| received.message_id() == "m1"));
     assert!(platform.outcomes("m1").is_empty());
 }
 
@@ -474,14 +477,14 @@
     assert!(
         endpoint.requests()[..2]
             .iter()
-            .all(|seen| seen.request.start_line.starts_with("POST /receive-many "))
+            .all(|received| received.request.start_line.starts_with("POST /receive-many "))
     );
     eventually("the notice", || platform.outcomes("unsafe-c") == ["given_up"]);
     // The rejected messages are retried, separately or together; the others are not.
     let retried = |id: &str| {
         endpoint.requests()[2..]
             .iter()
-            .any(|seen| seen.message_id() == id || seen.request.text().contains(id))
+            .any(|received| received.message_id() == id || received.request.text().contains(id))
     };
     eventually("the retries of the rejected messages", || retried("safe-b") && retried("unsafe-d"));
     assert!(!retried("safe-a") && !retried("unsafe-c") && !retried("safe-e"));
@@ -498,8 +501,8 @@
     eventually("the rejected call", || endpoint.requests().len() == 1);
     assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
     eventually("both calls after the wait", || endpoint.requests().len() == 3);
-    let seen = endpoint.requests();
-    assert!(seen[1].received_at - seen[0].received_at >= Duration::from_millis(1250));
+    let requests = endpoint.requests();
+    assert!(requests[1].received_at - requests[0].received_at >= Duration::from_millis(1250));
 }
 
 #[test]
--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -212,8 +212,8 @@
     eventually("the end of the message", || metrics(&dispatcher)["app.open_requests"] == 0);
 }
 
-/// Hands in a message and returns the status line of the answer; `None` if the connection breaks.
-fn try_hand_in(address: std::net::SocketAddr, id: &str) -> Option<String> {
+/// Submits a message and returns the status line of the answer; `None` if the connection breaks.
+fn try_submit(address: std::net::SocketAddr, id: &str) -> Option<String> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
     let head = format!(
@@ -241,7 +241,7 @@
         child.wait().unwrap();
         // If the new process had taken over already, the old one restarts from the journal.
         let id = format!("m{i}");
-        eventually("an answer", || try_hand_in(address, &id).is_some_and(|line| line.contains(" 202 ")));
+        eventually("an answer", || try_submit(address, &id).is_some_and(|line| line.contains(" 202 ")));
     }
     eventually("the calls of all messages", || {
         (0..20).all(|i| endpoint.message_ids().contains(&format!("m{i}")))
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -51,7 +51,7 @@
     retry_after: Option<Duration>,
 }
 
-/// A message that a client handed in, and whether the dispatcher accepted it.
+/// A message that a client submitted, and whether the dispatcher accepted it.
 struct SentMessage {
     id: String,
     accepted: bool,
