--- a/crates/fawnspoke/tests/sockets/operations.rs
+++ b/crates/fawnspoke/tests/sockets/operations.rs
@@ -159,7 +159,7 @@
     stop(&mut old_process);
     eventually("the call of the partial request", || slow.message_ids() == ["in-flight", "partial"]);
     assert_eq!(slow.requests()[1].request.body, b"0123456789");
-    assert!(dispatcher.log_contains("with all that it knew"));
+    assert!(dispatcher.log_contains("with its in-memory state"));
     // The outcome of the call in flight was recorded once: no notice is due, and the call is not repeated.
     eventually("the end of all messages except the suspended endpoint's", || {
         metrics(&dispatcher)["app.open_requests"] == 1
@@ -202,7 +202,7 @@
     dispatcher.config["settings"]["family_info"]["call_slots"] = 9.into();
     let mut old_process = dispatcher.upgrade();
     eventually("the ready status", || is_success(&dispatcher.send_control_request(&Request::Status)));
-    assert!(dispatcher.log_contains("with what is on record"));
+    assert!(dispatcher.log_contains("with the journal only"));
     // The old process cancelled its call before the handover, so that no message has two attempts at once.
     eventually("the old process's log line", || dispatcher.log_contains("calls out"));
     assert!(dispatcher.log_contains("; 0 calls out"));
--- a/crates/waydoor/tests/common/world.rs
+++ b/crates/waydoor/tests/common/world.rs
@@ -498,7 +498,7 @@
             self.totals.accepted += 1;
             let quota = self.nodes[node].dispatcher.quota_status(self.now, tenant);
             if let Some(QuotaStatus { remaining, .. }) = quota {
-                self.deliver(node, Event::QuotaRecovered { tenant, remaining, at: self.now });
+                self.deliver(node, Event::QuotaUpdate { tenant, remaining, at: self.now });
             }
             let over = quota.is_some_and(|quota| quota.over);
             let tracked = TrackedMessage {
