--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -270,7 +270,7 @@
     }
     match Cli::parse().command {
         Command::Serve => fawnspoke_node::serve(),
-        Command::Check { file } => said(fawnspoke_node::check(&file)),
+        Command::Check { file } => said(fawnspoke_node::check_config(&file)),
         Command::Demo { play } => command::demo(&play.into()),
         Command::Lab(Lab::Run { scenario, play }) => command::run(&scenario, &play.into()),
         Command::Lab(Lab::Script { scenario, seed }) => command::script(&scenario, seed),
--- a/crates/fawnspoke/tests/sockets/settings.rs
+++ b/crates/fawnspoke/tests/sockets/settings.rs
@@ -74,7 +74,7 @@
             dispatcher.config = good.clone();
             *dispatcher.config.pointer_mut(key).expect(key) = value;
             let file = dispatcher.write_config(&dispatcher.config.to_string());
-            if let Err(line) = fawnspoke_node::check(&file) {
+            if let Err(line) = fawnspoke_node::check_config(&file) {
                 let name = key.rsplit('/').next().unwrap();
                 assert!(line.lines().count() == 1 && line.contains(name), "{case}: {line}");
                 refused += 1;
--- a/crates/handover/src/frames.rs
+++ b/crates/handover/src/frames.rs
@@ -23,7 +23,8 @@
     pub version: u32,
     /// Whether the receiver requests the dispatcher's in-memory state. If not, the sender aborts its calls before it
     /// hands over.
-    pub decisions: bool,
+    #[serde(rename = "decisions")]
+    pub in_memory_state: bool,
 }
 
 /// A frame from the sender.
@@ -107,7 +108,7 @@
 
     #[test]
     fn frames_and_hellos_round_trip() {
-        let hello = Hello { version: PROTOCOL_VERSION, decisions: true };
+        let hello = Hello { version: PROTOCOL_VERSION, in_memory_state: true };
         assert_eq!(Hello::decode(&hello.encode().unwrap()).unwrap(), hello);
         // A later version may add fields.
         let newer = Hello::decode(br#"{"version":9,"decisions":false,"more":[1]}"#).unwrap();
--- a/crates/handover/src/receiver.rs
+++ b/crates/handover/src/receiver.rs
@@ -41,7 +41,7 @@
     /// Request the state.
     RequestState {
         /// Include the dispatcher's in-memory state; otherwise the receiver relies on the journal.
-        with_decisions: bool,
+        in_memory_state: bool,
     },
     /// Report to the sender that the state is unusable, and close the link.
     ReportUnusable,
@@ -113,7 +113,7 @@
             (ReceiverState::Connecting { .. }, Event::Started | Event::RetryDue) => (*self, vec![Connect]),
             (ReceiverState::Connecting { journal_only }, Event::Connected) => (
                 ReceiverState::AwaitingState { journal_only },
-                vec![RequestState { with_decisions: !journal_only }],
+                vec![RequestState { in_memory_state: !journal_only }],
             ),
             (ReceiverState::Connecting { journal_only }, Event::NoListener) => {
                 (ReceiverState::LockingWithoutSender { journal_only }, vec![TryLock])
@@ -186,7 +186,7 @@
             Event::RetryDue,
         ]);
         assert!(!receiver.is_owner());
-        let request = Action::RequestState { with_decisions: true };
+        let request = Action::RequestState { in_memory_state: true };
         assert_eq!(
             actions,
             [Action::Connect, request, Action::TryLock, Action::ScheduleRetry, Action::TryLock]
@@ -233,7 +233,7 @@
             Event::RetryDue,
             Event::Connected,
         ]);
-        assert_eq!(actions.last(), Some(&Action::RequestState { with_decisions: false }));
+        assert_eq!(actions.last(), Some(&Action::RequestState { in_memory_state: false }));
     }
 
     #[test]
--- a/crates/node/src/actions.rs
+++ b/crates/node/src/actions.rs
@@ -17,12 +17,12 @@
 
 /// Journals the end of a call and queues it for the decision core.
 pub fn complete_call(node: &Node, endpoint: EndpointId, destination: u32, sent_at: Seconds, end: CallEnd) {
-    for end in end.ends.iter().filter(|end| end.outcome == Outcome::Served) {
+    for end in end.message_ends.iter().filter(|end| end.outcome == Outcome::Served) {
         node.count_message_end(end.number, CountedOutcome::Fulfilled);
     }
     {
         let mut journal = node.journal.borrow_mut();
-        for end in &end.ends {
+        for end in &end.message_ends {
             node.observe_journal_write(match end.settled {
                 true => journal.close(end.number),
                 // Its start was not journaled, so the call never began.
@@ -32,7 +32,7 @@
         }
     }
     node.traffic.record_call_end(destination, &end);
-    node.fleet.report_outcomes(destination, end.ends.iter().map(|end| end.outcome));
+    node.fleet.report_outcomes(destination, end.message_ends.iter().map(|end| end.outcome));
     node.send_input(Input::CallEnded { endpoint, sent_at, end });
 }
 
@@ -106,11 +106,12 @@
             .get(endpoint)
             .filter(|listed| listed.destination == message.content.destination);
         let Some(listed) = listed.filter(|listed| node.fleet.may_send(listed.destination)) else {
-            let ends = vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
+            let message_ends =
+                vec![calls::MessageEnd { number, attempt, outcome: Outcome::NotSent, settled: false }];
             node.send_input(Input::CallEnded {
                 endpoint,
                 sent_at: node.now(),
-                end: CallEnd::without_report(ends, false),
+                end: CallEnd::without_report(message_ends, false),
             });
             return;
         };
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -338,7 +338,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CallEnd {
     /// The end for each message, ordered so that the last one can stand for the whole call.
-    pub ends: Vec<MessageEnd>,
+    pub message_ends: Vec<MessageEnd>,
     pub retry_after: Option<Seconds>,
     pub rate_limit_report: Option<RateLimitReport>,
     /// The call used a connection from the pool.
@@ -349,9 +349,9 @@
 
 impl CallEnd {
     /// The end of a call whose response, if any, gives no usable information beyond the outcome.
-    pub fn without_report(ends: Vec<MessageEnd>, connection_reused: bool) -> CallEnd {
+    pub fn without_report(message_ends: Vec<MessageEnd>, connection_reused: bool) -> CallEnd {
         CallEnd {
-            ends,
+            message_ends,
             retry_after: None,
             rate_limit_report: None,
             connection_reused,
@@ -416,15 +416,15 @@
         // Of a malformed response only a status line with 200 counts, and only for a single message: for a batch the
         // status line says nothing about its messages.
         let is_delivered = response.status == StatusCode::OK && messages.len() == 1;
-        let ends =
+        let message_ends =
             end_all(if is_delivered { Outcome::Served } else { Outcome::MalformedResponse }, is_delivered);
         // Retry-After counts from when it was sent; honouring one that was not meant only delays messages.
         return CallEnd {
             retry_after: parse_retry_after(&response.headers),
-            ..CallEnd::without_report(ends, pool_use.connection_reused)
+            ..CallEnd::without_report(message_ends, pool_use.connection_reused)
         };
     };
-    let ends = match response.status {
+    let message_ends = match response.status {
         StatusCode::OK if messages.len() > 1 => parse_batch_response(messages, body),
         StatusCode::OK => end_all(Outcome::Served, true),
         StatusCode::SERVICE_UNAVAILABLE
@@ -453,7 +453,7 @@
     let rate_limit_report =
         node.config.report_fields.and_then(|fields| parse_rate_limit_report(&response.headers, fields));
     CallEnd {
-        ends,
+        message_ends,
         retry_after: parse_retry_after(&response.headers),
         rate_limit_report,
         connection_reused: pool_use.connection_reused,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -238,12 +238,12 @@
     /// What another process needs to continue the connection; `None` if the request is longer than any
     /// that is accepted.
     fn to_transfer(&self) -> Option<Transfer> {
-        let read = self.request_bytes.take();
-        let asked_ms = self.request_since.get().map(|at| at.elapsed().as_millis() as u32);
-        (read.len() <= MAX_BUFFERED_REQUEST_BYTES).then(|| Transfer::Client {
+        let partial_request = self.request_bytes.take();
+        let waited_ms = self.request_since.get().map(|at| at.elapsed().as_millis() as u32);
+        (partial_request.len() <= MAX_BUFFERED_REQUEST_BYTES).then(|| Transfer::Client {
             stream: self.stream.clone(),
-            read,
-            asked_ms,
+            partial_request,
+            waited_ms,
         })
     }
 }
@@ -300,13 +300,15 @@
     }
 }
 
-/// Takes over a client's connection from the previous process: `read` has been read of its request,
-/// which has been awaited for `asked_ms`.
-pub fn adopt(node: &Rc<Node>, stream: TcpStream, read: Vec<u8>, asked_ms: Option<u32>) -> io::Result<()> {
+/// Takes over a client's connection from the previous process: `partial_request` has been
+/// read of its current request, the rest of which has been awaited for `waited_ms`.
+pub fn adopt(
+    node: &Rc<Node>, stream: TcpStream, partial_request: Vec<u8>, waited_ms: Option<u32>,
+) -> io::Result<()> {
     let (number, client) = node.clients.add(SharedStream::new(stream)?);
-    let request_since = asked_ms.and_then(|ms| Instant::now().checked_sub(Duration::from_millis(ms.into())));
+    let request_since = waited_ms.and_then(|ms| Instant::now().checked_sub(Duration::from_millis(ms.into())));
     client.request_since.set(request_since);
-    spawn_local(serve_connection(node.clone(), number, client, read));
+    spawn_local(serve_connection(node.clone(), number, client, partial_request));
     Ok(())
 }
 
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of journaled times: it continues over restarts of the dispatcher, and steps of the wall clock do not
 //! affect it.
 //!
-//! Within one boot of the machine it is `CLOCK_BOOTTIME` plus an offset that is stored in the state folder beside the
+//! Within one boot of the machine it is `CLOCK_BOOTTIME` plus an offset that is stored in the state directory beside the
 //! boot id. The offset is taken from the wall clock once, at the first start in a boot. The times are therefore close
 //! to Unix time, and remain comparable with those that earlier versions journaled. If the boot id can't be read, each
 //! process takes a new offset.
@@ -13,7 +13,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The clock's file in the state folder: the boot id, a space, the offset in microseconds.
+/// The clock's file in the state directory: the boot id, a space, the offset in microseconds.
 const FILE: &str = "clock";
 /// The new file while it is written.
 const NEXT_FILE: &str = "clock.next";
@@ -40,12 +40,12 @@
 }
 
 impl JournalClock {
-    /// The clock that an earlier process in this boot stored in the folder.
+    /// The clock that an earlier process in this boot stored in the directory.
     ///
     /// # Errors
     /// If the file exists and can't be read.
-    pub fn read(folder: &Path) -> io::Result<Option<JournalClock>> {
-        match fs::read(folder.join(FILE)) {
+    pub fn read(directory: &Path) -> io::Result<Option<JournalClock>> {
+        match fs::read(directory.join(FILE)) {
             Ok(text) => {
                 let offset = parse_offset(&String::from_utf8_lossy(&text), &boot_id());
                 Ok(offset.map(|offset| JournalClock { offset }))
@@ -59,11 +59,11 @@
     ///
     /// # Errors
     /// If it can't be stored: the next process would not find it.
-    pub fn create(folder: &Path, latest: UnixMicros) -> io::Result<JournalClock> {
+    pub fn create(directory: &Path, latest: UnixMicros) -> io::Result<JournalClock> {
         let (boot, offset) = (boot_id(), wall_clock().max(latest).saturating_sub(since_boot()));
         if !boot.is_empty() {
-            fs::write(folder.join(NEXT_FILE), format!("{boot} {offset}\n"))?;
-            fs::rename(folder.join(NEXT_FILE), folder.join(FILE))?;
+            fs::write(directory.join(NEXT_FILE), format!("{boot} {offset}\n"))?;
+            fs::rename(directory.join(NEXT_FILE), directory.join(FILE))?;
         }
         Ok(JournalClock { offset })
     }
@@ -105,17 +105,17 @@
 
     #[test]
     fn a_second_process_continues_the_clock_of_the_first() {
-        let folder = std::env::temp_dir().join(format!("fawnspoke-clock-{}", std::process::id()));
-        fs::create_dir_all(&folder).unwrap();
-        assert_eq!(JournalClock::read(&folder).unwrap(), None);
-        let first = JournalClock::create(&folder, 0).unwrap();
-        assert_eq!(JournalClock::read(&folder).unwrap(), Some(first));
+        let directory = std::env::temp_dir().join(format!("fawnspoke-clock-{}", std::process::id()));
+        fs::create_dir_all(&directory).unwrap();
+        assert_eq!(JournalClock::read(&directory).unwrap(), None);
+        let first = JournalClock::create(&directory, 0).unwrap();
+        assert_eq!(JournalClock::read(&directory).unwrap(), Some(first));
         assert!(!first.is_behind(first.now()));
         // A new clock is never behind a journaled time.
         let ahead = first.now() + 3_600_000_000;
-        assert!(first.is_behind(ahead) && !JournalClock::create(&folder, ahead).unwrap().is_behind(ahead));
-        fs::write(folder.join(FILE), "half").unwrap();
-        assert_eq!(JournalClock::read(&folder).unwrap(), None);
-        fs::remove_dir_all(folder).unwrap();
+        assert!(first.is_behind(ahead) && !JournalClock::create(&directory, ahead).unwrap().is_behind(ahead));
+        fs::write(directory.join(FILE), "half").unwrap();
+        assert_eq!(JournalClock::read(&directory).unwrap(), None);
+        fs::remove_dir_all(directory).unwrap();
     }
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -84,7 +84,7 @@
         };
         // During a handover nobody owns the overrides; afterwards they may be the other process's.
         if node.serving_state.wait_until_settled().await == Phase::HandedOver {
-            node.transfer(Transfer::Order(command));
+            node.transfer(Transfer::OverrideCommand(command));
             continue;
         }
         let answer = apply_command(&node, &command.key, command.activate);
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -51,9 +51,10 @@
             }
         }
         Input::CallEnded { endpoint, sent_at, end } => {
-            let CallEnd { ends, retry_after, rate_limit_report, connection_reused, connection_kept } = end;
+            let CallEnd { message_ends, retry_after, rate_limit_report, connection_reused, connection_kept } =
+                end;
             let latency = now - sent_at;
-            for end in ends {
+            for end in message_ends {
                 let calls::MessageEnd { number, attempt, outcome, settled } = end;
                 let id = MessageId(number);
                 dispatcher.handle(
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -36,7 +36,7 @@
     polling_rate: Cell<PollingRate>,
     list_seq: Cell<Option<u64>>,
     /// How long a restriction lasts that nobody renews.
-    max_hold_seconds: BootSeconds,
+    max_deferral_seconds: BootSeconds,
     /// Whether the discovery watch has ended, and nothing has arrived since.
     watch_ended: Cell<bool>,
     /// Whether each action under a duty is logged.
@@ -57,11 +57,11 @@
 /// A restriction expires by itself, even if the member's thread has ended: a holder whose term is
 /// over holds back for as long as others would, and then acts on its own.
 fn permission(
-    trial_permission: TrialPermission, now: BootSeconds, max_hold_seconds: BootSeconds,
+    trial_permission: TrialPermission, now: BootSeconds, max_deferral_seconds: BootSeconds,
 ) -> Permission {
     match trial_permission {
         TrialPermission::Holder(epoch, until) if now < until => Permission::Holder(epoch),
-        TrialPermission::Holder(_, until) if now < until + max_hold_seconds => Permission::Restricted,
+        TrialPermission::Holder(_, until) if now < until + max_deferral_seconds => Permission::Restricted,
         TrialPermission::Deferred(until) if now < until => Permission::Restricted,
         _ => Permission::Unrestricted,
     }
@@ -79,7 +79,7 @@
             restricted: RefCell::default(),
             polling_rate: Cell::new(PollingRate::Normal),
             list_seq: Cell::new(None),
-            max_hold_seconds: config.fleet.as_ref().map_or(0.0, |fleet_config| fleet_config.hold_most_s),
+            max_deferral_seconds: config.fleet.as_ref().map_or(0.0, |fleet_config| fleet_config.hold_most_s),
             watch_ended: Cell::new(false),
             log_actions: config.fleet.as_ref().is_some_and(|fleet_config| fleet_config.history),
         }
@@ -182,7 +182,7 @@
     pub fn may_send(&self, destination: u32) -> bool {
         let Some(trial_permission) = self.outages.borrow().get(&destination).copied() else { return true };
         let now = clock::now();
-        match permission(trial_permission, now, self.max_hold_seconds) {
+        match permission(trial_permission, now, self.max_deferral_seconds) {
             Permission::Holder(epoch) if self.log_actions => {
                 log::info(format_args!(
                     "fleet: {:.6} acts tries/{destination} epoch {epoch}",
@@ -212,7 +212,7 @@
         }
         let now = clock::now();
         let is_restricted = |trial_permission: &TrialPermission| {
-            permission(*trial_permission, now, self.max_hold_seconds) == Permission::Restricted
+            permission(*trial_permission, now, self.max_deferral_seconds) == Permission::Restricted
         };
         let to_restrict: BTreeSet<u32> = self
             .outages
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -215,7 +215,7 @@
                 }
                 Action::HandOver => {
                     log::info_limited(format_args!("handover: requested; handing over"));
-                    if !first_request.hello.decisions {
+                    if !first_request.hello.in_memory_state {
                         // A process that starts from the journal assumes that these calls have ended.
                         node.abort_calls().await;
                     }
@@ -227,7 +227,7 @@
                     node.fleet.stop_member(node);
                     node.owner_lock.replace(None);
                     let sent = match &link {
-                        Some(link) => send_state(node, link, first_request.hello.decisions).await,
+                        Some(link) => send_state(node, link, first_request.hello.in_memory_state).await,
                         None => Ok(()),
                     };
                     if let Err(error) = sent {
@@ -390,8 +390,8 @@
 ) -> Result<(), BoxError> {
     let mut sent_connection = None;
     let (frame, stream) = match transfer {
-        Transfer::Client { stream, read, asked_ms } => {
-            (SenderFrame::Client { partial_request: read, waited_ms: asked_ms }, Some(stream))
+        Transfer::Client { stream, partial_request, waited_ms } => {
+            (SenderFrame::Client { partial_request, waited_ms }, Some(stream))
         }
         Transfer::IdleConnection { endpoint, connection } => {
             let idle_ms = connection.idle_since.elapsed().as_millis() as u32;
@@ -402,7 +402,7 @@
             (frame, Some(stream))
         }
         Transfer::Completion(completion) => (SenderFrame::CallCompleted(frames::encode(&completion)?), None),
-        Transfer::Order(command) => {
+        Transfer::OverrideCommand(command) => {
             *command_count += 1;
             commands.insert(*command_count, command.reply);
             (
@@ -468,14 +468,14 @@
                         }
                     });
                 }
-                Action::RequestState { with_decisions } => {
-                    journal_only = !with_decisions;
+                Action::RequestState { in_memory_state } => {
+                    journal_only = !in_memory_state;
                     next = Some(match &link {
                         Some(link) => {
                             request_state(
                                 link,
                                 config,
-                                with_decisions,
+                                in_memory_state,
                                 &mut state,
                                 &mut listener,
                                 &mut refusal_logged,
@@ -570,11 +570,11 @@
 
 /// Requests all state from the old process.
 async fn request_state(
-    link: &Link, config: &Config, decisions: bool, state: &mut Option<HandoverState>,
+    link: &Link, config: &Config, in_memory_state: bool, state: &mut Option<HandoverState>,
     listener: &mut Option<OwnedFd>, refusal_logged: &mut bool,
 ) -> receiver::Event {
     use receiver::Event;
-    let Ok(hello) = (Hello { version: PROTOCOL_VERSION, decisions }).encode() else {
+    let Ok(hello) = (Hello { version: PROTOCOL_VERSION, in_memory_state }).encode() else {
         return Event::LinkClosed;
     };
     if link.send(&hello, None).await.is_err() {
@@ -602,7 +602,7 @@
             _ => return Event::LinkClosed,
         }
     }
-    if !decisions {
+    if !in_memory_state {
         return Event::StateReceived(true);
     }
     match ciborium::from_reader::<HandoverState, _>(&bytes[..]) {
@@ -677,8 +677,8 @@
     let stream =
         descriptor.and_then(|descriptor| TcpStream::from_std(std::net::TcpStream::from(descriptor)).ok());
     match (frame, stream) {
-        (SenderFrame::Client { partial_request: read, waited_ms: asked_ms }, Some(stream)) => {
-            if let Err(error) = clients::adopt(node, stream, read, asked_ms) {
+        (SenderFrame::Client { partial_request, waited_ms }, Some(stream)) => {
+            if let Err(error) = clients::adopt(node, stream, partial_request, waited_ms) {
                 log::info_limited(format_args!("handover: client connection: {error}"));
             }
         }
@@ -695,8 +695,8 @@
         }
         (SenderFrame::CallCompleted(bytes), _) => match frames::decode(&bytes) {
             Ok(Completion::Call { endpoint, destination, sent_at, mut end }) => {
-                end.ends.retain(|end| in_flight.remove(&(end.number, end.attempt)).is_some());
-                if !end.ends.is_empty() {
+                end.message_ends.retain(|end| in_flight.remove(&(end.number, end.attempt)).is_some());
+                if !end.message_ends.is_empty() {
                     complete_call(node, EndpointId(endpoint), destination, sent_at, end);
                 }
             }
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -109,7 +109,7 @@
             journal.pending_notices(usize::MAX).len()
         ));
         for destination in journal.outages().filter(|_| !self.adopted_state) {
-            self.send_event(Event::OutageRecovered(DestinationId(destination)));
+            self.send_event(Event::OutageRestored(DestinationId(destination)));
         }
         for destination in journal.outages() {
             self.fleet.set_unavailable(self, destination, true);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -103,7 +103,7 @@
     listener: Rc<TcpListener>,
     /// Whether this process serves, is handing over or has handed over.
     serving_state: ServingState,
-    /// Its holder owns the state folder.
+    /// Its holder owns the state directory.
     owner_lock: RefCell<Option<Lock>>,
     /// Shared lock of all processes that may have calls in flight.
     calls_lock: RefCell<Option<Lock>>,
@@ -168,7 +168,7 @@
 
 /// Runs the dispatcher that `GW_CONFIG` and `GW_STATE` describe until SIGTERM or SIGINT. An invalid configuration
 /// ends the start with one line that names the key, and exit code 2; any other failure of the start (an address in
-/// use, a folder that can't be written) ends it with exit code 1.
+/// use, a directory that can't be written) ends it with exit code 1.
 pub fn serve() -> ExitCode {
     // Signals may arrive at any moment, and one without a handler would kill the process.
     let (runtime, signals) = match retry::blocking(runtime_with_signals) {
@@ -218,7 +218,7 @@
 ///
 /// # Errors
 /// One line that names the file, the key and the problem.
-pub fn check(file: &Path) -> Result<String, String> {
+pub fn check_config(file: &Path) -> Result<String, String> {
     let config = Config::from_file(file).map_err(|error| format!("{}: {error}", file.display()))?;
     Ok(format!(
         "{}: {}: {} classes, {} kinds of destination, {} slots, capacity for {} messages",
--- a/crates/node/src/log.rs
+++ b/crates/node/src/log.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output. Lines that peers can cause are rate limited; suppressed lines are counted and the
+//! Log lines on standard output. Lines that peers can cause are rate limited; dropped lines are counted and the
 //! count is logged.
 
 use std::cell::Cell;
@@ -10,7 +10,7 @@
 const MAX_LINES_PER_SECOND: u32 = 20;
 
 thread_local! {
-    /// Start of the current one-second window, lines written and lines suppressed in it.
+    /// Start of the current one-second window, lines written and lines dropped in it.
     static WINDOW: Cell<Option<(Instant, u32, u32)>> = const { Cell::new(None) };
 }
 
@@ -27,18 +27,18 @@
 /// Writes a line that peers can cause, subject to the rate limit.
 pub fn info_limited(text: impl Display) {
     let now = Instant::now();
-    let (mut window_start, mut written, mut suppressed) = WINDOW.get().unwrap_or((now, 0, 0));
+    let (mut window_start, mut written, mut dropped) = WINDOW.get().unwrap_or((now, 0, 0));
     if now - window_start >= Duration::from_secs(1) {
-        if suppressed > 0 {
-            info(format_args!("{suppressed} log lines suppressed"));
+        if dropped > 0 {
+            info(format_args!("{dropped} lines dropped"));
         }
-        (window_start, written, suppressed) = (now, 0, 0);
+        (window_start, written, dropped) = (now, 0, 0);
     }
     if written < MAX_LINES_PER_SECOND {
         written += 1;
         info(text);
     } else {
-        suppressed += 1;
+        dropped += 1;
     }
-    WINDOW.set(Some((window_start, written, suppressed)));
+    WINDOW.set(Some((window_start, written, dropped)));
 }
--- a/crates/node/src/retry.rs
+++ b/crates/node/src/retry.rs
@@ -1,4 +1,4 @@
-//! Retries at startup, for when the machine is short of a resource for a moment or the state folder is not writable
+//! Retries at startup, for when the machine is short of a resource for a moment or the state directory is not writable
 //! yet.
 
 use rustix::io::Errno;
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -107,7 +107,7 @@
     Ok((journal, clock))
 }
 
-/// Opens the journal, with retries while its folder is not writable.
+/// Opens the journal, with retries while its directory is not writable.
 async fn open_when_writable(config: &Config) -> Result<(Journal, JournalClock), String> {
     let mut retry = Retry::new();
     let describe = |error: &OpenError| format!("GW_STATE: {}: {error}", config.state_dir.display());
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -157,8 +157,8 @@
 
     /// Counts the end of a call.
     pub fn record_call_end(&self, destination: u32, end: &CallEnd) {
-        let delivered = end.ends.iter().filter(|end| end.outcome == Outcome::Served).count() as u64;
-        let last = end.ends.last().map(|end| end.outcome);
+        let delivered = end.message_ends.iter().filter(|end| end.outcome == Outcome::Served).count() as u64;
+        let last = end.message_ends.last().map(|end| end.outcome);
         self.update(destination, |counters| {
             counters.delivered += delivered;
             if let Some(RateLimitReport { rate, remaining_share: left }) = end.rate_limit_report {
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -9,13 +9,13 @@
 /// An item that is sent to the new process once it owns the dispatcher's state.
 pub enum Transfer {
     /// A client's connection, the bytes read of its current request, and the age of that request.
-    Client { stream: SharedStream, read: Vec<u8>, asked_ms: Option<u32> },
+    Client { stream: SharedStream, partial_request: Vec<u8>, waited_ms: Option<u32> },
     /// An idle connection to an endpoint.
     IdleConnection { endpoint: EndpointId, connection: Connection },
     /// The result of a call or a probe.
     Completion(Completion),
     /// An operator override that arrived at this process's control port.
-    Order(OverrideCommand),
+    OverrideCommand(OverrideCommand),
 }
 
 /// The result of a call or a probe that was in flight at the handover.
--- a/crates/waydoor/src/interface.rs
+++ b/crates/waydoor/src/interface.rs
@@ -420,7 +420,7 @@
     },
     /// The destination was unavailable or recovering when the previous process ended (its last
     /// [`Action::RecordOutage`] said so).
-    OutageRecovered(DestinationId),
+    OutageRestored(DestinationId),
     /// An endpoint that operators had taken out of service was restarted meanwhile: it serves again and is
     /// cold. Its entry of the list came before.
     EndpointRestored(EndpointId),
--- a/crates/waydoor/src/policy.rs
+++ b/crates/waydoor/src/policy.rs
@@ -59,7 +59,7 @@
                 self.restore_message(message.id, accepted_at, attempts, may_have_run);
                 self.limit_backlog_rate(now, message.destination);
             }
-            Event::OutageRecovered(destination) => {
+            Event::OutageRestored(destination) => {
                 self.recovered_outages.insert(destination);
                 self.restore_outage(now, destination);
             }
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -539,12 +539,12 @@
         &self.settings
     }
 
-    /// Whether the message is queued or in call_ref and not withdrawn or ended.
+    /// Whether the message is queued or in flight and not withdrawn or ended.
     pub fn is_active(&self, id: MessageId) -> bool {
         self.messages.get(&id).is_some_and(|state| !state.done)
     }
 
-    /// The attempts in call_ref, in the order of their message ids.
+    /// The attempts in flight, in the order of their message ids.
     pub fn in_flight(&self) -> Vec<InFlightAttempt> {
         let attempts = self.messages.iter().filter_map(|(id, state)| Some((id, state, state.call?)));
         let attempts = attempts.map(|(id, state, CallRef { endpoint, call })| InFlightAttempt {
--- a/crates/waydoor/tests/restart.rs
+++ b/crates/waydoor/tests/restart.rs
@@ -103,7 +103,7 @@
 fn attempts_after_start(outage_recovered: bool) -> usize {
     let mut harness = Harness::new(settings());
     if outage_recovered {
-        harness.handle(Event::OutageRecovered(DESTINATION_1));
+        harness.handle(Event::OutageRestored(DESTINATION_1));
     }
     for id in 1..=60 {
         recover(&mut harness, id, 1, 0, None);
@@ -181,7 +181,7 @@
 fn a_recovered_outage_applies_once_the_endpoint_is_listed() {
     let mut harness = Harness::new(settings());
     harness.handle(Event::ListSnapshot(Vec::new()));
-    harness.handle(Event::OutageRecovered(DESTINATION_1));
+    harness.handle(Event::OutageRestored(DESTINATION_1));
     for id in 1..=5 {
         harness.accept(id, 0, 1);
     }
