--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -24,12 +24,13 @@
 pub const MAX_CLIENTS: usize = 16;
 /// Most clients beyond those, while all others have sent their request and are being answered.
 const MAX_ANSWERING_CLIENTS: usize = 16;
-/// How often the server yields to its clients' tasks to get below [`MAX_CLIENTS`] before it accepts one more.
+/// Maximum number of times that the server yields to its clients' tasks to get below [`MAX_CLIENTS`] before it accepts
+/// one more.
 const MAX_YIELDS: usize = 4;
 /// Time limit for receiving a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time limit for the dispatcher's thread to answer a command. After it the client is told of a failure, although the
-/// command may still be carried out.
+/// Time limit for the dispatcher's thread to answer a command. After it the client gets a failure response, although
+/// the command may still be carried out.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time limit for the client to read the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -104,8 +105,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // Makes room by disconnecting the oldest clients without a complete request. If there are none, all
-                    // clients are being answered and finish soon.
+                    // Disconnects the oldest clients without a complete request, to stay below the limit. If there are
+                    // none, all clients are being answered and finish soon.
                     for _ in 0..MAX_YIELDS {
                         if self.client_count.get() < MAX_CLIENTS {
                             break;
@@ -146,8 +147,8 @@
         };
         self.idle_clients.borrow_mut().retain(|other| !Rc::ptr_eq(other, &disconnect));
         let response = match received {
-            None => failure("too many callers that say nothing"),
-            Some(Err(_)) => failure("no whole line within 2 s"),
+            None => failure("too many clients without a complete request"),
+            Some(Err(_)) => failure("no complete line within 2 s"),
             Some(Ok(request)) => match request? {
                 Ok(request) => self.respond(request).await,
                 Err(error) => failure(error),
@@ -175,13 +176,13 @@
             Request::Fleet => ControlCommand::FleetStatus(reply),
         };
         if self.commands.send(command).is_err() {
-            return failure("this process takes no orders any more");
+            return failure("this process no longer accepts commands");
         }
         match timeout(COMMAND_TIMEOUT, result).await {
             Ok(Ok(Ok(text))) => success(text),
             Ok(Ok(Err(text))) => failure(text),
-            Ok(Err(_)) => failure("this process takes no orders any more"),
-            Err(_) => failure("not carried out within 0.8 s; it may be yet"),
+            Ok(Err(_)) => failure("this process no longer accepts commands"),
+            Err(_) => failure("not carried out within 0.8 s; it may still be"),
         }
     }
 }
--- a/crates/handover/src/receiver.rs
+++ b/crates/handover/src/receiver.rs
@@ -1,7 +1,7 @@
 //! The new process's side of a handover, as a state machine.
 //!
 //! The receiver becomes the owner by acquiring the lock on the state directory. It first requests the state of the
-//! process that holds the lock, if there is one: that process knows more than what the journal holds.
+//! process that holds the lock, if there is one, since that includes more than the journal.
 
 use crate::Seconds;
 
--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -20,7 +20,7 @@
 
 /// Prefix of each output line that reports damage which a crash can't have caused.
 pub const DAMAGE_PREFIX: &str = "damaged: ";
-/// How often a directory is read at most. A running dispatcher may remove a segment during the read by compaction; the
+/// Maximum number of times that a directory is read. A running dispatcher may remove a segment during the read by compaction; the
 /// read is repeated then.
 const MAX_READ_ATTEMPTS: u32 = 5;
 
--- a/crates/machine-faults/src/lib.rs
+++ b/crates/machine-faults/src/lib.rs
@@ -1,8 +1,9 @@
-//! For tests alone: preloaded into one process, this library lets its system calls fail as a machine in trouble would.
+//! Fault injection for tests: a library that is preloaded into a process and makes its system calls fail or fall short.
 //!
-//! `MACHINE_FAULTS` names a file of [`FIELDS`] 64-bit numbers in the machine's byte order, one for each [`Field`]. It is
-//! mapped, so what a test writes there holds from the next call on. Without the variable every call is passed on.
-//! Calls on files count as the folder's where their path lies below `GW_STATE`.
+//! `MACHINE_FAULTS` names a file of [`FIELD_COUNT`] 64-bit integers in native byte order, one for each [`Field`]. The
+//! file is mapped into memory, so a value that a test writes applies from the next call on. If the variable is not set,
+//! all calls are passed on to the kernel. Faults of the state directory apply to files whose path begins with the value
+//! of `GW_STATE`.
 
 #![allow(unsafe_code)]
 
@@ -10,21 +11,21 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, AtomicI64, Ordering};
 
-/// Numbers in the file.
-const FIELDS: usize = 16;
-/// Descriptors above this one are never the folder's.
-const DESCRIPTORS_MOST: usize = 4096;
+/// Number of integers in the file.
+const FIELD_COUNT: usize = 16;
+/// Higher descriptors are not tracked: they never count as files of the state directory.
+const MAX_TRACKED_DESCRIPTORS: usize = 4096;
 
-/// What each number of the file means. Zero: no such fault.
+/// The integers of the file, in their order. Zero means that the fault is off.
 #[repr(usize)]
 enum Field {
     /// Microseconds by which the wall clock is ahead.
     WallOffset,
-    /// Calls that change the folder fail with this error.
+    /// Calls that modify the state directory fail with this error.
     FolderError,
-    /// Bytes that one read from a socket brings at most.
+    /// Maximum number of bytes that one read from a socket returns.
     ReadMost,
-    /// Bytes that one write to a socket takes at most.
+    /// Maximum number of bytes that one write to a socket accepts.
     WriteMost,
     /// Every `AcceptEvery`-th accept fails with this error.
     AcceptError,
@@ -32,59 +33,66 @@
     /// Every `ConnectEvery`-th connect fails with this error.
     ConnectError,
     ConnectEvery,
-    /// Every so many waits are interrupted.
+    /// Every `InterruptEvery`-th wait is interrupted.
     InterruptEvery,
-    /// The next write to the folder stops half way, and the process is killed there.
+    /// The next write to a file of the state directory writes half of its bytes, and then the process is killed.
     TearNext,
-    /// Calls that this library let fail or cut short so far.
+    /// Number of calls so far that this library has made to fail or shortened.
     Faults,
-    /// Calls for a new socket, an epoll or a listening address fail with this error.
+    /// Calls that create a socket, a socket pair or an epoll instance, or begin to listen, fail with this error.
     SocketError,
-    /// Every `BreakEvery`-th read from or write to a socket that is no look fails with this error.
+    /// Every `BreakEvery`-th read from or write to a socket fails with this error; peeks do not count.
     BreakError,
     BreakEvery,
 }
 
-static FOLDER_FILES: [AtomicBool; DESCRIPTORS_MOST] = [const { AtomicBool::new(false) }; DESCRIPTORS_MOST];
-static ACCEPTS: AtomicI64 = AtomicI64::new(0);
-static CONNECTS: AtomicI64 = AtomicI64::new(0);
-static WAITS: AtomicI64 = AtomicI64::new(0);
-static TRANSFERS: AtomicI64 = AtomicI64::new(0);
-
-/// The mapped file, and the folder's path.
-struct Plan {
-    fields: &'static [AtomicI64; FIELDS],
-    folder: Vec<u8>,
-}
-
-/// The plan, where this process has one.
-fn plan() -> Option<&'static Plan> {
-    static PLAN: OnceLock<Option<Plan>> = OnceLock::new();
-    PLAN.get_or_init(|| {
-        let path = std::env::var_os("MACHINE_FAULTS")?;
-        let folder = std::env::var_os("GW_STATE")?.into_encoded_bytes();
-        let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
-        // SAFETY: the path ends in a zero byte; the mapping is shared, of whole words, and is never unmapped.
-        unsafe {
-            let file =
-                libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR, 0) as c_int;
-            if file < 0 {
-                return None;
-            }
-            let length = FIELDS * size_of::<AtomicI64>();
-            let flags = libc::PROT_READ | libc::PROT_WRITE;
-            let at = libc::mmap(std::ptr::null_mut(), length, flags, libc::MAP_SHARED, file, 0);
-            libc::syscall(libc::SYS_close, file);
-            if at == libc::MAP_FAILED {
-                return None;
+/// By descriptor: whether it is an open file of the state directory.
+static STATE_FILES: [AtomicBool; MAX_TRACKED_DESCRIPTORS] =
+    [const { AtomicBool::new(false) }; MAX_TRACKED_DESCRIPTORS];
+/// Number of accept calls so far.
+static ACCEPT_CALLS: AtomicI64 = AtomicI64::new(0);
+/// Number of connect calls so far.
+static CONNECT_CALLS: AtomicI64 = AtomicI64::new(0);
+/// Number of wait calls so far.
+static WAIT_CALLS: AtomicI64 = AtomicI64::new(0);
+/// Number of reads from and writes to sockets so far.
+static TRANSFER_CALLS: AtomicI64 = AtomicI64::new(0);
+
+/// The mapped file, and the path of the state directory.
+struct FaultPlan {
+    fields: &'static [AtomicI64; FIELD_COUNT],
+    state_dir: Vec<u8>,
+}
+
+/// The fault plan; `None` if the environment does not name one or its file can't be mapped.
+fn plan() -> Option<&'static FaultPlan> {
+    static FAULT_PLAN: OnceLock<Option<FaultPlan>> = OnceLock::new();
+    FAULT_PLAN
+        .get_or_init(|| {
+            let path = std::env::var_os("MACHINE_FAULTS")?;
+            let state_dir = std::env::var_os("GW_STATE")?.into_encoded_bytes();
+            let path = std::ffi::CString::new(path.into_encoded_bytes()).ok()?;
+            // SAFETY: the path ends in a zero byte; the mapping is shared, of whole words, and is never unmapped.
+            unsafe {
+                let file =
+                    libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR, 0) as c_int;
+                if file < 0 {
+                    return None;
+                }
+                let length = FIELD_COUNT * size_of::<AtomicI64>();
+                let flags = libc::PROT_READ | libc::PROT_WRITE;
+                let at = libc::mmap(std::ptr::null_mut(), length, flags, libc::MAP_SHARED, file, 0);
+                libc::syscall(libc::SYS_close, file);
+                if at == libc::MAP_FAILED {
+                    return None;
+                }
+                Some(FaultPlan { fields: &*at.cast(), state_dir })
             }
-            Some(Plan { fields: &*at.cast(), folder })
-        }
-    })
-    .as_ref()
+        })
+        .as_ref()
 }
 
-/// The number in a field; zero without a plan.
+/// The value of a field; zero without a plan.
 fn field(field: Field) -> i64 {
     plan().map_or(0, |plan| plan.fields[field as usize].load(Ordering::Relaxed))
 }
@@ -95,55 +103,56 @@
     }
 }
 
-/// Fails with an error.
+/// Counts a fault, sets the error of this thread and returns the result of a failed call.
 fn fail(error: i64) -> c_int {
     count_fault();
-    // SAFETY: the C library's own place for the error of this thread.
+    // SAFETY: this is the C library's `errno` of the current thread.
     unsafe { *libc::__errno_location() = error as c_int };
     -1
 }
 
-/// Whether this call of a kind is one that fails.
-fn is_due(calls: &AtomicI64, every: i64) -> bool {
+/// Counts a call and returns whether it is the one of `every` that fails.
+fn should_fail(calls: &AtomicI64, every: i64) -> bool {
     every > 0 && (calls.fetch_add(1, Ordering::Relaxed) + 1) % every == 0
 }
 
-fn is_folder_file(file: c_int) -> bool {
-    usize::try_from(file)
-        .is_ok_and(|file| FOLDER_FILES.get(file).is_some_and(|belongs| belongs.load(Ordering::Relaxed)))
+fn is_state_file(file: c_int) -> bool {
+    usize::try_from(file).is_ok_and(|file| {
+        STATE_FILES.get(file).is_some_and(|in_state_dir| in_state_dir.load(Ordering::Relaxed))
+    })
 }
 
-fn mark(file: c_int, belongs: bool) {
+fn track_descriptor(file: c_int, in_state_dir: bool) {
     if let Ok(file) = usize::try_from(file)
-        && let Some(place) = FOLDER_FILES.get(file)
+        && let Some(tracked) = STATE_FILES.get(file)
     {
-        place.store(belongs, Ordering::Relaxed);
+        tracked.store(in_state_dir, Ordering::Relaxed);
     }
 }
 
-/// Whether a path lies in the folder.
+/// Whether a path begins with that of the state directory.
 ///
 /// # Safety
 /// The path ends in a zero byte.
-unsafe fn is_in_folder(path: *const c_char) -> bool {
-    // SAFETY: by this function's own condition.
+unsafe fn is_in_state_dir(path: *const c_char) -> bool {
+    // SAFETY: guaranteed by the caller.
     let path = unsafe { std::ffi::CStr::from_ptr(path) }.to_bytes();
-    plan().is_some_and(|plan| path.starts_with(&plan.folder))
+    plan().is_some_and(|plan| path.starts_with(&plan.state_dir))
 }
 
-/// Cuts a length to what one call may move.
-fn cut(length: size_t, most: i64) -> size_t {
-    match usize::try_from(most) {
-        Ok(most @ 1..) if most < length => {
+/// Shortens the length of a transfer to a maximum; zero means that there is none.
+fn limit_length(length: size_t, max: i64) -> size_t {
+    match usize::try_from(max) {
+        Ok(max @ 1..) if max < length => {
             count_fault();
-            most
+            max
         }
         _ => length,
     }
 }
 
-// SAFETY of all that follows: each function has the C library's own form and passes its arguments on to the kernel as
-// they came, but for a length that is made smaller.
+// SAFETY of all functions below: each has the signature of the C library's function of that name and passes its
+// arguments on to the kernel unchanged, except that a length may be reduced.
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, time: *mut timespec) -> c_int {
@@ -166,32 +175,33 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn recv(socket: c_int, bytes: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if flags & libc::MSG_PEEK == 0 && is_due(&TRANSFERS, field(Field::BreakEvery)) {
+    if flags & libc::MSG_PEEK == 0 && should_fail(&TRANSFER_CALLS, field(Field::BreakEvery)) {
         return fail(field(Field::BreakError)) as ssize_t;
     }
-    let length = if flags & libc::MSG_PEEK == 0 { cut(length, field(Field::ReadMost)) } else { length };
+    let length =
+        if flags & libc::MSG_PEEK == 0 { limit_length(length, field(Field::ReadMost)) } else { length };
     let (from, size) = (std::ptr::null_mut::<c_void>(), std::ptr::null_mut::<c_void>());
     unsafe { libc::syscall(libc::SYS_recvfrom, socket, bytes, length, flags, from, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn send(socket: c_int, bytes: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    if is_due(&TRANSFERS, field(Field::BreakEvery)) {
+    if should_fail(&TRANSFER_CALLS, field(Field::BreakEvery)) {
         return fail(field(Field::BreakError)) as ssize_t;
     }
-    let length = cut(length, field(Field::WriteMost));
+    let length = limit_length(length, field(Field::WriteMost));
     let (to, size) = (std::ptr::null::<c_void>(), 0);
     unsafe { libc::syscall(libc::SYS_sendto, socket, bytes, length, flags, to, size) as ssize_t }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn writev(file: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    let most = field(Field::WriteMost);
-    if most > 0 && count > 0 && !is_folder_file(file) {
+    let max = field(Field::WriteMost);
+    if max > 0 && count > 0 && !is_state_file(file) {
         let filled =
             (0..count as usize).map(|part| unsafe { &*parts.add(part) }).find(|part| part.iov_len > 0);
         if let Some(part) = filled {
-            let length = cut(part.iov_len, most);
+            let length = limit_length(part.iov_len, max);
             return unsafe { libc::syscall(libc::SYS_write, file, part.iov_base, length) as ssize_t };
         }
     }
@@ -200,7 +210,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn write(file: c_int, bytes: *const c_void, length: size_t) -> ssize_t {
-    if is_folder_file(file) {
+    if is_state_file(file) {
         let error = field(Field::FolderError);
         if error != 0 {
             return fail(error) as ssize_t;
@@ -215,21 +225,21 @@
     unsafe { libc::syscall(libc::SYS_write, file, bytes, length) as ssize_t }
 }
 
-/// A call that changes the folder: it fails, or is passed on.
-fn folder_call(concerned: bool, call: impl FnOnce() -> libc::c_long) -> c_int {
+/// Passes a call on, unless it modifies the state directory and is to fail. `in_state_dir`: it modifies it.
+fn state_dir_call(in_state_dir: bool, call: impl FnOnce() -> libc::c_long) -> c_int {
     match field(Field::FolderError) {
-        error if error != 0 && concerned => fail(error),
+        error if error != 0 && in_state_dir => fail(error),
         _ => call() as c_int,
     }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    let belongs = unsafe { is_in_folder(path) };
-    let opened = folder_call(belongs && flags & libc::O_CREAT != 0, || unsafe {
+    let in_state_dir = unsafe { is_in_state_dir(path) };
+    let opened = state_dir_call(in_state_dir && flags & libc::O_CREAT != 0, || unsafe {
         libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, flags, mode)
     });
-    mark(opened, belongs);
+    track_descriptor(opened, in_state_dir);
     opened
 }
 
@@ -240,39 +250,39 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn close(file: c_int) -> c_int {
-    mark(file, false);
+    track_descriptor(file, false);
     unsafe { libc::syscall(libc::SYS_close, file) as c_int }
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn ftruncate64(file: c_int, length: off64_t) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_ftruncate, file, length) })
+    state_dir_call(is_state_file(file), || unsafe { libc::syscall(libc::SYS_ftruncate, file, length) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fsync(file: c_int) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_fsync, file) })
+    state_dir_call(is_state_file(file), || unsafe { libc::syscall(libc::SYS_fsync, file) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn fdatasync(file: c_int) -> c_int {
-    folder_call(is_folder_file(file), || unsafe { libc::syscall(libc::SYS_fdatasync, file) })
+    state_dir_call(is_state_file(file), || unsafe { libc::syscall(libc::SYS_fdatasync, file) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    let concerned = unsafe { is_in_folder(path) };
-    folder_call(concerned, || unsafe { libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) })
+    let in_state_dir = unsafe { is_in_state_dir(path) };
+    state_dir_call(in_state_dir, || unsafe { libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    let concerned = unsafe { is_in_folder(to) };
-    let here = libc::AT_FDCWD;
-    folder_call(concerned, || unsafe { libc::syscall(libc::SYS_renameat2, here, from, here, to, 0) })
+    let in_state_dir = unsafe { is_in_state_dir(to) };
+    let base = libc::AT_FDCWD;
+    state_dir_call(in_state_dir, || unsafe { libc::syscall(libc::SYS_renameat2, base, from, base, to, 0) })
 }
 
-/// A call for something that the machine may be short of: it fails, or is passed on.
+/// Passes on a call that needs a resource of the machine, unless such calls are to fail.
 fn resource_call(call: impl FnOnce() -> libc::c_long) -> c_int {
     match field(Field::SocketError) {
         0 => call() as c_int,
@@ -296,15 +306,15 @@
 }
 
 #[unsafe(no_mangle)]
-unsafe extern "C" fn listen(socket: c_int, most: c_int) -> c_int {
-    resource_call(|| unsafe { libc::syscall(libc::SYS_listen, socket, most) })
+unsafe extern "C" fn listen(socket: c_int, backlog: c_int) -> c_int {
+    resource_call(|| unsafe { libc::syscall(libc::SYS_listen, socket, backlog) })
 }
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn accept4(
     socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int,
 ) -> c_int {
-    if is_due(&ACCEPTS, field(Field::AcceptEvery)) {
+    if should_fail(&ACCEPT_CALLS, field(Field::AcceptEvery)) {
         return fail(field(Field::AcceptError));
     }
     unsafe { libc::syscall(libc::SYS_accept4, socket, address, length, flags) as c_int }
@@ -312,7 +322,7 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    if is_due(&CONNECTS, field(Field::ConnectEvery)) {
+    if should_fail(&CONNECT_CALLS, field(Field::ConnectEvery)) {
         return fail(field(Field::ConnectError));
     }
     unsafe { libc::syscall(libc::SYS_connect, socket, address, length) as c_int }
@@ -320,10 +330,10 @@
 
 #[unsafe(no_mangle)]
 unsafe extern "C" fn epoll_wait(
-    epoll: c_int, events: *mut libc::epoll_event, most: c_int, timeout: c_int,
+    epoll: c_int, events: *mut libc::epoll_event, max_events: c_int, timeout: c_int,
 ) -> c_int {
-    if is_due(&WAITS, field(Field::InterruptEvery)) {
+    if should_fail(&WAIT_CALLS, field(Field::InterruptEvery)) {
         return fail(i64::from(libc::EINTR));
     }
-    unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, most, timeout) as c_int }
+    unsafe { libc::syscall(libc::SYS_epoll_wait, epoll, events, max_events, timeout) as c_int }
 }
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -1,9 +1,9 @@
 //! Calls and probes to endpoints over HTTP/1.1, and the pool of idle connections.
 //!
-//! A call carries one message (`/receive`) or a batch (`/receive-many`). [`perform`] always returns a [`CallEnd`] with the
-//! outcome for each message. Above all the outcome says whether the message may have run at the endpoint, since that
-//! decides whether it may be sent again. hyper reports only that a request failed, so [`ResponseMonitor`] also watches
-//! the bytes of the connection.
+//! A call carries one message (`/receive`) or a batch (`/receive-many`). [`perform`] always returns a [`CallEnd`] with
+//! the outcome for each message. Above all the outcome says whether the message may have run at the endpoint, since
+//! that decides whether it may be sent again. hyper reports only that a request failed, so [`ResponseMonitor`] also
+//! watches the bytes of the connection.
 
 use crate::serving::Phase;
 use crate::stream::{HeadScanner, SharedStream, Unread};
@@ -58,8 +58,8 @@
     first_byte_at: Cell<Option<Instant>>,
     /// Signals the first byte of the response.
     first_byte: Notify,
-    /// The peer has closed the connection. Noted here because hyper itself closes a connection after a head that it
-    /// cannot parse, and the socket can't tell any more who closed first.
+    /// The peer has closed the connection. Recorded here because hyper itself closes a connection after a head that it
+    /// cannot parse, and then the socket does not show any more who closed first.
     peer_closed: Cell<bool>,
     /// A write has failed.
     write_failed: Cell<bool>,
@@ -214,8 +214,8 @@
     Ok(Connection { sender, address, stream, monitor, driver: driver.abort_handle(), idle_since })
 }
 
-/// The idle connections by endpoint, the most recently used last. The address is no key, since it may belong to another
-/// endpoint by now.
+/// The idle connections by endpoint, the most recently used last. They are not keyed by address, since an address may
+/// belong to another endpoint by now.
 #[derive(Default)]
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<EndpointId, Vec<Connection>>>,
@@ -330,14 +330,14 @@
     /// The number of the attempt, from 0.
     pub attempt: u32,
     pub outcome: Outcome,
-    /// The message is done: no retry and no notice is due.
+    /// The message needs neither a retry nor a notice.
     pub settled: bool,
 }
 
 /// How a call ended.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct CallEnd {
-    /// The end for each message, ordered so that the last one can stand for the whole call.
+    /// How the call ended for each of its messages; the last one represents the whole call.
     pub message_ends: Vec<MessageEnd>,
     pub retry_after: Option<Seconds>,
     pub rate_limit_report: Option<RateLimitReport>,
@@ -589,7 +589,7 @@
             },
             Err(_) => Outcome::TimedOut,
         };
-        // hyper reports only that the response was unusable; the bytes that arrived tell more.
+        // hyper reports only that the response was unusable; the bytes that arrived show whether it had a status line.
         let (status, has_started) = (monitor.head.borrow().status(), monitor.first_byte_at.get().is_some());
         if status == Some(StatusCode::OK) {
             return Ok(EndpointResponse {
@@ -667,7 +667,7 @@
     head("/receive-many").body(Full::new(body.into()))
 }
 
-/// The ends of the messages of a batch from the response body. A message that the body does not name may have run.
+/// Parses the body of a batch response. A message that the body does not name may have run.
 fn parse_batch_response(messages: &[CallMessage], body: &[u8]) -> Vec<MessageEnd> {
     let text = String::from_utf8_lossy(body);
     let results: HashMap<&str, &str> = text.lines().filter_map(|line| line.trim().split_once(' ')).collect();
@@ -683,7 +683,7 @@
         MessageEnd { number: message.number, attempt: message.attempt, outcome, settled }
     };
     let mut ends: Vec<MessageEnd> = messages.iter().map(end).collect();
-    // The last end is taken for the result of the whole call: "not sent" is the least informative, a rejection the most.
+    // The last end represents the whole call: "not sent" is the least informative outcome, a rejection the most.
     ends.sort_by_key(|end| match end.outcome {
         Outcome::NotSent => 0,
         Outcome::Served => 1,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -43,7 +43,7 @@
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 /// Delay before the next accept after one failed for lack of a resource.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Bytes kept of a request that is not complete; a longer one is rejected in the end.
+/// Maximum number of bytes that are buffered of an incomplete request; a longer request is rejected.
 const MAX_BUFFERED_REQUEST_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 const MAX_REQUEST_HEADERS: usize = 64;
 
@@ -104,7 +104,7 @@
                 (client.has_unanswered_request(), client.last_active_at.get())
             };
             let Some(oldest) = candidates.min_by_key(priority) else { return };
-            // Closing it would lose a request that nobody has read yet.
+            // Closing it would lose a request that has not been read yet.
             if oldest.stream.unread() == Unread::Bytes {
                 oldest.last_active_at.set(Instant::now());
                 continue;
@@ -162,9 +162,8 @@
     }
 
     /// What has arrived after a request with a body of this length. Clients send one request at a time:
-    /// if more follows, the request is not what its sender believes, or it hides another one. The end
-    /// of the input may be a half close: whether the client has gone shows only when the response is
-    /// written.
+    /// if more follows, the request's length is wrong, or it hides another request. The end of the input
+    /// may be a half close: only writing the response shows whether the client is gone.
     pub fn trailing_input(&self, body_length: usize) -> Unread {
         let unread = self.stream.unread();
         if unread == Unread::Nothing {
@@ -235,8 +234,8 @@
         request_bytes.get(head_length..head_length + length).map(Bytes::copy_from_slice)
     }
 
-    /// What another process needs to continue the connection; `None` if the request is longer than any
-    /// that is accepted.
+    /// The state that another process needs to continue the connection; `None` if the request is too long
+    /// to be accepted.
     fn to_transfer(&self) -> Option<Transfer> {
         let partial_request = self.request_bytes.take();
         let waited_ms = self.request_since.get().map(|at| at.elapsed().as_millis() as u32);
@@ -248,8 +247,8 @@
     }
 }
 
-/// Whether this process has no file descriptor left. Other failures pass without closing a client's
-/// connection.
+/// Whether this process has no file descriptor left. After other failures no client connection has to be
+/// closed.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     error.raw_os_error() == Some(Errno::MFILE.raw_os_error())
 }
@@ -300,8 +299,8 @@
     }
 }
 
-/// Takes over a client's connection from the previous process: `partial_request` has been
-/// read of its current request, the rest of which has been awaited for `waited_ms`.
+/// Takes over a client's connection from the previous process, which has read `partial_request` and has
+/// waited `waited_ms` for the rest of that request.
 pub fn adopt(
     node: &Rc<Node>, stream: TcpStream, partial_request: Vec<u8>, waited_ms: Option<u32>,
 ) -> io::Result<()> {
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,8 +1,8 @@
 //! The clock of journaled times: it continues over restarts of the dispatcher, and steps of the wall clock do not
 //! affect it.
 //!
-//! Within one boot of the machine it is `CLOCK_BOOTTIME` plus an offset that is stored in the state directory beside the
-//! boot id. The offset is taken from the wall clock once, at the first start in a boot. The times are therefore close
+//! Within one boot of the machine it is `CLOCK_BOOTTIME` plus an offset that is stored in the state directory beside
+//! the boot id. The offset is taken from the wall clock once, at the first start in a boot. The times are therefore close
 //! to Unix time, and remain comparable with those that earlier versions journaled. If the boot id can't be read, each
 //! process takes a new offset.
 
--- a/crates/node/src/compaction.rs
+++ b/crates/node/src/compaction.rs
@@ -3,7 +3,7 @@
 use crate::{Node, log};
 use std::time::{Duration, Instant};
 
-/// Least interval between two log lines with statistics.
+/// Minimum interval between two log lines with statistics.
 const REPORT_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Runs the compaction steps and measures them.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -53,7 +53,7 @@
     pub reserved: Reserved,
 }
 
-/// What is not available to the journal, clients and calls.
+/// Resources that are not available to the journal, clients and calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reserved {
     pub descriptors: usize,
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,5 +1,5 @@
-//! Connects the operators' control port to the dispatcher: records and applies operator overrides,
-//! and reads the gauges.
+//! Connects the control port to the dispatcher: saves and applies operator overrides, and computes
+//! the gauges.
 
 use crate::serving::Phase;
 use crate::transfer::Transfer;
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use waydoor::Event;
 
-/// The operator overrides in force, and the file that keeps them.
+/// The operator overrides in force, and the file that persists them.
 pub struct OperatorOverrides {
     overrides: RefCell<Overrides>,
     file: OverrideFile,
@@ -34,11 +34,11 @@
     pub fn open(state_dir: &Path) -> OperatorOverrides {
         let file = OverrideFile::new(state_dir);
         let overrides = file.load().unwrap_or_else(|error| {
-            log::info_limited(format_args!("orders: {error}; no override is in force"));
+            log::info_limited(format_args!("overrides: {error}; no override is in force"));
             Overrides::default()
         });
         for (id, _) in overrides.suspended() {
-            log::info(format_args!("orders: {id} is suspended by an operator"));
+            log::info(format_args!("overrides: {id} is suspended by an operator"));
         }
         OperatorOverrides {
             overrides: RefCell::new(overrides),
@@ -51,23 +51,23 @@
     /// Writes the overrides in force to the file.
     ///
     /// # Errors
-    /// If the directory refuses the write; [`OperatorOverrides::retry_write`] tries again.
+    /// If the file cannot be written; [`OperatorOverrides::retry_save`] tries again.
     fn save(&self) -> io::Result<()> {
         let saved = self.file.save(&self.overrides.borrow());
         self.unsaved.set(saved.is_err());
         saved
     }
 
-    /// Writes overrides that the directory refused when they were ordered.
+    /// Saves the overrides if the last attempt to save them failed.
     pub fn retry_save(&self) {
         if self.unsaved.get() && self.save().is_ok() {
-            log::info_limited(format_args!("orders: written to the file again"));
+            log::info_limited(format_args!("overrides: saved again after a failed write"));
         }
     }
 
     /// Whether an operator has suspended this endpoint.
-    pub fn is_suspended(&self, host: &str) -> bool {
-        self.overrides.borrow().is_suspended(host)
+    pub fn is_suspended(&self, id: &str) -> bool {
+        self.overrides.borrow().is_suspended(id)
     }
 }
 
@@ -82,13 +82,13 @@
                 continue;
             }
         };
-        // During a handover nobody owns the overrides; afterwards they may be the other process's.
+        // During a handover no process owns the overrides; afterwards the other process may own them.
         if node.serving_state.wait_until_settled().await == Phase::HandedOver {
             node.transfer(Transfer::OverrideCommand(command));
             continue;
         }
         let answer = apply_command(&node, &command.key, command.activate);
-        // A caller that has disconnected was told that the command may still be carried out.
+        // A client that has timed out was told that the command may still be carried out.
         let _ = command.reply.send(answer);
     }
 }
@@ -106,16 +106,16 @@
             false => overrides.remove(key, ever_listed),
         }
     };
-    // This includes an override that is in force already, but not in the file.
+    // An override that is in force already may still be missing in the file.
     let must_save = matches!(result, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
-        |error: &io::Error| format!("in force, but not on record yet, and gone with this process: {error}");
+        |error: &io::Error| format!("in force, but not saved yet, so a restart would lose it: {error}");
     if let (UpdateResult::Unchanged, Err(error)) = (&result, &saved) {
         return Err(unsaved_text(error));
     }
     match result {
-        UpdateResult::Unchanged if suspend => return Ok(format!("{id} is out already")),
+        UpdateResult::Unchanged if suspend => return Ok(format!("{id} is already out until RESTORE")),
         UpdateResult::Unchanged => return Ok(format!("{id} may serve")),
         UpdateResult::Rejected(rejection) => return Err(rejection.to_string()),
         UpdateResult::Changed(change) => {
@@ -126,7 +126,7 @@
                     node.pool.close_idle(entry.endpoint);
                 }
             }
-            // The endpoint was restarted meanwhile.
+            // A restored endpoint was restarted meanwhile, so the decision core treats it as cold.
             let mut restored = operator_overrides.restored.borrow_mut();
             restored.retain(|other| other != id);
             if change == Change::Removed {
@@ -138,7 +138,7 @@
             drop(restored);
             report_restored(node);
             log::info_limited(format_args!(
-                "orders: {id} {}",
+                "overrides: {id} {}",
                 if suspend { "suspended by an operator" } else { "may serve" }
             ));
         }
--- a/crates/node/src/directory.rs
+++ b/crates/node/src/directory.rs
@@ -29,7 +29,7 @@
     rate: f64,
 }
 
-/// Names of listed endpoints that are remembered; beyond this the oldest is forgotten.
+/// Maximum number of endpoint names that are remembered; beyond it the oldest is dropped.
 const MAX_KNOWN_NAMES: usize = 1024;
 
 /// The names of endpoints that were ever listed, as far as they are remembered.
@@ -55,8 +55,8 @@
     }
 }
 
-/// The endpoints that are listed and not gone. New names keep appearing: of an endpoint that has
-/// left only the name is kept.
+/// The endpoints that are listed. Of an endpoint that was removed from the list only the name is kept,
+/// since new names keep appearing.
 #[derive(Default, Deserialize, Serialize)]
 pub struct Directory {
     #[serde(rename = "hosts")]
@@ -67,7 +67,7 @@
     seq: u64,
     #[serde(rename = "named")]
     last_id: u64,
-    /// Destinations that the fleet restricts, which no other process of this dispatcher knows.
+    /// Destinations that the fleet restricts. This is not handed over to another process.
     #[serde(skip)]
     restricted: HashSet<u32>,
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -17,8 +17,8 @@
 /// A watch that is silent for more than two heartbeats is broken, even if its connection looks
 /// intact.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(4500);
-/// The discovery agent on this machine answers at once or is down, and so does the platform when it
-/// receives a notice.
+/// Discovery, through the agent on this machine, and the platform's receiver of notices answer at once
+/// or are down.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A request with notices that is not answered within this time is repeated on another connection:
 /// the kept-alive one may be dead without a sign, and a notice is overdue 0.3 s after its message's
@@ -26,7 +26,7 @@
 const FIRST_NOTICE_TIMEOUT: Duration = Duration::from_millis(200);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// A longer value is not a list.
+/// Longest value that can be a list.
 const MAX_VALUE_BYTES: usize = 4 << 20;
 /// An incomplete value that is shorter is parsed again with each chunk that arrives.
 const MAX_REPARSED_BYTES: usize = 64 << 10;
@@ -56,7 +56,7 @@
 }
 
 /// Watches the list for as long as the process runs. If all dispatchers share one discovery
-/// service, the decision core says when to ask it, and nothing is asked otherwise.
+/// service, a watch is only started when the decision core requests it.
 pub async fn watch_list(node: Rc<Node>) {
     node.serving_state.run_while_serving(|| watch_loop(node.clone())).await;
 }
@@ -89,15 +89,15 @@
             }
         }
         if on_request {
-            // The service at a new address is not known to be overloaded, so it is asked at once.
+            // The service at a new address is not known to be overloaded, so it is contacted at once.
             tokio::select! {
                 () = node.resubscribe.notified() => {}
                 _ = address_changes.changed() => {}
             }
             continue;
         }
-        // A watch that brought a list or lasted was a good one: after its end the next one begins
-        // without a long delay.
+        // A watch that delivered a list or lasted for a while was successful, so the next one begins
+        // after a short delay.
         let successful = node.directory.borrow().seq() != seq || started_at.elapsed() >= WATCH_TIMEOUT;
         backoff = if successful { INITIAL_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
         // A new address is tried at once, and so is the current one if another dispatcher has had an
@@ -110,7 +110,7 @@
     }
 }
 
-/// Whether the list must be asked for, at one discovery service for all dispatchers.
+/// Whether the list must be requested from a discovery service that all dispatchers share.
 fn is_list_on_request(node: &Node) -> bool {
     node.config.settings.discovery_mode != DiscoveryMode::Pushed
 }
@@ -124,8 +124,8 @@
     let request = Request::get(format!("/registry/instances?stream=1&index={seq}"))
         .header("Host", at.to_string())
         .body(Full::default())?;
-    // If many dispatchers ask, requests queue: one that is abandoned early is served for nothing, and
-    // made again.
+    // The requests of many dispatchers queue at the service. One that is abandoned early still costs the
+    // service its work, and is sent again.
     let response_timeout = if is_list_on_request(node) { WATCH_TIMEOUT } else { RESPONSE_TIMEOUT };
     let response = timeout(response_timeout, connection.sender.send_request(request)).await??;
     if response.status() != StatusCode::OK {
@@ -134,7 +134,7 @@
     let mut body = response.into_body();
     let mut stream = JsonValueStream::default();
     loop {
-        // The rest of a value arrives at once; between two values the heartbeats count.
+        // A value that has begun must be completed soon; between two values the heartbeat interval applies.
         let deadline = stream.complete_by.unwrap_or_else(|| Instant::now() + WATCH_TIMEOUT);
         let Ok(frame) = timeout_at(deadline, body.frame()).await else { return Ok("silent".into()) };
         let Some(frame) = frame else { return Ok("closed".into()) };
@@ -146,8 +146,8 @@
     }
 }
 
-/// Whether a value may only lack what has not arrived yet. A number that ends after its decimal
-/// point is reported as an invalid one, at the very end of the input.
+/// Whether a parse error may be due to input that has not arrived yet. The parser reports a number that
+/// ends after its decimal point as invalid, not as incomplete, at the very end of the input.
 fn is_incomplete(input: &[u8], error: &serde_json::Error) -> bool {
     let last_line = input.rsplit(|byte| *byte == b'\n').next().map_or(0, <[u8]>::len);
     let lines = input.split(|byte| *byte == b'\n').count();
@@ -228,7 +228,7 @@
     loop {
         let due = node.journal.borrow().due_notices(node.unix_now(), batch_limit);
         if due.is_empty() {
-            // A notice that is not journaled yet is sent a little later: a kill would forget it.
+            // A notice must be journaled before it is sent, so one that is not is checked again soon.
             let unrecorded = !node.journal.borrow().pending_notices(1).is_empty();
             if unrecorded {
                 sleep(UNRECORDED_RETRY_DELAY).await;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -23,13 +23,13 @@
 /// after it. The listener is still open when the kept ones close, so a request that crosses the close can be repeated
 /// on a new connection.
 const CLOSE_CLIENTS_SECONDS: Seconds = 0.45;
-/// Least time from the stop signal to the exit.
+/// Minimum time from the stop signal to the exit.
 const MIN_EXIT_SECONDS: Seconds = 0.8;
 
 /// Interval of the log line with traffic counters.
 const TRAFFIC_LINE_INTERVAL_SECONDS: Seconds = 1.0;
 
-/// What the event loop receives.
+/// An input of the event loop.
 pub enum Input {
     /// An event for the decision core.
     Event(Event),
@@ -84,7 +84,7 @@
     pub interrupt: Signal,
     /// Processes that ask to take over.
     pub takeover_requests: UnboundedReceiver<HandoverRequest>,
-    /// What is to be transferred to the process that has taken over.
+    /// Items to be transferred to the process that has taken over.
     pub transfers: UnboundedReceiver<Transfer>,
 }
 
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Connects the event loop to the fleet member's thread: reports facts to it, and applies the
-//! restrictions that it returns. A restriction delays attempts or requests to discovery, and
-//! expires by itself; the thread may also prompt a request to discovery. Nothing here waits for it.
+//! Connects the event loop to the fleet member's thread: reports calls, outages and lists to it, and
+//! applies the restrictions that it returns. A restriction delays attempts or requests to discovery,
+//! and expires unless it is renewed; the thread may also trigger a request to discovery. The event
+//! loop never waits for the thread.
 
 use crate::config::Config;
 use crate::serving::Phase;
@@ -35,7 +36,7 @@
     restricted: RefCell<BTreeSet<u32>>,
     polling_rate: Cell<PollingRate>,
     list_seq: Cell<Option<u64>>,
-    /// How long a restriction lasts that nobody renews.
+    /// A restriction that is not renewed expires after this time.
     max_deferral_seconds: BootSeconds,
     /// Whether the discovery watch has ended, and nothing has arrived since.
     watch_ended: Cell<bool>,
@@ -54,8 +55,9 @@
     Holder(u64),
 }
 
-/// A restriction expires by itself, even if the member's thread has ended: a holder whose term is
-/// over holds back for as long as others would, and then acts on its own.
+/// The permission at a given time. It needs no further update to expire, even if the member's thread
+/// has ended: a holder whose lease term is over sends nothing for as long as other members may defer to
+/// a holder, and then acts on its own.
 fn permission(
     trial_permission: TrialPermission, now: BootSeconds, max_deferral_seconds: BootSeconds,
 ) -> Permission {
@@ -68,7 +70,7 @@
 }
 
 impl FleetConstraints {
-    /// Without any restriction.
+    /// No restrictions; the member is not started yet.
     pub fn new(config: &Config) -> FleetConstraints {
         let (update_sender, updates) = unbounded_channel();
         FleetConstraints {
@@ -170,7 +172,7 @@
         self.report(DutyReport::ListReceived(seq));
     }
 
-    /// Reports a sign of life from a watch: discovery answers, and has nothing new.
+    /// Reports a keep-alive of the watch: discovery is available, and the list has not changed.
     pub fn watch_alive(&self, seq: u64) {
         if self.watch_ended.get() {
             self.list_received(seq);
@@ -344,7 +346,7 @@
     }
 }
 
-/// All rules hold. With the feature `planted`, which is for tests only, the rule that an
+/// All safety rules. With the feature `planted`, which is for tests only, the rule that an
 /// environment variable names is disabled.
 fn duty_rules() -> fawnspoke_duty::SafetyRules {
     #[cfg(feature = "planted")]
@@ -361,7 +363,7 @@
     use super::*;
 
     #[test]
-    fn a_restriction_expires_though_nobody_lifts_it() {
+    fn a_restriction_that_is_not_renewed_expires() {
         let restricted_at = |at| permission(TrialPermission::Deferred(10.0), at, 3.0);
         assert_eq!(
             (restricted_at(9.9), restricted_at(10.0)),
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -1,6 +1,6 @@
-//! Connects the handover of an upgrade to the dispatcher: carries out what the state machines of
-//! `fawnspoke_handover` ask for, one in the old process and one in the new one. Nothing is decided
-//! here.
+//! Connects the handover of an upgrade to the dispatcher: carries out the actions of the state machines
+//! of `fawnspoke_handover`, the sender's in the old process and the receiver's in the new one. All
+//! decisions are made by these state machines.
 
 use crate::actions::complete_call;
 use crate::calls::{self, CallEnd, MessageEnd};
@@ -165,7 +165,7 @@
 
 /// How a handover ended for the old process.
 pub enum HandoverResult {
-    /// It goes on as before; it may have been told to stop meanwhile.
+    /// It continues as owner; `stopping`: it received a termination signal meanwhile.
     Resumed { stopping: bool },
     /// It exits.
     Ended,
@@ -173,8 +173,8 @@
     Restart,
 }
 
-async fn refuse(link: &Link, reason: &str) {
-    log::info_limited(format_args!("handover: refused: {reason}"));
+async fn reject_request(link: &Link, reason: &str) {
+    log::info_limited(format_args!("handover: rejected a request: {reason}"));
     if let Ok(packet) = frames::encode(&SenderFrame::Rejected(reason.into())) {
         let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
     }
@@ -188,9 +188,12 @@
     transfers: &mut UnboundedReceiver<Transfer>,
 ) -> HandoverResult {
     if first_request.hello.version != PROTOCOL_VERSION {
-        refuse(
+        reject_request(
             &first_request.link,
-            &format!("version {PROTOCOL_VERSION} of the frames here, {} there", first_request.hello.version),
+            &format!(
+                "this process has protocol version {PROTOCOL_VERSION}, the new one has {}",
+                first_request.hello.version
+            ),
         )
         .await;
         return HandoverResult::Resumed { stopping };
@@ -207,10 +210,10 @@
             match action {
                 Action::Reject(reason) => {
                     // The first request, if this process is stopping, or one that came later.
-                    if let Some(refused_link) =
+                    if let Some(rejected_link) =
                         later_request.take().map(|request| request.link).or_else(|| link.take())
                     {
-                        refuse(&refused_link, reason).await;
+                        reject_request(&rejected_link, reason).await;
                     }
                 }
                 Action::HandOver => {
@@ -353,7 +356,7 @@
 
 type BoxError = Box<dyn std::error::Error>;
 
-/// Opens the journal again; the messages that ended during this process are still remembered.
+/// Opens the journal again and keeps the remembered outcomes of messages that ended in this process.
 fn reopen_journal(node: &Node) -> Result<(), OpenError> {
     let (mut journal, _) = open_journal(&node.config)?;
     journal.restore_recent_outcomes(node.journal.borrow().recent_outcomes().clone());
@@ -423,7 +426,7 @@
 
 // ---- the new process ----------------------------------------------------------------------------------------------
 
-/// What the previous process sent.
+/// What the previous process has sent before this one became the owner.
 pub struct ReceivedHandover {
     link: Link,
     /// Its state; `None` if it cannot be used here.
@@ -447,7 +450,7 @@
     let (mut state_machine, mut link, mut locks) = (ReceiverState::default(), None, Locks::default());
     let (mut journal_only, mut state, mut listener) = (false, None, None);
     let mut event = Event::Started;
-    let (mut refusal_logged, mut lock_error_logged) = (false, false);
+    let (mut rejection_logged, mut lock_error_logged) = (false, false);
     loop {
         let mut next = None;
         for action in state_machine.step(event) {
@@ -478,7 +481,7 @@
                                 in_memory_state,
                                 &mut state,
                                 &mut listener,
-                                &mut refusal_logged,
+                                &mut rejection_logged,
                             )
                             .await
                         }
@@ -486,7 +489,9 @@
                     });
                 }
                 Action::ReportUnusable => {
-                    let frame = ReceiverFrame::StateUnusable("another program's, or other settings".into());
+                    let frame = ReceiverFrame::StateUnusable(
+                        "it comes from another version of the program, or has other settings".into(),
+                    );
                     if let (Some(link), Ok(packet)) = (link.take(), frames::encode(&frame)) {
                         let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
                     }
@@ -571,7 +576,7 @@
 /// Requests all state from the old process.
 async fn request_state(
     link: &Link, config: &Config, in_memory_state: bool, state: &mut Option<HandoverState>,
-    listener: &mut Option<OwnedFd>, refusal_logged: &mut bool,
+    listener: &mut Option<OwnedFd>, rejection_logged: &mut bool,
 ) -> receiver::Event {
     use receiver::Event;
     let Ok(hello) = (Hello { version: PROTOCOL_VERSION, in_memory_state }).encode() else {
@@ -594,7 +599,7 @@
                 bytes.extend(chunk)
             }
             Ok(SenderFrame::Rejected(reason)) => {
-                if !std::mem::replace(refusal_logged, true) {
+                if !std::mem::replace(rejection_logged, true) {
                     log::info_limited(format_args!("handover: not yet: {reason}"));
                 }
                 return Event::Rejected;
@@ -623,8 +628,8 @@
     }
 }
 
-/// Tells the old process that this one is the owner, and receives the rest: connections, and the
-/// results of calls that are still in flight there.
+/// Confirms ownership to the old process and receives the rest from it: connections, and the results
+/// of calls that are still in flight there.
 pub async fn complete_takeover(node: Rc<Node>, received: ReceivedHandover) {
     let link = received.link;
     let mut in_flight: HashMap<(u64, u32), InFlightAttempt> = HashMap::new();
@@ -645,7 +650,8 @@
             }
         }
     }
-    // Its sockets closed with it: what it had in flight may have run, and no more results can come.
+    // The process has exited, and its sockets are closed: no more results can arrive, and the calls that
+    // were in flight may have run.
     if !in_flight.is_empty() {
         log::info_limited(format_args!(
             "handover: the previous process ended with {} messages in flight",
--- a/crates/node/src/journaling.rs
+++ b/crates/node/src/journaling.rs
@@ -76,7 +76,7 @@
     pub fn journaled_message(&self, number: u64) -> Option<Message> {
         let journal = self.journal.borrow();
         let accepted = &journal.get(number)?.message;
-        // The decision core does not know a class that is no longer configured either.
+        // A class that is no longer configured has no index; the decision core handles that.
         let class = self.config.classes.iter().position(|class| *class == accepted.class);
         let tenant = accepted.tenant.as_ref();
         Some(Message {
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -159,8 +159,8 @@
     }
 }
 
-/// Rejects a message. Submitting it again is harmless, and is worth a try after the time that the
-/// decision core states.
+/// Rejects a message. Submitting it again is harmless; the response suggests when, as estimated by the
+/// decision core.
 fn reject(node: &Node, class: usize, destination_id: DestinationId) -> TextResponse {
     node.metrics.count_outcome(class, metrics::CountedOutcome::Throttled);
     let mut response = respond(StatusCode::SERVICE_UNAVAILABLE, "no room\n");
@@ -173,7 +173,7 @@
 fn parse_head(
     node: &Node, class: usize, headers: &HeaderMap, received_at: UnixMicros,
 ) -> Result<AcceptedMessage, &'static str> {
-    // Of a duplicate header, nobody can say which value is valid.
+    // If a header is repeated, it is unknown which of its values is meant.
     let unique_headers =
         ["Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "X-Consignee", "Tenant"];
     if unique_headers.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
@@ -199,7 +199,7 @@
     };
     let timeout_ms = header("Request-Timeout-Ms").and_then(|ms| ms.parse::<u32>().ok());
     let timeout_ms = timeout_ms.ok_or("Request-Timeout-Ms: whole milliseconds expected")?;
-    // It would be queued for longer than the limits are planned for.
+    // The limits are planned for messages that are queued no longer than their class allows.
     if f64::from(timeout_ms) > (settings.deadline * 1000.0).ceil() {
         return Err("Request-Timeout-Ms: longer than the class may take");
     }
--- a/crates/node/src/serving.rs
+++ b/crates/node/src/serving.rs
@@ -1,12 +1,12 @@
-//! The phase of this process in a handover. Whatever reads from clients, writes to the journal or begins calls waits
-//! here while this process does not own the dispatcher's state.
+//! The phase of this process in a handover. Tasks that read from clients, write to the journal or begin calls wait here
+//! while this process does not own the dispatcher's state.
 
 use std::cell::RefCell;
 use std::future::Future;
 use std::task::{Context, Poll, Waker};
 use tokio::sync::watch;
 
-/// The phase of a handover, as the process sees it that hands over.
+/// The phase of a handover, for the process that hands over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// It owns the state and serves.
@@ -32,7 +32,7 @@
         *self.phase.borrow()
     }
 
-    /// Changes the phase and wakes all who wait.
+    /// Changes the phase and wakes all waiting tasks.
     pub fn set_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
         self.blocked_readers.take().into_iter().for_each(Waker::wake);
--- a/crates/node/src/stream.rs
+++ b/crates/node/src/stream.rs
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// How much of the first line is kept: the status is at its start.
+/// Maximum number of bytes kept of the first line, which begins with the status.
 const MAX_FIRST_LINE_BYTES: usize = 64;
 
 /// A TCP stream, shared between hyper, which reads and writes it, and the code that supervises the connection.
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Traffic counters of each destination, logged in one line per second while anything happens: load
-//! that is harmless from one dispatcher shows in the sum over the fleet (`fawnspoke lab fleet`).
+//! Traffic counters of each destination, logged in one line per second unless all are zero. `fawnspoke
+//! lab fleet` adds up the lines of a fleet, to find load that is harmless from one dispatcher alone.
 
 use crate::calls::CallEnd;
 use std::cell::RefCell;
--- a/crates/node/src/transfer.rs
+++ b/crates/node/src/transfer.rs
@@ -1,4 +1,4 @@
-//! What is transferred to the new process after a handover.
+//! Items that are transferred to the new process after a handover.
 
 use crate::calls::{CallEnd, Connection};
 use crate::stream::SharedStream;
@@ -8,7 +8,7 @@
 
 /// An item that is sent to the new process once it owns the dispatcher's state.
 pub enum Transfer {
-    /// A client's connection, the bytes read of its current request, and the age of that request.
+    /// A client's connection, the bytes read of an incomplete request, and for how long the rest has been awaited.
     Client { stream: SharedStream, partial_request: Vec<u8>, waited_ms: Option<u32> },
     /// An idle connection to an endpoint.
     IdleConnection { endpoint: EndpointId, connection: Connection },
--- a/crates/waydoor/src/interface.rs
+++ b/crates/waydoor/src/interface.rs
@@ -178,7 +178,7 @@
     pub order_key_cooldown: Seconds,
 }
 
-/// Largest time, rate or value: what is computed from them stays within the range of a clock.
+/// Largest time, rate or value, so that computed times stay within the range of a clock.
 const MAX_SETTING: f64 = 1e9;
 
 impl Settings {
@@ -258,7 +258,7 @@
 pub struct SettingsError {
     /// Name of the setting.
     pub name: String,
-    /// What is wrong with it.
+    /// Why its value is rejected.
     pub problem: String,
 }
 
@@ -421,8 +421,8 @@
     /// The destination was unavailable or recovering when the previous process ended (its last
     /// [`Action::RecordOutage`] said so).
     OutageRestored(DestinationId),
-    /// An endpoint that operators had taken out of service was restarted meanwhile: it serves again and is
-    /// cold. Its entry of the list came before.
+    /// An endpoint whose suspension by an operator has ended. It may have been restarted meanwhile, so it counts as
+    /// cold. Its entry of the list is passed before this event.
     EndpointRestored(EndpointId),
     /// The remaining quota of a tenant, as [`Dispatcher::quota_status`](crate::Dispatcher::quota_status)
     /// returned it for a message that was accepted at that time, by this process or a previous one.
@@ -446,7 +446,7 @@
         /// Counted from now.
         delay: Seconds,
     },
-    /// The message is no longer wanted by its client.
+    /// The client has withdrawn the message.
     Withdrawn(MessageId),
     /// Changed entries of the list.
     ListUpdate(Vec<EndpointEntry>),
--- a/crates/waydoor/src/policy/attempts.rs
+++ b/crates/waydoor/src/policy/attempts.rs
@@ -14,12 +14,12 @@
 
 /// Latencies vary widely around their mean; one call in some hundreds takes longer than this many means.
 pub(super) const TIMEOUT_LATENCY_MULTIPLE: f64 = 8.0;
-/// Shortest time-out: it leaves time for connecting and for one pause of the endpoint.
+/// Shortest timeout: it leaves time for connecting and for one pause of the endpoint.
 pub(super) const MIN_TIMEOUT_SECONDS: f64 = 0.8;
-/// Share of the shortest time-out for a call that takes the last slot, so that unanswered calls do not fill
+/// Share of the shortest timeout for a call that takes the last slot, so that unanswered calls do not fill
 /// the slots. The cost is repeated calls.
 const LAST_SLOT_TIMEOUT_SHARE: f64 = 0.5;
-/// Each consecutive failure doubles the time-out, at most this often: waiting longer tells a slow endpoint
+/// Each consecutive failure doubles the timeout, at most this often: waiting longer tells a slow endpoint
 /// from one that does not answer.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 3;
 /// A call that later ones overtook is cancelled after this multiple of the mean latency, but not before this
@@ -77,7 +77,7 @@
         if end.outcome == Outcome::NotSent && end.settled || end.outcome == Outcome::NotRecorded {
             self.for_each_call_target(attempt.endpoint, |target, _, _| target.allow_trial_now(now));
         }
-        // A call that ended early at its message's deadline did not get its full time-out, so it is no
+        // A call that ended early at its message's deadline did not get its full timeout, so it is no
         // evidence of an outage; other calls are.
         let outcome = if deadline_limited && end.outcome == Outcome::TimedOut {
             Outcome::Cancelled
@@ -123,7 +123,7 @@
             |e: &Endpoint| (e.target.stats.expected_latency(now), e.target.outage.consecutive_failures);
         let (latency, failures) = self.endpoints.get(&endpoint).map_or((DEFAULT_LATENCY_SECONDS, 0), stats);
         let slot_factor = match self.settings.classes[class].effect {
-            // A time-out would end the message for good, while an answer may still come before the deadline.
+            // A timeout would end the message for good, while an answer may still come before the deadline.
             // The cost is an occupied slot.
             Effect::Unsafe => return self.settings.classes[class].deadline,
             _ if self.calls.len() >= self.settings.max_concurrent_calls => LAST_SLOT_TIMEOUT_SHARE,
@@ -181,7 +181,7 @@
         self.last_number
     }
 
-    /// Selects the endpoint for a message and tells whether the call is a trial; otherwise returns when to
+    /// Selects the endpoint for a message and returns whether the call is a trial; otherwise returns when to
     /// try again and which endpoint to probe.
     pub(super) fn select_endpoint(
         &self, now: Seconds, state: &MessageState,
@@ -204,8 +204,8 @@
         let mut probe = None;
         for id in &destination.endpoints {
             let Some(endpoint) = self.endpoints.get(id).filter(|_| self.allows(state, *id)) else { continue };
-            // A call that outlasts this process may have run without anyone knowing: it is left to the next
-            // process.
+            // The end of a call that outlasts this process would not be recorded, so the message is left to the
+            // next process.
             if now + self.call_timeout(now, state.message.class, *id) > self.shutdown_at {
                 continue;
             }
--- a/crates/waydoor/src/policy/connections.rs
+++ b/crates/waydoor/src/policy/connections.rs
@@ -12,13 +12,13 @@
 const IDLE_LIMIT_DOUBLING_SECONDS: f64 = 15.0;
 /// An unsafe message does not use a connection that was idle for longer.
 pub(super) const MAX_IDLE_FOR_UNSAFE_SECONDS: f64 = 1.0;
-/// After a failed connect in a large fleet, idle connections are kept for half of this at most: other
-/// dispatchers wait for a connection.
+/// After a failed connect in a large fleet, idle connections are kept for half of this at most, since other
+/// dispatchers are waiting to connect.
 const MAX_IDLE_IN_SHORTAGE_SECONDS: f64 = 1.0;
-/// Consecutive failures of idle connections that show that they are dropped; fewer may be the endpoint's
-/// failures.
+/// Consecutive failures on idle connections that show that idle connections are dropped; fewer may be failures of
+/// the endpoint.
 const MIN_IDLE_DROPS: u32 = 2;
-/// Expected uses from which on an idle connection is kept.
+/// Minimum expected number of uses for which an idle connection is kept.
 const MIN_EXPECTED_USES: f64 = 0.3;
 /// Expected time to open a connection; it counts against endpoints without an idle one.
 pub(super) const CONNECT_COST_SECONDS: f64 = 0.1;
--- a/crates/waydoor/src/policy/journaling.rs
+++ b/crates/waydoor/src/policy/journaling.rs
@@ -1,7 +1,7 @@
 //! Whether attempts can be recorded in the journal, and which ones wait while they cannot.
 //!
-//! Prevents calls that may not be repeated freely and that no later process would know of. The cost is that
-//! they wait.
+//! Prevents calls that are not safe to repeat and of which the next process would have no record. The cost is
+//! that their messages wait.
 
 use super::*;
 
--- a/crates/waydoor/src/policy/outage.rs
+++ b/crates/waydoor/src/policy/outage.rs
@@ -12,18 +12,20 @@
 pub(super) const SILENCE_LATENCY_MULTIPLE: f64 = 5.0;
 /// ... but not before this time, for the same reason as `MIN_TIMEOUT_SECONDS`.
 pub(super) const MIN_SILENCE_SECONDS: f64 = 1.2;
-/// Consecutive failures that make a target unavailable: one may be chance ...
-const MIN_FAILURE_ROW: u32 = 2;
-/// ... and so may more at a target that always loses some calls: there, a row must be less likely than this.
-const MAX_FAILURE_ROW_CHANCE: f64 = 0.002;
+/// Consecutive failures that make a target unavailable: a single one may be chance ...
+const MIN_FAILURES_FOR_OUTAGE: u32 = 2;
+/// ... and so may several at a target that always loses some calls: there, a run of failures counts only if its
+/// probability is lower than this.
+const MAX_CHANCE_OF_FAILURES: f64 = 0.002;
 /// Weight of a call in the baseline loss: about fifty calls count; an outage hardly changes it.
 const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
 /// Lower and upper limit of the loss that is normal for a target.
 const MIN_BASELINE_LOSS: f64 = 0.02;
 const MAX_BASELINE_LOSS: f64 = 0.2;
-/// A shorter gap between two served calls is no outage: no target restarts and gets cold so fast.
+/// A shorter gap between two served calls is no outage: no target restarts within this time.
 const MIN_OUTAGE_SECONDS: f64 = 1.0;
-/// Share of failures above which a target is unavailable; on the safe side of the rule's "most calls".
+/// Share of failures above which a target is unavailable; with a margin below one half, since a target that fails
+/// most calls counts as unavailable.
 pub(super) const UNHEALTHY_FAILURE_SHARE: f64 = 0.4;
 /// First interval between trials of an unavailable target; each is a fifth longer, up to the maximum.
 pub(super) const FIRST_TRIAL_INTERVAL_SECONDS: f64 = 0.5;
@@ -34,13 +36,15 @@
 const RECOVERY_BUDGET_USE: f64 = 0.9;
 /// Share of the budget for trials in a small fleet, before the recovery is noticed.
 const TRIAL_BUDGET_USE: f64 = 0.85;
-/// The same in a large fleet, where new messages are sent as trials besides.
+/// The same in a large fleet, where some new messages are sent as additional trials.
 const LARGE_FLEET_TRIAL_USE: f64 = 0.65;
-/// Share of the budget for those trials and the new messages, which grow with the load, together.
+/// Share of the budget for all trials together: those at intervals, and new messages, whose number grows with the
+/// load.
 const LARGE_FLEET_TOTAL_USE: f64 = 1.2;
-/// Largest demand for a target, relative to its limit, that is derived from the own share of it.
+/// Upper limit of the demand for a target, relative to its limit, as estimated from this dispatcher's share of it.
 const MAX_LARGE_FLEET_LOAD: f64 = 1.5;
-/// The gap between failure and success dates a recovery, up to this part of the warm-up time.
+/// A recovery is dated to the middle of the gap between the last failure and the first success; the gap counts up to
+/// this share of the warm-up time.
 const MAX_RECOVERY_GAP_SHARE: f64 = 0.5;
 
 impl TargetState {
@@ -163,7 +167,7 @@
                     state.last_success_at,
                 ) = (0, 0, 0, now);
                 state.health = match state.health {
-                    // The call was sent before the target said how long it is unavailable.
+                    // The call was sent before the target sent its retry-after.
                     Health::Unavailable if now < self.backoff.retry_after_until => Health::Unavailable,
                     // It recovered at some time since the last failure: the middle is the best estimate.
                     Health::Unavailable | Health::Suspect if was_outage => {
@@ -185,13 +189,13 @@
                 self.outage.last_failure_sent_at = self.outage.last_failure_sent_at.max(now - latency);
                 self.outage.consecutive_failures += u32::from(!sent_before_success);
                 let trial_failed = self.outage.health == Health::Unavailable && !sent_before_success;
-                // Prevents recovery phases after no outage; the cost is one more lost call in an outage.
+                // Prevents slow start without an outage before it; the cost is one more lost call in an outage.
                 let normal_loss = self.outage.baseline_loss.max(MIN_BASELINE_LOSS);
-                let row_limit =
-                    (MIN_FAILURE_ROW as f64).max((MAX_FAILURE_ROW_CHANCE.ln() / normal_loss.ln()).ceil());
+                let failure_limit = (MIN_FAILURES_FOR_OUTAGE as f64)
+                    .max((MAX_CHANCE_OF_FAILURES.ln() / normal_loss.ln()).ceil());
                 self.update_baseline_loss(1.0);
                 let OutageState { consecutive_failures, baseline_loss, health, .. } = self.outage;
-                if f64::from(consecutive_failures) >= row_limit
+                if f64::from(consecutive_failures) >= failure_limit
                     || self.stats.failure_share > UNHEALTHY_FAILURE_SHARE + baseline_loss
                     || trial_failed
                 {
@@ -234,7 +238,7 @@
 }
 
 impl Dispatcher {
-    /// Has an outage or its end recorded, so that the next process does not send a whole backlog at once.
+    /// Records the start or the end of an outage, so that the next process does not send a whole backlog at once.
     pub(super) fn record_outage_change(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
         let is_cold =
--- a/crates/waydoor/src/policy/overload.rs
+++ b/crates/waydoor/src/policy/overload.rs
@@ -9,7 +9,7 @@
 
 /// Consecutive rejections, over at least the time below, that look like an outage and not like a rate limit.
 const MIN_OVERLOADS_FOR_OUTAGE: u32 = 4;
-/// No rate limit leaves its callers without any capacity for as long.
+/// A rate limit never rejects all calls for this long.
 const MIN_OVERLOAD_OUTAGE_SECONDS: f64 = 4.0;
 /// First backoff after a rejection without retry-after, unless one call at this dispatcher's part of the
 /// limit takes longer; it doubles each time.
--- a/crates/waydoor/src/policy/scheduling.rs
+++ b/crates/waydoor/src/policy/scheduling.rs
@@ -10,7 +10,7 @@
 
 /// Weight of a new sample in a decaying mean: about the last five calls count.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Half-life of measured latencies and failure shares: no old measurement excludes a target for good.
+/// Half-life of measured latencies and failure shares, so that old measurements do not exclude a target for good.
 pub(super) const STATS_HALF_LIFE_SECONDS: f64 = 8.0;
 /// A destination gets no further slot once it holds this share of them ...
 const MAX_SLOT_SHARE: f64 = 0.75;
@@ -110,8 +110,8 @@
         // capacity stays low.
         let order_by_deadline = self.calls.len() + open_destinations < self.settings.max_concurrent_calls
             && self.settings.decay == ValueDecay::Linear;
-        // Messages that may not end in time go last, and those that a restart recovered and nobody attempted
-        // go first: they would have a lower priority than new ones.
+        // Messages that may not end in time go last. Recovered messages that were not attempted yet go first: by
+        // their age they would have a lower priority than new ones.
         candidates.sort_by(
             |(priority, accepted_at, demotion, message),
              (other_priority, other_accepted_at, other_demotion, other_message)| {
@@ -215,8 +215,8 @@
         !cooling_down
     }
 
-    /// When the queue is almost full, ends the messages of lowest priority, which the caller's limit cannot
-    /// select.
+    /// When the queue is almost full, ends the messages of lowest priority: the caller's limit would reject whichever
+    /// messages arrive next.
     pub(super) fn shed_excess(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         if self.journal.is_failing(now) {
             // No new message is accepted meanwhile, and an end that is not recorded would be lost in a crash.
--- a/crates/waydoor/src/policy/undelivered.rs
+++ b/crates/waydoor/src/policy/undelivered.rs
@@ -1,4 +1,4 @@
-//! Messages that end without delivery: which ones, when, and what their client may conclude.
+//! Messages that end without delivery: which ones, when, and whether their clients may send them again.
 //!
 //! Prevents an end that comes too late or promises too much. The cost is that some messages are given up too
 //! early.
--- a/crates/waydoor/src/state.rs
+++ b/crates/waydoor/src/state.rs
@@ -158,7 +158,7 @@
     pub(crate) stats: ServiceStats,
     #[serde(rename = "out")]
     pub(crate) in_flight: usize,
-    /// Those of them that take longer than the usual time-out.
+    /// Those of them that take longer than the usual timeout.
     #[serde(rename = "overdue")]
     pub(crate) overdue_calls: usize,
 }
@@ -311,7 +311,7 @@
     /// How long its connection had been idle; 0 for a new one.
     #[serde(rename = "idle")]
     pub(crate) connection_idle: Seconds,
-    /// The deadline of a message ends before the time-out that the call would get.
+    /// The deadline of a message ends before the timeout that the call would get.
     #[serde(rename = "cut")]
     pub(crate) deadline_limited: bool,
     /// It carries an unsafe message and is awaited until the deadline ...
@@ -454,8 +454,7 @@
     /// When the first message or answer was handled.
     #[serde(rename = "started")]
     pub(crate) started_at: Option<Seconds>,
-    /// Actions that were decided outside of a round: ends of messages of an unknown class, and outages to
-    /// record.
+    /// Actions for the next round: ends of messages of an unknown class, and outages to record.
     #[serde(rename = "decided")]
     pub(crate) pending_actions: Vec<Action>,
     /// Destinations that were unavailable when the previous process ended and are not listed yet.
@@ -633,7 +632,7 @@
         }
     }
 
-    /// Whether a list has named the destination; messages for any other can only wait in vain.
+    /// Whether a list has named the destination; messages for any other cannot be delivered for now.
     pub fn is_listed(&self, destination: DestinationId) -> bool {
         self.destinations.get(&destination).is_some_and(|destination| destination.kind != usize::MAX)
     }
