--- a/crates/handover/tests/model.rs
+++ b/crates/handover/tests/model.rs
@@ -286,7 +286,7 @@
             sender_end_open: false,
             receiver_end_open: false,
         };
-        let world = |state_usable| ModelState {
+        let model_state = |state_usable| ModelState {
             sender: AbstractSender::Owner { stopping: false },
             sender_alive: true,
             holder: Holder::Sender,
@@ -300,12 +300,13 @@
             termination_sent: false,
             state_usable,
         };
-        vec![world(true), world(false)]
+        vec![model_state(true), model_state(false)]
     }
 
-    fn actions(&self, world: &ModelState, steps: &mut Vec<Step>) {
-        let sender_runs = world.sender_alive && !world.restarted && world.sender != AbstractSender::Ended;
-        for (i, receiver) in world.receivers.iter().enumerate() {
+    fn actions(&self, model_state: &ModelState, steps: &mut Vec<Step>) {
+        let sender_runs =
+            model_state.sender_alive && !model_state.restarted && model_state.sender != AbstractSender::Ended;
+        for (i, receiver) in model_state.receivers.iter().enumerate() {
             if receiver.alive {
                 match receiver.state {
                     ReceiverState::Connecting { .. } => steps.push(Step::ReceiverStarts(i)),
@@ -323,7 +324,7 @@
                         steps.push(Step::ReceiverSeesLinkClose(i));
                     }
                 }
-                if world.kills < self.kills {
+                if model_state.kills < self.kills {
                     steps.push(Step::KillReceiver(i));
                 }
             }
@@ -340,153 +341,160 @@
         }
         if sender_runs {
             steps.extend([Step::SenderTicksAfterTimeouts, Step::SenderTicksBeforeTimeouts]);
-            if matches!(world.sender, AbstractSender::Draining { drained: false, .. })
-                && !world.call_in_flight
+            if matches!(model_state.sender, AbstractSender::Draining { drained: false, .. })
+                && !model_state.call_in_flight
             {
                 steps.push(Step::Drained);
             }
-            if !world.termination_sent {
+            if !model_state.termination_sent {
                 steps.push(Step::Terminate);
             }
         }
-        if world.sender_alive && world.call_in_flight {
+        if model_state.sender_alive && model_state.call_in_flight {
             steps.push(Step::CallCompletes);
         }
-        if world.kills < self.kills && world.sender_alive && !world.restarted {
+        if model_state.kills < self.kills && model_state.sender_alive && !model_state.restarted {
             steps.extend([Step::KillSender, Step::KillAll]);
         }
     }
 
     fn next_state(&self, last: &ModelState, step: Step) -> Option<ModelState> {
-        let mut world = last.clone();
+        let mut model_state = last.clone();
         match step {
-            Step::ReceiverStarts(i) => world.receiver_event(i, receiver::Event::Started),
-            Step::ReceiverRetries(i) => world.receiver_event(i, receiver::Event::RetryDue),
+            Step::ReceiverStarts(i) => model_state.receiver_event(i, receiver::Event::Started),
+            Step::ReceiverRetries(i) => model_state.receiver_event(i, receiver::Event::RetryDue),
             Step::ReceiverReads(i) => {
                 let packet =
-                    world.receivers[i].link.as_mut().map(|(_, to_receiver)| to_receiver.remove(0))?;
-                let event = match (packet, world.receivers[i].state) {
+                    model_state.receivers[i].link.as_mut().map(|(_, to_receiver)| to_receiver.remove(0))?;
+                let event = match (packet, model_state.receivers[i].state) {
                     (Packet::Rejected, _) => receiver::Event::Rejected,
                     // The in-memory state is unusable, unless it was not requested.
                     (Packet::State, ReceiverState::AwaitingState { journal_only }) => {
-                        receiver::Event::StateReceived(world.state_usable || journal_only)
+                        receiver::Event::StateReceived(model_state.state_usable || journal_only)
                     }
                     (Packet::State, _) => receiver::Event::StateReceived(true),
                     _ => return None,
                 };
-                world.receiver_event(i, event);
+                model_state.receiver_event(i, event);
             }
             Step::ReceiverSeesLinkClose(i) => {
-                world.receivers[i].receiver_end_open = false;
-                if world.receivers[i].state.is_owner() {
+                model_state.receivers[i].receiver_end_open = false;
+                if model_state.receivers[i].state.is_owner() {
                     // The receiver takes the end of the link for the end of the sender's calls and may send their
                     // messages again.
-                    world.sent_twice |= world.call_in_flight;
+                    model_state.sent_twice |= model_state.call_in_flight;
                 } else {
-                    world.receiver_event(i, receiver::Event::LinkClosed);
+                    model_state.receiver_event(i, receiver::Event::LinkClosed);
                 }
             }
             Step::SenderReads(i) => {
-                let packet = world.receivers[i].link.as_mut().map(|(to_sender, _)| to_sender.remove(0))?;
-                let from_selected_receiver = world.handed_over_to == Some(i);
+                let packet =
+                    model_state.receivers[i].link.as_mut().map(|(to_sender, _)| to_sender.remove(0))?;
+                let from_selected_receiver = model_state.handed_over_to == Some(i);
                 match packet {
-                    Packet::Hello if world.sender == (AbstractSender::Owner { stopping: false }) => {
+                    Packet::Hello if model_state.sender == (AbstractSender::Owner { stopping: false }) => {
                         // Without the in-memory state the sender aborts its calls before it hands over.
                         if matches!(
-                            world.receivers[i].state,
+                            model_state.receivers[i].state,
                             ReceiverState::AwaitingState { journal_only: true }
                         ) {
-                            world.call_in_flight = false;
+                            model_state.call_in_flight = false;
                         }
-                        world.handed_over_to = Some(i);
-                        world.sender_event(sender::Event::HandoverRequested, false);
+                        model_state.handed_over_to = Some(i);
+                        model_state.sender_event(sender::Event::HandoverRequested, false);
                     }
                     Packet::Hello => {
-                        world.send_to_receiver(i, Packet::Rejected);
-                        world.receivers[i].sender_end_open = false;
+                        model_state.send_to_receiver(i, Packet::Rejected);
+                        model_state.receivers[i].sender_end_open = false;
                     }
                     Packet::OwnershipAcquired if from_selected_receiver => {
-                        world.sender_event(sender::Event::OwnershipAcquired, false)
+                        model_state.sender_event(sender::Event::OwnershipAcquired, false)
                     }
                     Packet::StateUnusable if from_selected_receiver => {
-                        world.close_link();
-                        world.sender_event(sender::Event::StateUnusable, false);
+                        model_state.close_link();
+                        model_state.sender_event(sender::Event::StateUnusable, false);
                     }
                     _ => return None,
                 }
             }
             Step::SenderSeesLinkClose(i) => {
-                world.receivers[i].sender_end_open = false;
-                if world.handed_over_to == Some(i) {
-                    world.handed_over_to = None;
-                    world.sender_event(sender::Event::LinkClosed, false);
+                model_state.receivers[i].sender_end_open = false;
+                if model_state.handed_over_to == Some(i) {
+                    model_state.handed_over_to = None;
+                    model_state.sender_event(sender::Event::LinkClosed, false);
                 }
             }
-            Step::SenderTicksAfterTimeouts => world.sender_event(sender::Event::Tick, true),
-            Step::SenderTicksBeforeTimeouts => world.sender_event(sender::Event::Tick, false),
-            Step::CallCompletes => world.call_in_flight = false,
-            Step::Drained => world.sender_event(sender::Event::Drained, false),
+            Step::SenderTicksAfterTimeouts => model_state.sender_event(sender::Event::Tick, true),
+            Step::SenderTicksBeforeTimeouts => model_state.sender_event(sender::Event::Tick, false),
+            Step::CallCompletes => model_state.call_in_flight = false,
+            Step::Drained => model_state.sender_event(sender::Event::Drained, false),
             Step::Terminate => {
-                world.termination_sent = true;
-                world.sender_event(sender::Event::Terminate, false);
+                model_state.termination_sent = true;
+                model_state.sender_event(sender::Event::Terminate, false);
             }
             Step::KillSender | Step::KillReceiver(_) | Step::KillAll => {
-                world.kills += 1;
+                model_state.kills += 1;
                 if !matches!(step, Step::KillReceiver(_)) {
-                    world.end_sender();
+                    model_state.end_sender();
                 }
                 for i in 0..self.receivers {
                     if step == Step::KillAll || step == Step::KillReceiver(i) {
-                        (world.receivers[i].alive, world.receivers[i].receiver_end_open) = (false, false);
-                        if world.holder == Holder::Receiver(i) {
-                            world.holder = Holder::Unlocked;
+                        (model_state.receivers[i].alive, model_state.receivers[i].receiver_end_open) =
+                            (false, false);
+                        if model_state.holder == Holder::Receiver(i) {
+                            model_state.holder = Holder::Unlocked;
                         }
                     }
                 }
             }
         }
-        world.drop_closed_links();
-        (world != *last).then_some(world)
+        model_state.drop_closed_links();
+        (model_state != *last).then_some(model_state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one owner", |_, world: &ModelState| world.owner_count() <= 1),
-            Property::always("the owner holds the lock", |_, world: &ModelState| {
-                let sender_owns = world.sender_alive && matches!(world.sender, AbstractSender::Owner { .. });
-                let receivers = world.receivers.iter().enumerate();
+            Property::always("at most one owner", |_, model_state: &ModelState| {
+                model_state.owner_count() <= 1
+            }),
+            Property::always("the owner holds the lock", |_, model_state: &ModelState| {
+                let sender_owns =
+                    model_state.sender_alive && matches!(model_state.sender, AbstractSender::Owner { .. });
+                let receivers = model_state.receivers.iter().enumerate();
                 let mut owners =
                     receivers.filter(|(_, receiver)| receiver.alive && receiver.state.is_owner());
-                (!sender_owns || world.holder == Holder::Sender)
-                    && owners.all(|(i, _)| world.holder == Holder::Receiver(i))
+                (!sender_owns || model_state.holder == Holder::Sender)
+                    && owners.all(|(i, _)| model_state.holder == Holder::Receiver(i))
             }),
             Property::always(
                 "no message is sent while the other process's attempt is in flight",
-                |_, world: &ModelState| !world.sent_twice,
+                |_, model_state: &ModelState| !model_state.sent_twice,
             ),
             // While a process is alive, there is an owner or another step is possible.
-            Property::always("no process is stuck", |model: &Upgrade, world: &ModelState| {
+            Property::always("no process is stuck", |model: &Upgrade, model_state: &ModelState| {
                 let mut steps = Vec::new();
-                model.actions(world, &mut steps);
+                model.actions(model_state, &mut steps);
                 let can_progress = steps.into_iter().any(|step| {
                     !matches!(
                         step,
                         Step::KillAll | Step::KillSender | Step::KillReceiver(_) | Step::Terminate
-                    ) && model.next_state(world, step).is_some()
+                    ) && model.next_state(model_state, step).is_some()
                 });
-                let all_dead = !world.sender_alive && world.receivers.iter().all(|receiver| !receiver.alive);
-                world.owner_count() == 1 || world.restarted || all_dead || can_progress
+                let all_dead =
+                    !model_state.sender_alive && model_state.receivers.iter().all(|receiver| !receiver.alive);
+                model_state.owner_count() == 1 || model_state.restarted || all_dead || can_progress
             }),
-            Property::sometimes("a receiver takes over", |_, world: &ModelState| {
-                world.receivers[0].state.is_owner() && matches!(world.sender, AbstractSender::Draining { .. })
+            Property::sometimes("a receiver takes over", |_, model_state: &ModelState| {
+                model_state.receivers[0].state.is_owner()
+                    && matches!(model_state.sender, AbstractSender::Draining { .. })
             }),
-            Property::sometimes("the sender resumes", |_, world: &ModelState| {
-                world.kills > 0
-                    && matches!(world.sender, AbstractSender::Owner { .. })
-                    && world.handed_over_to.is_none()
+            Property::sometimes("the sender resumes", |_, model_state: &ModelState| {
+                model_state.kills > 0
+                    && matches!(model_state.sender, AbstractSender::Owner { .. })
+                    && model_state.handed_over_to.is_none()
             }),
-            Property::sometimes("a sender that lost its receiver restarts", |_, world: &ModelState| {
-                world.restarted
+            Property::sometimes("a sender that lost its receiver restarts", |_, model_state: &ModelState| {
+                model_state.restarted
             }),
         ]
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -78,10 +78,10 @@
         (self.sockets.saturating_sub(self.used_descriptors()) / 2).min(read_at_once).max(1)
     }
 
-    /// Maximum number of client connections without a request. Without this limit, clients that send one request and keep
-    /// their connection could occupy all connections, whose number is bounded, and new clients would
-    /// have to wait for old connections to end. The cost is that a client that returns after a pause
-    /// must reconnect.
+    /// Maximum number of client connections without a request. Without this limit, clients that send one
+    /// request and keep their connection could occupy all connections, and new clients would have to wait
+    /// until old connections are closed. The cost is that a client that returns after a pause must
+    /// reconnect.
     pub fn max_idle_clients(&self) -> usize {
         ((self.max_clients() as f64 * Limits::IDLE_CLIENT_SHARE) as usize).max(1)
     }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -69,10 +69,10 @@
         node.resubscribe.notified().await;
     }
     loop {
-        let (at, seq) = (*address_changes.borrow_and_update(), node.directory.borrow().seq());
+        let (address, seq) = (*address_changes.borrow_and_update(), node.directory.borrow().seq());
         let started_at = Instant::now();
         tokio::select! {
-            result = run_watch(&node, at, seq) => {
+            result = run_watch(&node, address, seq) => {
                 log::info_limited(format_args!("discovery: watch ended: {}", result.unwrap_or_else(|error| error.to_string())));
                 node.send_event(Event::ListFailed);
                 node.fleet.list_failed();
@@ -104,7 +104,7 @@
         // answer from it.
         let pause = node.fleet.discovery_interval().map_or(backoff, |interval| interval.max(backoff));
         tokio::select! {
-            _ = timeout(pause, address_changes.wait_for(|now| *now != at)) => {}
+            _ = timeout(pause, address_changes.wait_for(|current| *current != address)) => {}
             () = node.resubscribe.notified() => {}
         }
     }
@@ -119,10 +119,10 @@
 pub type BoxError = Box<dyn std::error::Error>;
 
 /// Runs one watch, from connecting to its end, and returns why it ended.
-async fn run_watch(node: &Node, at: SocketAddr, seq: u64) -> Result<String, BoxError> {
-    let mut connection = timeout(RESPONSE_TIMEOUT, calls::connect(at)).await??;
+async fn run_watch(node: &Node, address: SocketAddr, seq: u64) -> Result<String, BoxError> {
+    let mut connection = timeout(RESPONSE_TIMEOUT, calls::connect(address)).await??;
     let request = Request::get(format!("/registry/instances?stream=1&index={seq}"))
-        .header("Host", at.to_string())
+        .header("Host", address.to_string())
         .body(Full::default())?;
     // The requests of many dispatchers queue at the service. One that is abandoned early still costs the
     // service its work, and is sent again.
@@ -237,10 +237,10 @@
             }
             continue;
         }
-        let at = *address_changes.borrow_and_update();
+        let address = *address_changes.borrow_and_update();
         let reused = connection.is_some();
         let response = tokio::select! {
-            response = post(at, &mut connection, &due, response_timeout) => response,
+            response = post(address, &mut connection, &due, response_timeout) => response,
             // Notices that the old address has received already do no harm at the new one.
             _ = address_changes.changed() => {
                 (connection, backoff, response_timeout) = (None, INITIAL_BACKOFF, FIRST_NOTICE_TIMEOUT);
@@ -281,7 +281,7 @@
             }
         }
         connection = None;
-        let _ = timeout(backoff, address_changes.wait_for(|now| *now != at)).await;
+        let _ = timeout(backoff, address_changes.wait_for(|current| *current != address)).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
@@ -289,8 +289,8 @@
 /// Sends one request with notices, over the kept-alive connection of the last one if that is to the
 /// same address.
 async fn post(
-    at: SocketAddr, kept_alive: &mut Option<(SocketAddr, Connection)>, notices: &[(u64, String, Notice)],
-    response_timeout: Duration,
+    address: SocketAddr, kept_alive: &mut Option<(SocketAddr, Connection)>,
+    notices: &[(u64, String, Notice)], response_timeout: Duration,
 ) -> Result<StatusCode, BoxError> {
     let mut lines = Vec::new();
     for (_, id, notice) in notices {
@@ -305,18 +305,18 @@
     }
     let deadline = Instant::now() + response_timeout;
     let mut connection = match kept_alive.take() {
-        Some((to, connection)) if to == at && connection.is_reusable() => connection,
-        _ => timeout_at(deadline, calls::connect(at)).await??,
+        Some((to, connection)) if to == address && connection.is_reusable() => connection,
+        _ => timeout_at(deadline, calls::connect(address)).await??,
     };
     let request = Request::builder()
         .method(Method::POST)
         .uri("/status")
-        .header("Host", at.to_string())
+        .header("Host", address.to_string())
         .body(Full::new(Bytes::from(lines)))?;
     timeout_at(deadline, connection.sender.ready()).await??;
     let response = timeout_at(deadline, connection.sender.send_request(request)).await??;
     let status = response.status();
     timeout_at(deadline, response.into_body().collect()).await??;
-    *kept_alive = Some((at, connection));
+    *kept_alive = Some((address, connection));
     Ok(status)
 }
--- a/crates/waydoor/src/interface.rs
+++ b/crates/waydoor/src/interface.rs
@@ -421,8 +421,8 @@
     /// The destination was unavailable or recovering when the previous process ended (its last
     /// [`Action::RecordOutage`] said so).
     OutageRestored(DestinationId),
-    /// An endpoint whose suspension by an operator has ended. It may have been restarted meanwhile, so it counts as
-    /// cold. Its entry of the list is passed before this event.
+    /// An endpoint whose suspension by an operator has ended. It may have been restarted meanwhile, so it
+    /// counts as cold. Its entry of the list is passed before this event.
     EndpointRestored(EndpointId),
     /// The remaining quota of a tenant, as [`Dispatcher::quota_status`](crate::Dispatcher::quota_status)
     /// returned it for a message that was accepted at that time, by this process or a previous one.
--- a/crates/waydoor/src/policy/attempts.rs
+++ b/crates/waydoor/src/policy/attempts.rs
@@ -204,8 +204,8 @@
         let mut probe = None;
         for id in &destination.endpoints {
             let Some(endpoint) = self.endpoints.get(id).filter(|_| self.allows(state, *id)) else { continue };
-            // The end of a call that outlasts this process would not be recorded, so the message is left to the
-            // next process.
+            // The end of a call that outlasts this process would not be recorded, so the message is left to
+            // the next process.
             if now + self.call_timeout(now, state.message.class, *id) > self.shutdown_at {
                 continue;
             }
--- a/crates/waydoor/src/policy/connections.rs
+++ b/crates/waydoor/src/policy/connections.rs
@@ -15,8 +15,8 @@
 /// After a failed connect in a large fleet, idle connections are kept for half of this at most, since other
 /// dispatchers are waiting to connect.
 const MAX_IDLE_IN_SHORTAGE_SECONDS: f64 = 1.0;
-/// Consecutive failures on idle connections that show that idle connections are dropped; fewer may be failures of
-/// the endpoint.
+/// Consecutive failures on idle connections that show that idle connections are dropped; fewer may be
+/// failures of the endpoint.
 const MIN_IDLE_DROPS: u32 = 2;
 /// Minimum expected number of uses for which an idle connection is kept.
 const MIN_EXPECTED_USES: f64 = 0.3;
--- a/crates/waydoor/src/policy/endpoint_list.rs
+++ b/crates/waydoor/src/policy/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints: applies it and keeps the subscription to it alive.
 //!
-//! Ensures that the dispatcher learns of draining endpoints in time, and keeps a large fleet from subscribing at
-//! one moment. The cost is that a change may arrive late.
+//! Ensures that the dispatcher learns of draining endpoints in time, and keeps a large fleet from subscribing
+//! at one moment. The cost is that a change may arrive late.
 
 use super::rate_limit::SMALL_FLEET_SIZE;
 use super::*;
@@ -56,8 +56,8 @@
         *wake_at = wake_at.min(self.next_subscribe_at);
     }
 
-    /// Random delay of a subscription request in a large fleet: if all requests came at once, they would queue at
-    /// the discovery service for longer than their timeout, and all would fail.
+    /// Random delay of a subscription request in a large fleet: if all requests came at once, they would
+    /// queue at the discovery service for longer than their timeout, and all would fail.
     pub(super) fn subscribe_jitter(&mut self) -> Seconds {
         let fleet_factor = (1.0 - SMALL_FLEET_SIZE / f64::from(self.settings.dispatcher_count)).max(0.0);
         if fleet_factor > 0.0 {
--- a/crates/waydoor/src/policy/outage.rs
+++ b/crates/waydoor/src/policy/outage.rs
@@ -14,8 +14,7 @@
 pub(super) const MIN_SILENCE_SECONDS: f64 = 1.2;
 /// Consecutive failures that make a target unavailable: a single one may be chance ...
 const MIN_FAILURES_FOR_OUTAGE: u32 = 2;
-/// ... and so may several at a target that always loses some calls: there, a run of failures counts only if its
-/// probability is lower than this.
+/// ... and so may several at a target that always loses some calls: their probability must be below this.
 const MAX_CHANCE_OF_FAILURES: f64 = 0.002;
 /// Weight of a call in the baseline loss: about fifty calls count; an outage hardly changes it.
 const BASELINE_SAMPLE_WEIGHT: f64 = 0.02;
@@ -24,8 +23,7 @@
 const MAX_BASELINE_LOSS: f64 = 0.2;
 /// A shorter gap between two served calls is no outage: no target restarts within this time.
 const MIN_OUTAGE_SECONDS: f64 = 1.0;
-/// Share of failures above which a target is unavailable; with a margin below one half, since a target that fails
-/// most calls counts as unavailable.
+/// Share of failures above which a target is unavailable: the rule is "most calls", with a margin.
 pub(super) const UNHEALTHY_FAILURE_SHARE: f64 = 0.4;
 /// First interval between trials of an unavailable target; each is a fifth longer, up to the maximum.
 pub(super) const FIRST_TRIAL_INTERVAL_SECONDS: f64 = 0.5;
@@ -38,13 +36,11 @@
 const TRIAL_BUDGET_USE: f64 = 0.85;
 /// The same in a large fleet, where some new messages are sent as additional trials.
 const LARGE_FLEET_TRIAL_USE: f64 = 0.65;
-/// Share of the budget for all trials together: those at intervals, and new messages, whose number grows with the
-/// load.
+/// Share of the budget for all trials, including the new messages, whose number grows with the load.
 const LARGE_FLEET_TOTAL_USE: f64 = 1.2;
-/// Upper limit of the demand for a target, relative to its limit, as estimated from this dispatcher's share of it.
+/// Upper limit of the demand for a target, relative to its limit, as estimated from the own share.
 const MAX_LARGE_FLEET_LOAD: f64 = 1.5;
-/// A recovery is dated to the middle of the gap between the last failure and the first success; the gap counts up to
-/// this share of the warm-up time.
+/// Maximum gap between failure and success by which a recovery is dated, as a share of the warm-up time.
 const MAX_RECOVERY_GAP_SHARE: f64 = 0.5;
 
 impl TargetState {
@@ -189,7 +185,8 @@
                 self.outage.last_failure_sent_at = self.outage.last_failure_sent_at.max(now - latency);
                 self.outage.consecutive_failures += u32::from(!sent_before_success);
                 let trial_failed = self.outage.health == Health::Unavailable && !sent_before_success;
-                // Prevents slow start without an outage before it; the cost is one more lost call in an outage.
+                // Prevents slow start without an outage before it; the cost is one more lost call in an
+                // outage.
                 let normal_loss = self.outage.baseline_loss.max(MIN_BASELINE_LOSS);
                 let failure_limit = (MIN_FAILURES_FOR_OUTAGE as f64)
                     .max((MAX_CHANCE_OF_FAILURES.ln() / normal_loss.ln()).ceil());
@@ -238,7 +235,7 @@
 }
 
 impl Dispatcher {
-    /// Records the start or the end of an outage, so that the next process does not send a whole backlog at once.
+    /// Records the start or end of an outage, so that the next process does not send a whole backlog at once.
     pub(super) fn record_outage_change(&mut self, id: DestinationId) {
         let Some(destination) = self.destinations.get_mut(&id) else { return };
         let is_cold =
--- a/crates/waydoor/src/policy/rate_limit.rs
+++ b/crates/waydoor/src/policy/rate_limit.rs
@@ -13,18 +13,18 @@
 pub(super) const MIN_RATE_SHARE: f64 = 0.6;
 /// Time over which a dispatcher of a large fleet may accumulate calls for a burst.
 const BURST_WINDOW_SECONDS: f64 = 4.0;
-/// In a large fleet, the part of [`RATE_GROWTH_PER_SECOND`] that applies for each call a second that the dispatcher
-/// expects to send.
+/// In a large fleet, the part of [`RATE_GROWTH_PER_SECOND`] that applies for each call a second that the
+/// dispatcher expects to send.
 const RATE_GROWTH_PER_CALL: f64 = 0.2;
 /// Largest number of calls in a burst.
 const MAX_BURST_CALLS: f64 = 2.0;
-/// A report of the remaining limit changes the rate in proportion to this factor and to the difference from the mean
-/// below.
+/// A report of the remaining limit changes the rate in proportion to this factor and to the difference from
+/// the mean below.
 const REPORT_GAIN: f64 = 0.1;
 /// Mean remaining share of a limit that is almost used up.
 const MEAN_REMAINING_SHARE: f64 = 0.4;
-/// A rate that is not used is not known to be accepted: it is limited to this multiple of the measured send rate, or
-/// to the initial rate.
+/// A rate that is not used is not known to be accepted: it is limited to this multiple of the measured send
+/// rate, or to the initial rate.
 const MAX_UNUSED_RATE_MULTIPLE: f64 = 1.5;
 /// Time constant of the measured send rate.
 const SEND_RATE_WINDOW_SECONDS: f64 = 3.0;
@@ -43,8 +43,8 @@
         self.own_share * self.total_capacity()
     }
 
-    /// Whether the target is shared by so many dispatchers that rates which are harmless from one of them overload it
-    /// together.
+    /// Whether the target is shared by so many dispatchers that rates which are harmless from one of them
+    /// overload it together.
     pub(super) fn is_large_fleet(&self) -> bool {
         self.even_share * SMALL_FLEET_SIZE < 1.0
     }
--- a/crates/waydoor/src/policy/scheduling.rs
+++ b/crates/waydoor/src/policy/scheduling.rs
@@ -10,7 +10,8 @@
 
 /// Weight of a new sample in a decaying mean: about the last five calls count.
 pub(super) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Half-life of measured latencies and failure shares, so that old measurements do not exclude a target for good.
+/// Half-life of measured latencies and failure shares, so that old measurements do not exclude a target for
+/// good.
 pub(super) const STATS_HALF_LIFE_SECONDS: f64 = 8.0;
 /// A destination gets no further slot once it holds this share of them ...
 const MAX_SLOT_SHARE: f64 = 0.75;
@@ -110,8 +111,8 @@
         // capacity stays low.
         let order_by_deadline = self.calls.len() + open_destinations < self.settings.max_concurrent_calls
             && self.settings.decay == ValueDecay::Linear;
-        // Messages that may not end in time go last. Recovered messages that were not attempted yet go first: by
-        // their age they would have a lower priority than new ones.
+        // Messages that may not end in time go last. Recovered messages that were not attempted yet go first:
+        // by their age they would have a lower priority than new ones.
         candidates.sort_by(
             |(priority, accepted_at, demotion, message),
              (other_priority, other_accepted_at, other_demotion, other_message)| {
@@ -215,8 +216,8 @@
         !cooling_down
     }
 
-    /// When the queue is almost full, ends the messages of lowest priority: the caller's limit would reject whichever
-    /// messages arrive next.
+    /// When the queue is almost full, ends the messages of lowest priority: the caller's limit would reject
+    /// whichever messages arrive next.
     pub(super) fn shed_excess(&mut self, now: Seconds, actions: &mut Vec<Action>) {
         if self.journal.is_failing(now) {
             // No new message is accepted meanwhile, and an end that is not recorded would be lost in a crash.
@@ -227,9 +228,9 @@
         for id in self.queued_destinations.iter().filter(|_| excess > 0) {
             let Some(destination) = self.destinations.get(id) else { continue };
             let rate = self.service_rate(now, destination);
-            let shedable =
+            let sheddable =
                 |id| self.messages.get(id).filter(|state| !state.is_untried_recovery() || state.over_quota);
-            let states = destination.queued.iter().filter_map(shedable);
+            let states = destination.queued.iter().filter_map(sheddable);
             by_priority.extend(states.map(|state| (self.priority(now, state, rate), state.message.id)));
         }
         by_priority.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
