--- a/crates/journal/src/inspect.rs
+++ b/crates/journal/src/inspect.rs
@@ -20,8 +20,8 @@
 
 /// Prefix of each output line that reports damage which a crash can't have caused.
 pub const DAMAGE_PREFIX: &str = "damaged: ";
-/// Maximum number of times that a directory is read. A running dispatcher may remove a segment during the read by compaction; the
-/// read is repeated then.
+/// Maximum number of times that a directory is read. The read is repeated if the compaction of a running dispatcher
+/// removes a segment during it.
 const MAX_READ_ATTEMPTS: u32 = 5;
 
 /// Why an operators' command failed.
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -161,20 +161,24 @@
         let last = end.message_ends.last().map(|end| end.outcome);
         self.update(destination, |counters| {
             counters.delivered += delivered;
-            if let Some(RateLimitReport { rate, remaining_share: left }) = end.rate_limit_report {
+            if let Some(RateLimitReport { rate, remaining_share }) = end.rate_limit_report {
                 counters.rate_limit = rate as u64;
-                counters.reports += u64::from(left.is_some());
-                counters.remaining_percent_sum += (left.unwrap_or(0.0) * 100.0) as u64;
+                counters.reports += u64::from(remaining_share.is_some());
+                counters.remaining_percent_sum += (remaining_share.unwrap_or(0.0) * 100.0) as u64;
             }
             counters.new_connections +=
                 u64::from(!end.connection_reused && last != Some(Outcome::ConnectFailed));
             match last {
                 Some(Outcome::Overloaded) => {
-                    let left = end.rate_limit_report.and_then(|report| report.remaining_share);
+                    let remaining_share = end.rate_limit_report.and_then(|report| report.remaining_share);
                     counters.overloaded += 1;
-                    counters.limit_exhausted +=
-                        u64::from(left.is_some_and(|left| left < LIMIT_EXHAUSTED_BELOW));
-                    counters.limit_unused += u64::from(left.is_some_and(|left| left >= LIMIT_UNUSED_FROM));
+                    counters.limit_exhausted += u64::from(
+                        remaining_share
+                            .is_some_and(|remaining_share| remaining_share < LIMIT_EXHAUSTED_BELOW),
+                    );
+                    counters.limit_unused += u64::from(
+                        remaining_share.is_some_and(|remaining_share| remaining_share >= LIMIT_UNUSED_FROM),
+                    );
                 }
                 Some(Outcome::ConnectFailed) => counters.connect_failures += 1,
                 Some(Outcome::Served | Outcome::NotSent) | None => {}
