--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -34,11 +34,11 @@
     pub fn open(state_dir: &Path) -> OperatorOverrides {
         let file = OverrideFile::new(state_dir);
         let overrides = file.load().unwrap_or_else(|error| {
-            log::info_limited(format_args!("overrides: {error}; no override is in force"));
+            log::info_limited(format_args!("orders: {error}; no override is in force"));
             Overrides::default()
         });
         for (id, _) in overrides.suspended() {
-            log::info(format_args!("overrides: {id} is suspended by an operator"));
+            log::info(format_args!("orders: {id} is suspended by an operator"));
         }
         OperatorOverrides {
             overrides: RefCell::new(overrides),
@@ -61,7 +61,7 @@
     /// Saves the overrides if the last attempt to save them failed.
     pub fn retry_save(&self) {
         if self.unsaved.get() && self.save().is_ok() {
-            log::info_limited(format_args!("overrides: saved again after a failed write"));
+            log::info_limited(format_args!("orders: saved again after a failed write"));
         }
     }
 
@@ -110,7 +110,7 @@
     let must_save = matches!(result, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
-        |error: &io::Error| format!("in force, but not saved yet, so a restart would lose it: {error}");
+        |error: &io::Error| format!("in force, but not on record yet; a restart would lose it: {error}");
     if let (UpdateResult::Unchanged, Err(error)) = (&result, &saved) {
         return Err(unsaved_text(error));
     }
@@ -138,7 +138,7 @@
             drop(restored);
             report_restored(node);
             log::info_limited(format_args!(
-                "overrides: {id} {}",
+                "orders: {id} {}",
                 if suspend { "suspended by an operator" } else { "may serve" }
             ));
         }
