--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -274,7 +274,7 @@
     }
     match Cli::parse().command {
         Command::Serve => fawnspoke_node::serve(),
-        Command::Check { file } => print_result(fawnspoke_node::check(&file)),
+        Command::Check { file } => print_result(fawnspoke_node::check_config(&file)),
         Command::Demo { run } => command::demo(&run.into()),
         Command::Lab(LabCommand::Run { scenario, run }) => command::run(&scenario, &run.into()),
         Command::Lab(LabCommand::Script { scenario, seed }) => command::script(&scenario, seed),
