--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -38,7 +38,7 @@
     /// Maximum relative error of a clock's rate, as a fraction of 1.
     #[serde(default = "default_clock_rate")]
     pub clock_rate: f64,
-    /// How long other members hold back after a statement of a duty's holder.
+    /// How long other members hold back after an update from a duty's holder.
     #[serde(default = "default_max_hold")]
     pub hold_most_s: Seconds,
     /// Maximum size of the replicated log on disk, in megabytes.
@@ -48,13 +48,13 @@
     /// at least one packet of maximum size.
     #[serde(default = "default_max_memory")]
     pub memory_mb: f64,
-    /// Length in entries at which the holder of the keeper duty has the log compacted.
+    /// Length in entries at which the holder of the log maintenance duty has the log compacted.
     #[serde(default = "default_compaction_length")]
     pub cut_after: u64,
-    /// Interval at which the holder of the keeper duty writes a round into the log.
-    #[serde(default = "default_keeper_interval")]
+    /// Interval at which the holder of the log maintenance duty writes a round into the log.
+    #[serde(default = "default_maintenance_interval")]
     pub keeper_round_s: Seconds,
-    /// Whether each action and each statement under a duty is logged, for tests and for diagnosis.
+    /// Whether each action and each holder update under a duty is logged, for tests and for diagnosis.
     #[serde(default)]
     pub history: bool,
     /// All members by name, which is the dispatcher's name in its own configuration.
@@ -98,7 +98,7 @@
     2000
 }
 
-fn default_keeper_interval() -> Seconds {
+fn default_maintenance_interval() -> Seconds {
     10.0
 }
 
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,5 +1,5 @@
 //! One member of the fleet without I/O. Times, frames and the dispatcher's reports go in; records to persist, frames to
-//! send and updates for the dispatcher come out.
+//! send and events for the dispatcher come out.
 //!
 //! The caller has to keep this order: [`Core::take_records`], persist them, [`Core::records_persisted`], send
 //! [`Core::take_frames`]. A frame that is sent before the records are synced could acknowledge what a crash then loses.
@@ -66,7 +66,7 @@
     /// The library's output whose records are being persisted.
     pending_ready: Option<Ready>,
     frames: Vec<(MemberId, Frame)>,
-    updates: Vec<S::Update>,
+    events: Vec<S::Event>,
     compaction_due: bool,
     is_leader: bool,
     /// The term in which `is_leader` was determined.
@@ -151,7 +151,7 @@
             rng: fastrand::Rng::with_seed(seed),
             pending_ready: None,
             frames: Vec::new(),
-            updates: Vec::new(),
+            events: Vec::new(),
             compaction_due: false,
             is_leader: false,
             leadership_term: 0,
@@ -447,7 +447,7 @@
         };
         let decisions = self.state_machine.decide(now, &view);
         self.compaction_due |= decisions.compact;
-        self.updates.extend(decisions.updates);
+        self.events.extend(decisions.events);
         // The library may have lost the leadership, or lost and regained it, before the state machine was informed.
         let still_leads = self.is_leader
             && self.raft_node.raft.state == StateRole::Leader
@@ -609,9 +609,9 @@
         std::mem::take(&mut self.frames)
     }
 
-    /// The updates for the dispatcher.
-    pub fn take_updates(&mut self) -> Vec<S::Update> {
-        std::mem::take(&mut self.updates)
+    /// Takes the events for the dispatcher.
+    pub fn take_events(&mut self) -> Vec<S::Event> {
+        std::mem::take(&mut self.events)
     }
 
     /// The member is about to stop: its state machine releases everything that it holds.
--- a/crates/cluster/src/runtime.rs
+++ b/crates/cluster/src/runtime.rs
@@ -98,18 +98,19 @@
 /// # Errors
 /// If the thread can't be started.
 pub fn spawn<S, F>(
-    settings: Settings, create_state_machine: F, updates: UnboundedSender<S::Update>,
+    settings: Settings, create_state_machine: F, state_machine_events: UnboundedSender<S::Event>,
 ) -> std::io::Result<MemberHandle<S::Input>>
 where
     S: StateMachine + 'static,
     S::Input: Send + Clone + 'static,
-    S::Update: Send + 'static,
+    S::Event: Send + 'static,
     F: Fn() -> S + Send + 'static,
 {
     let (commands, command_receiver) = unbounded_channel();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("fleet".into()).stack_size(STACK_BYTES).spawn(move || {
-        LocalSet::new().block_on(&runtime, run(settings, create_state_machine, updates, command_receiver));
+        LocalSet::new()
+            .block_on(&runtime, run(settings, create_state_machine, state_machine_events, command_receiver));
     })?;
     Ok(MemberHandle { commands })
 }
@@ -156,7 +157,7 @@
 }
 
 async fn run<S, F>(
-    settings: Settings, create_state_machine: F, updates: UnboundedSender<S::Update>,
+    settings: Settings, create_state_machine: F, state_machine_events: UnboundedSender<S::Event>,
     mut commands: UnboundedReceiver<Command<S::Input>>,
 ) where
     S: StateMachine,
@@ -228,7 +229,7 @@
                     store,
                     connections: &connections,
                     open_connections: BTreeMap::new(),
-                    updates: &updates,
+                    state_machine_events: &state_machine_events,
                     logged_leader: None,
                     limited_log: RateLimitedLog::default(),
                 };
@@ -281,7 +282,7 @@
     store: Store,
     connections: &'a Connections,
     open_connections: BTreeMap<MemberId, Connection>,
-    updates: &'a UnboundedSender<S::Update>,
+    state_machine_events: &'a UnboundedSender<S::Event>,
     /// The leader that was logged last.
     logged_leader: Option<Option<MemberId>>,
     limited_log: RateLimitedLog,
@@ -346,9 +347,9 @@
                 connection.send(packet);
             }
         }
-        for update in self.core.take_updates() {
-            // Fails only if the dispatcher no longer receives updates.
-            let _ = self.updates.send(update);
+        for event in self.core.take_events() {
+            // Fails only if the dispatcher no longer receives them.
+            let _ = self.state_machine_events.send(event);
         }
         let leader = self.core.leader();
         if self.logged_leader.replace(leader) != Some(leader) {
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -20,20 +20,20 @@
 
 /// What a state machine wants done.
 #[derive(Debug)]
-pub struct Decisions<U> {
+pub struct Decisions<E> {
     /// Entries to propose. A member that does not lead forwards them to the leader; they may be lost.
     pub proposals: Vec<Vec<u8>>,
     /// Entries that rest on what this member knows as the leader. They are proposed under that leadership or dropped.
     pub leader_proposals: Vec<Vec<u8>>,
     /// Reports to the dispatcher.
-    pub updates: Vec<U>,
+    pub events: Vec<E>,
     /// Whether to compact the log: everything applied so far goes into a snapshot.
     pub compact: bool,
 }
 
-impl<U> Default for Decisions<U> {
-    fn default() -> Decisions<U> {
-        Decisions { proposals: Vec::new(), leader_proposals: Vec::new(), updates: Vec::new(), compact: false }
+impl<E> Default for Decisions<E> {
+    fn default() -> Decisions<E> {
+        Decisions { proposals: Vec::new(), leader_proposals: Vec::new(), events: Vec::new(), compact: false }
     }
 }
 
@@ -42,7 +42,7 @@
     /// What the dispatcher reports to it.
     type Input;
     /// What it reports to the dispatcher.
-    type Update;
+    type Event;
 
     /// Sets the member's own id. Called once, before everything else.
     fn set_member_id(&mut self, id: MemberId);
@@ -81,7 +81,7 @@
     /// Handles a report of the dispatcher.
     fn handle_input(&mut self, now: Seconds, input: Self::Input);
     /// Decides what is to be done now.
-    fn decide(&mut self, now: Seconds, view: &MemberView) -> Decisions<Self::Update>;
+    fn decide(&mut self, now: Seconds, view: &MemberView) -> Decisions<Self::Event>;
     /// The current state as JSON, for operators.
     fn status(&self, now: Seconds, view: &MemberView) -> serde_json::Value;
 }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -19,7 +19,7 @@
 const RECORD_HEADER_BYTES: usize = 8;
 /// Maximum length of a record.
 const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Fraction of the allowed size at which the log is compacted even if no keeper asks for it. It is below one half
+/// Fraction of the allowed size at which the log is compacted even if no holder of the log maintenance duty requests it. It is below one half
 /// because the compacted log is written next to the old one.
 const COMPACTION_SHARE: f64 = 0.4;
 
--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -52,9 +52,9 @@
     Acted(DutyId, u64, Seconds),
 }
 
-/// Settings of the duties.
+/// Settings of a member's duties.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct DutySettings {
     /// Length of a lease term, in seconds.
     pub lease_term: Seconds,
     /// Maximum relative deviation of a clock from true time.
@@ -69,10 +69,10 @@
     pub rules: SafetyRules,
 }
 
-impl Settings {
+impl DutySettings {
     /// The settings from the operators' fleet file.
-    pub fn from_file(config: &FleetConfig) -> Settings {
-        Settings {
+    pub fn from_config(config: &FleetConfig) -> DutySettings {
+        DutySettings {
             lease_term: config.term_s,
             max_clock_error: config.clock_rate,
             max_deferral: config.hold_most_s,
@@ -85,7 +85,7 @@
 
 /// All duties of one member.
 pub struct Duties {
-    settings: Settings,
+    settings: DutySettings,
     own_id: MemberId,
     leases: LeaseTable,
     lease_term: LeaseTerm,
@@ -116,8 +116,8 @@
 
 impl Duties {
     /// The duties of a member that has not been given its ID yet. `first_renewal`: see [`LeaseTerm::new`].
-    pub fn new(settings: Settings, first_renewal: u64) -> Duties {
-        let Settings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
+    pub fn new(settings: DutySettings, first_renewal: u64) -> Duties {
+        let DutySettings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
         Duties {
             own_id: 0,
             leases: LeaseTable::default(),
@@ -323,7 +323,7 @@
 
 impl StateMachine for Duties {
     type Input = DutyReport;
-    type Update = DutyEvent;
+    type Event = DutyEvent;
 
     fn set_member_id(&mut self, own_id: MemberId) {
         self.own_id = own_id;
@@ -465,7 +465,7 @@
         Decisions {
             proposals: entries.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
             leader_proposals: grants.iter().filter_map(|entry| postcard::to_stdvec(entry).ok()).collect(),
-            updates: std::mem::take(&mut self.events),
+            events: std::mem::take(&mut self.events),
             compact: std::mem::take(&mut self.compaction_due),
         }
     }
@@ -495,9 +495,9 @@
     use super::*;
     use fawnspoke_cluster::members::{Change, Members};
 
-    fn settings() -> Settings {
+    fn settings() -> DutySettings {
         let rules = SafetyRules::default();
-        Settings {
+        DutySettings {
             lease_term: 3.0,
             max_clock_error: 0.02,
             max_deferral: 3.0,
@@ -534,9 +534,9 @@
         fn decide(&mut self, now: Seconds) -> (Vec<Entry>, Vec<DutyEvent>) {
             let view =
                 MemberView { id: 1, name: "n1", leader: Some(2), members: &self.members, log_length: 0 };
-            let actions = self.duties.decide(now, &view);
+            let decisions = self.duties.decide(now, &view);
             let decode = |entry: &Vec<u8>| postcard::from_bytes(entry).unwrap();
-            (actions.proposals.iter().map(decode).collect(), actions.updates)
+            (decisions.proposals.iter().map(decode).collect(), decisions.events)
         }
 
         /// Extends the lease term to three seconds from `now`.
--- a/crates/duty/tests/schedules.rs
+++ b/crates/duty/tests/schedules.rs
@@ -25,7 +25,7 @@
         let later = first_actions.range((*duty, epoch + 1)..=(*duty, u64::MAX)).next();
         if let Some(((_, later), (acted_at, _))) = later.filter(|(_, (acted_at, _))| acted_at < at) {
             violations
-                .push(format!("{at:.2} {member:x} acts on {duty} under epoch {epoch}; epoch {later} was acted under at {acted_at:.2}"));
+                .push(format!("{at:.2} {member:x} acts on {duty} under epoch {epoch}; another member acted under epoch {later} at {acted_at:.2}"));
         }
         let (_, known_member) = first_actions.entry((*duty, *epoch)).or_insert((*at, *member));
         if known_member != member {
@@ -72,7 +72,7 @@
 }
 
 fn config(seed: u64) -> SimulationConfig {
-    SimulationConfig { voters: [3, 5, 3, 7][(seed % 4) as usize], observers: (seed % 3) as usize, ..BASELINE }
+    SimulationConfig { voters: [3, 5, 3, 7][(seed % 4) as usize], learners: (seed % 3) as usize, ..BASELINE }
 }
 
 #[test]
@@ -151,16 +151,16 @@
     assert!(first.observations.len() > 100);
 }
 
-/// CI uses fewer observers than `OBSERVERS=100`.
+/// CI uses fewer learners than `OBSERVERS=100`.
 #[test]
-fn many_observers_join_at_once() {
-    let observers = std::env::var("OBSERVERS").ok().and_then(|text| text.parse().ok()).unwrap_or(30);
-    let mut simulation = Simulation::new(SimulationConfig { voters: 5, observers, ..BASELINE }, 1);
+fn many_learners_join_at_once() {
+    let learners = std::env::var("OBSERVERS").ok().and_then(|text| text.parse().ok()).unwrap_or(30);
+    let mut simulation = Simulation::new(SimulationConfig { voters: 5, learners, ..BASELINE }, 1);
     let joined_after = simulation.run_until(120.0, |simulation| {
         simulation.check_agreement().is_ok() && simulation.log_is_maintained()
     });
     assert!(joined_after.is_some(), "{:?}", simulation.check_agreement());
-    println!("{observers} observers and five voters are all members after {:.1} s", joined_after.unwrap());
+    println!("{learners} learners and five voters are all members after {:.1} s", joined_after.unwrap());
     assert!(violations(&simulation.observations, &simulation.double_holders).is_empty());
 }
 
--- a/crates/duty/tests/simulation/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -6,7 +6,7 @@
 use fawnspoke_cluster::identity::Identity;
 use fawnspoke_cluster::store::Record;
 use fawnspoke_cluster::wire::Frame;
-use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, Settings};
+use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, DutySettings};
 use fawnspoke_duty::lease_table::{DutyId, HolderUpdate};
 use fawnspoke_duty::{MemberId, SafetyRules, Seconds, trials};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SimulationConfig {
     pub voters: usize,
-    pub observers: usize,
+    pub learners: usize,
     /// Duration of the phase with faults, and of the phase without faults after it.
     pub fault_seconds: Seconds,
     pub quiet_seconds: Seconds,
@@ -36,7 +36,7 @@
 /// A correct program: all safety rules, clocks within the permitted rate, and no records lost.
 pub const BASELINE: SimulationConfig = SimulationConfig {
     voters: 3,
-    observers: 1,
+    learners: 1,
     fault_seconds: 8.0,
     quiet_seconds: 5.0,
     rules: SafetyRules {
@@ -112,7 +112,7 @@
             "cluster = \"sim\"\nterm_s = 1.0\nclock_rate = 0.02\ncut_after = 20\nkeeper_round_s = 0.1\n\
                         hold_most_s = 1.0\n"
                 .to_string();
-        let count = config.voters + config.observers;
+        let count = config.voters + config.learners;
         for i in 0..count {
             let voter = i < config.voters;
             let _ =
@@ -161,7 +161,8 @@
     }
 
     fn create_duties(&self, _: usize, first_renewal: u64) -> Duties {
-        let settings = Settings { rules: self.config.rules, ..Settings::from_file(&self.fleet_config) };
+        let settings =
+            DutySettings { rules: self.config.rules, ..DutySettings::from_config(&self.fleet_config) };
         Duties::new(settings, first_renewal)
     }
 
@@ -224,7 +225,7 @@
             member.synced_records = member.disk.len();
         }
         let (own_id, own_index) = (member.identity.id, i);
-        let (frames, events) = (core.take_frames(), core.take_updates());
+        let (frames, events) = (core.take_frames(), core.take_events());
         for event in events {
             let observation = match event {
                 DutyEvent::Acted(duty, epoch, _) => {
--- a/crates/fawnspoke/src/fleet.rs
+++ b/crates/fawnspoke/src/fleet.rs
@@ -3,7 +3,7 @@
 use clap::Subcommand;
 use fawnspoke_cluster::config::FleetConfig;
 use fawnspoke_cluster::runtime::{self, Settings};
-use fawnspoke_duty::duties::{Duties, Settings as DutySettings};
+use fawnspoke_duty::duties::{Duties, DutySettings};
 use fawnspoke_duty::max_failover_time;
 use serde_json::Value;
 use std::path::PathBuf;
@@ -47,7 +47,7 @@
             )
         }),
         FleetCommand::Bootstrap { file, name, state_dir } => FleetConfig::load(&file, &name).and_then(|config| {
-            let duties = Duties::new(DutySettings::from_file(&config), 0);
+            let duties = Duties::new(DutySettings::from_config(&config), 0);
             let identity = runtime::bootstrap(&Settings { config: config.clone(), name, state_dir }, &duties)?;
             Ok(format!("{} bootstrapped by {}, instance {:016x}", config.cluster, identity.name, identity.id))
         }),
--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -8,9 +8,9 @@
 #[test]
 fn a_killed_holders_duty_moves_to_another_member() {
     let mut fleet = start_fleet(3, 0);
-    let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (holder, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     fleet.members.dispatchers[holder].kill();
-    let (next, later) = wait_for_keeper(&fleet.members, epoch);
+    let (next, later) = wait_for_log_maintainer(&fleet.members, epoch);
     assert!(next != holder && later > epoch);
     // The killed member restarts as a follower and doesn't regain the duty.
     fleet.members.dispatchers[holder].start();
@@ -25,8 +25,8 @@
 fn a_stalled_holder_does_not_act_after_its_successor() {
     let fleet = start_fleet(3, 0);
     for _ in 0..3 {
-        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
-        // The keeper acts 20 times a second: SIGSTOP hits it anywhere between its check of the lease and its action.
+        let (holder, epoch) = wait_for_log_maintainer(&fleet.members, 0);
+        // The holder acts 20 times a second: SIGSTOP hits it anywhere between its check of the lease and its action.
         fleet.members.dispatchers[holder].signal("STOP");
         let mut acted = None;
         eventually("an action of the next holder", || {
@@ -49,7 +49,7 @@
 fn a_holder_partitioned_in_either_direction_loses_its_duty_to_another() {
     let fleet = start_fleet(3, 1);
     for partition in [(true, false), (false, true), (true, true)] {
-        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+        let (holder, epoch) = wait_for_log_maintainer(&fleet.members, 0);
         fleet.members.partition(holder, partition);
         eventually("an action of the next holder", || {
             fleet.members.first_action_after("keeper", epoch).is_some()
@@ -68,7 +68,7 @@
     let fleet = start_fleet(3, 0);
     // n0 and n2 can't reach each other; n1 reaches both.
     fleet.members.set_link_blocked(0, 2, (true, true));
-    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     let action_count = |members: &TestFleet| {
         members
             .histories()
@@ -80,14 +80,14 @@
     let before = action_count(&fleet.members);
     eventually("further actions", || action_count(&fleet.members) > before + 20);
     fleet.members.set_link_blocked(0, 2, (false, false));
-    assert!(wait_for_keeper(&fleet.members, 0).1 >= epoch);
+    assert!(wait_for_log_maintainer(&fleet.members, 0).1 >= epoch);
     assert_valid_history(&fleet.members);
 }
 
 #[test]
 fn a_flapping_partition_breaks_no_lease_and_work_continues() {
     let fleet = start_fleet(3, 0);
-    let (holder, _) = wait_for_keeper(&fleet.members, 0);
+    let (holder, _) = wait_for_log_maintainer(&fleet.members, 0);
     let action_count = |members: &TestFleet| {
         members
             .histories()
@@ -117,7 +117,7 @@
 #[test]
 fn a_graceful_stop_releases_the_duty_explicitly() {
     let mut fleet = start_fleet(3, 0);
-    let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (holder, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     let stopped_at = Instant::now();
     fleet.members.dispatchers[holder].signal("TERM");
     let mut acted = None;
@@ -139,7 +139,7 @@
 #[test]
 fn without_a_majority_no_duty_is_held_and_messages_are_delivered() {
     let mut fleet = start_fleet(3, 1);
-    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     fleet.members.dispatchers[1].kill();
     fleet.members.dispatchers[2].kill();
     eventually("the duty to have no holder", || fleet.members.duty_holder("keeper").is_none());
@@ -153,17 +153,17 @@
     fleet.members.dispatchers[2].start();
     fleet.members.dispatchers[1].start();
     // The holder may be the same as before: without a majority the duty could not be given to another member.
-    wait_for_keeper(&fleet.members, epoch - 1);
+    wait_for_log_maintainer(&fleet.members, epoch - 1);
     assert_valid_history(&fleet.members);
 }
 
 #[test]
 fn a_fleet_killed_at_once_and_started_in_another_order_recovers() {
     let mut fleet = start_fleet(3, 1);
-    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     (0..4).for_each(|i| fleet.members.dispatchers[i].kill());
     [3, 1, 0, 2].into_iter().for_each(|i| fleet.members.dispatchers[i].start());
-    wait_for_keeper(&fleet.members, epoch - 1);
+    wait_for_log_maintainer(&fleet.members, epoch - 1);
     eventually("all four members to list each other", || {
         (0..4).all(|i| {
             fleet.members.status(i).is_some_and(|f| f["members"].as_array().map_or(0, Vec::len) == 4)
@@ -191,7 +191,7 @@
     }
     let members = fleet.members.status(0).expect("a fleet")["members"].as_array().map_or(0, Vec::len);
     assert_eq!(members, 3, "the upgrades created no new instance");
-    wait_for_keeper(&fleet.members, 0);
+    wait_for_log_maintainer(&fleet.members, 0);
     eventually("all calls", || fleet.endpoint.requests().len() == 6);
     assert_valid_history(&fleet.members);
 }
@@ -206,6 +206,6 @@
         std::thread::sleep(Duration::from_millis(100));
     }
     fleet.members.update_relays(|way| way.delay_s = 0.0);
-    wait_for_keeper(&fleet.members, 0);
+    wait_for_log_maintainer(&fleet.members, 0);
     assert_valid_history(&fleet.members);
 }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -20,7 +20,7 @@
     });
     assert_eq!(fleet.members.dispatchers[2].submit("keyed", "m1", 7), 202);
     eventually("the call", || fleet.endpoint.message_ids() == ["m1"]);
-    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     assert!(fleet.members.duty_holder("keeper").is_some_and(|(who, _)| who != 2));
     // Without the limit it is a member again.
     fleet.members.dispatchers[2].kill();
@@ -30,7 +30,7 @@
     eventually("its return to the fleet", || {
         fleet.members.status(2).is_some_and(|status| status["speaks"] == true && status["leader"].is_string())
     });
-    assert!(wait_for_keeper(&fleet.members, epoch - 1).1 >= epoch);
+    assert!(wait_for_log_maintainer(&fleet.members, epoch - 1).1 >= epoch);
     assert_valid_history(&fleet.members);
 }
 
@@ -39,7 +39,7 @@
     let mut fleet = new_fleet(1, 1, FAST_SETTINGS, || Reply::status(200));
     fleet.members.bootstrap().expect("a founded fleet");
     fleet.members.dispatchers[0].start();
-    let (_, epoch) = wait_for_keeper(&fleet.members, 0);
+    let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     let address =
         fleet.members.dispatchers[0].member_address().lock().expect("no panic").expect("its address");
     let instance_id =
@@ -65,7 +65,7 @@
     });
     drop(connection);
     assert_eq!(fleet.members.dispatchers[0].submit("keyed", "m1", 7), 202);
-    wait_for_keeper(&fleet.members, epoch - 1);
+    wait_for_log_maintainer(&fleet.members, epoch - 1);
     assert_valid_history(&fleet.members);
 }
 
@@ -73,14 +73,14 @@
 fn a_leader_killed_during_a_duty_handover_only_delays_it() {
     let mut fleet = start_fleet(5, 0);
     for delay in [0, 1, 3, 8] {
-        let (holder, epoch) = wait_for_keeper(&fleet.members, 0);
+        let (holder, epoch) = wait_for_log_maintainer(&fleet.members, 0);
         let Some(leader) = fleet.members.leader(holder) else { continue };
         fleet.members.dispatchers[holder].signal("TERM");
         std::thread::sleep(Duration::from_millis(delay));
         if leader != holder {
             fleet.members.dispatchers[leader].kill();
         }
-        wait_for_keeper(&fleet.members, epoch);
+        wait_for_log_maintainer(&fleet.members, epoch);
         fleet.members.dispatchers[holder].wait();
         fleet.members.dispatchers[holder].start();
         if leader != holder {
--- a/crates/fawnspoke/tests/fleet/main.rs
+++ b/crates/fawnspoke/tests/fleet/main.rs
@@ -22,10 +22,10 @@
 }
 
 fn new_fleet(
-    voters: usize, observers: usize, settings: &str, script: impl Fn() -> Reply + Send + Sync + 'static,
+    voters: usize, learners: usize, settings: &str, script: impl Fn() -> Reply + Send + Sync + 'static,
 ) -> FleetFixture {
     let (endpoint, platform) = (Endpoint::start(move |_, _| script()), Platform::start());
-    let shape = FleetShape { voters, observers, extra_config: settings.into() };
+    let shape = FleetShape { voters, learners, extra_config: settings.into() };
     let (program, parent) =
         (Path::new(env!("CARGO_BIN_EXE_fawnspoke")), Path::new(env!("CARGO_TARGET_TMPDIR")));
     let known = [endpoint.list_entry("e", 7, "up")];
@@ -34,21 +34,21 @@
     FleetFixture { members, endpoint, _platform: platform }
 }
 
-fn start_fleet(voters: usize, observers: usize) -> FleetFixture {
-    let mut fleet = new_fleet(voters, observers, FAST_SETTINGS, || Reply::status(200));
+fn start_fleet(voters: usize, learners: usize) -> FleetFixture {
+    let mut fleet = new_fleet(voters, learners, FAST_SETTINGS, || Reply::status(200));
     fleet.members.start();
     fleet
 }
 
-/// Waits until a member holds the `keeper` duty (maintenance of the replicated log) under an epoch later than `epoch`.
+/// Waits until a member holds the log maintenance duty (`keeper` in the log) under an epoch later than `epoch`.
 /// Returns the member and its epoch.
-fn wait_for_keeper(members: &TestFleet, epoch: u64) -> (usize, u64) {
+fn wait_for_log_maintainer(members: &TestFleet, epoch: u64) -> (usize, u64) {
     let mut found = None;
-    eventually("a keeper under a later epoch", || {
+    eventually("a holder of the log maintenance duty under a later epoch", || {
         found = members.duty_holder("keeper").filter(|(_, current)| *current > epoch);
         found.is_some()
     });
-    found.expect("a keeper")
+    found.expect("a holder of the log maintenance duty")
 }
 
 fn assert_valid_history(members: &TestFleet) {
--- a/crates/fawnspoke/tests/fleet/member_identity.rs
+++ b/crates/fawnspoke/tests/fleet/member_identity.rs
@@ -35,7 +35,7 @@
         });
         now != before && voters == Some((3, 1))
     });
-    wait_for_keeper(&fleet.members, 0);
+    wait_for_log_maintainer(&fleet.members, 0);
     assert_valid_history(&fleet.members);
 }
 
@@ -83,7 +83,7 @@
     assert!(waiting_line.is_some_and(|line| line.contains("waiting for it")));
     let _ = second.kill();
     second.wait().expect("its end");
-    assert_eq!(wait_for_keeper(&fleet.members, 0).0, 0);
+    assert_eq!(wait_for_log_maintainer(&fleet.members, 0).0, 0);
 }
 
 #[test]
@@ -116,7 +116,7 @@
         let _ = std::io::Read::read_to_end(&mut connection, &mut answer);
         assert!(answer.is_empty(), "{garbage:?}: {answer:?}");
     }
-    wait_for_keeper(&fleet.members, 0);
+    wait_for_log_maintainer(&fleet.members, 0);
 }
 
 #[test]
--- a/crates/lab/src/fleet_measurements.rs
+++ b/crates/lab/src/fleet_measurements.rs
@@ -81,19 +81,19 @@
     Ok((members, endpoint, platform))
 }
 
-/// Injects a fault into the keeper duty's holder, several times in a row, in a fleet of five voters.
+/// Injects a fault into the holder of the log maintenance duty, several times in a row, in a fleet of five voters.
 ///
 /// # Errors
 /// Returns an error if the fleet's directories or relays can't be created, no member takes over the duty, or the failed
 /// member does not rejoin.
 ///
 /// # Panics
-/// Panics if the fleet does not start, or has no keeper, within 30 s.
+/// Panics if the fleet does not start, or nobody holds that duty, within 30 s.
 pub fn measure_duty_failover(
     program: &Path, dir: &Path, term_s: f64, fault: HolderFault, repeats: usize,
 ) -> io::Result<DutyFailover> {
     let settings = format!("term_s = {term_s}\nkeeper_round_s = 0.02\nhold_most_s = 1.0\ndisk_mb = 1\n");
-    let shape = FleetShape { voters: 5, observers: 0, extra_config: settings };
+    let shape = FleetShape { voters: 5, learners: 0, extra_config: settings };
     let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
     members.start();
     let mut measured = DutyFailover {
@@ -105,7 +105,7 @@
     };
     for _ in 0..repeats {
         let mut current = None;
-        eventually("a keeper", || {
+        eventually("a holder of the log maintenance duty", || {
             current = members.duty_holder("keeper");
             current.is_some()
         });
@@ -211,22 +211,22 @@
     /// From the start of the first process until the fleet is complete, in seconds.
     pub startup_s: f64,
     /// Processor time in seconds per second: of the leader (or the first dispatcher), and the means of the voters and
-    /// of the observers.
+    /// of the learners.
     pub cpu: [f64; 3],
     /// Bytes per second between members, divided by the number of members.
     pub bytes_per_s: f64,
-    /// Highest resident memory of a voter and of an observer, in megabytes.
+    /// Highest resident memory of a voter and of a learner, in megabytes.
     pub max_memory_mb: [f64; 2],
 }
 
 impl fmt::Display for IdleCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [leader, voter, observer] = self.cpu;
-        let [voter_mb, observer_mb] = self.max_memory_mb;
+        let [leader, voter, learner] = self.cpu;
+        let [voter_mb, learner_mb] = self.max_memory_mb;
         write!(
             f,
             "{:>3} dispatchers, {} voters  complete after {:>5.1} s  of a core: leader {leader:.4}, voter {voter:.4}, \
-             observer {observer:.4}  {:>7.0} bytes/s each  voter {voter_mb:.1} MB, observer {observer_mb:.1} MB",
+             observer {learner:.4}  {:>7.0} bytes/s each  voter {voter_mb:.1} MB, observer {learner_mb:.1} MB",
             self.count, self.voters, self.startup_s, self.bytes_per_s
         )
     }
@@ -243,7 +243,7 @@
     program: &Path, dir: &Path, count: usize, as_fleet: bool, duration_s: f64,
 ) -> io::Result<IdleCost> {
     let voters = 5.min(count);
-    let shape = FleetShape { voters, observers: count - voters, extra_config: "disk_mb = 1".into() };
+    let shape = FleetShape { voters, learners: count - voters, extra_config: "disk_mb = 1".into() };
     let (mut members, _endpoint, _platform) = create_fleet(program, dir, &shape)?;
     let started_at = Instant::now();
     match as_fleet {
@@ -310,7 +310,7 @@
     let known = [endpoint.list_entry("e", 7, "up")];
     let shape = FleetShape {
         voters: 5.min(count | 1),
-        observers: count - 5.min(count | 1),
+        learners: count - 5.min(count | 1),
         extra_config: "disk_mb = 1".into(),
     };
     let mut members = TestFleet::new(program, dir, &shape, &[&platform], &known)?;
--- a/crates/lab/src/history.rs
+++ b/crates/lab/src/history.rs
@@ -17,9 +17,9 @@
         /// The epoch under which it acted.
         epoch: u64,
     },
-    /// The process learned that a duty was granted.
+    /// The process was informed that a duty was granted.
     DutyGranted {
-        /// When it learned that, in seconds.
+        /// When it was informed, in seconds.
         at: f64,
         /// The duty.
         duty: String,
@@ -28,11 +28,11 @@
         /// The member instance that holds the duty, or `nobody`.
         holder: String,
     },
-    /// The process received a statement of a duty's holder.
-    StatementReceived {
+    /// The process received an update from a duty's holder.
+    UpdateReceived {
         /// The duty.
         duty: String,
-        /// The epoch under which the statement was made.
+        /// The epoch under which the update was published.
         epoch: u64,
     },
 }
@@ -50,7 +50,7 @@
             Some(LogLine::DutyGranted { at, duty: duty.into(), epoch, holder: holder.into() })
         }
         [_, "told", duty, "epoch", epoch, ..] => {
-            Some(LogLine::StatementReceived { duty: duty.into(), epoch: epoch.parse().ok()? })
+            Some(LogLine::UpdateReceived { duty: duty.into(), epoch: epoch.parse().ok()? })
         }
         _ => None,
     }
@@ -60,7 +60,7 @@
 /// - an epoch of a duty under which two dispatchers acted,
 /// - an action under an epoch after another dispatcher had acted under a later one,
 /// - grants on whose holder two dispatchers disagree,
-/// - a statement that a process accepted after it knew of a later epoch.
+/// - an update that a process accepted after it had seen a later epoch.
 pub fn find_violations(histories: &BTreeMap<String, Vec<LogLine>>) -> Vec<String> {
     let mut violations = Vec::new();
     // The time of the first action under each epoch of a duty, and the dispatcher that acted.
@@ -70,7 +70,8 @@
         if let LogLine::DutyAction { at, duty, epoch } = line {
             let known = first_actions.entry((duty, *epoch)).or_insert((*at, name));
             if known.1 != name {
-                violations.push(format!("{duty} {epoch} is held by two: {} and {name}", known.1));
+                violations
+                    .push(format!("two members act on {duty} under epoch {epoch}: {} and {name}", known.1));
             }
             known.0 = known.0.min(*at);
         }
@@ -80,7 +81,7 @@
         let later = first_actions.range((&**duty, epoch + 1)..=(&**duty, u64::MAX));
         for ((_, later_epoch), (first_at, other)) in later.filter(|(_, (first_at, _))| first_at < at) {
             violations.push(format!(
-                "{at:.4} {name} acts as {duty} {epoch}, {other} acted under {later_epoch} at {first_at:.4}"
+                "{at:.4} {name} acts on {duty} under epoch {epoch}; {other} acted under epoch {later_epoch} at {first_at:.4}"
             ));
         }
     }
@@ -94,21 +95,21 @@
                     let known = holders.entry(*epoch).or_insert((duty, holder));
                     if *known != (&**duty, &**holder) {
                         violations.push(format!(
-                            "{name} records {holder} as holder of {duty} {epoch}, others {known:?}"
+                            "{name} sees {duty} held by {holder} under epoch {epoch}, others {known:?}"
                         ));
                     }
                     let last = latest_epochs.entry(duty).or_default();
                     *last = (*last).max(*epoch);
                 }
-                LogLine::StatementReceived { duty, epoch }
+                LogLine::UpdateReceived { duty, epoch }
                     if latest_epochs.get(&**duty).is_some_and(|last| epoch < last) =>
                 {
                     violations.push(format!(
-                        "{name} accepts a statement of {duty} {epoch} after {}",
+                        "{name} accepts an update of {duty} under epoch {epoch} after epoch {}",
                         latest_epochs[&**duty]
                     ));
                 }
-                LogLine::StatementReceived { .. } | LogLine::DutyAction { .. } => {}
+                LogLine::UpdateReceived { .. } | LogLine::DutyAction { .. } => {}
             }
         }
     }
@@ -135,12 +136,16 @@
         assert_eq!(violations_in(&[("a", &a), ("b", &b)]), Vec::<String>::new());
         let late_action = [&a[..], &["fleet: 5.2 acts keeper epoch 1"]].concat();
         assert!(
-            violations_in(&[("a", &late_action), ("b", &b)])[0].contains("acts as keeper 1, b acted under 2")
+            violations_in(&[("a", &late_action), ("b", &b)])[0]
+                .contains("acts on keeper under epoch 1; b acted under epoch 2")
         );
         let shared_epoch = [&a[..], &["fleet: 5.05 acts keeper epoch 2"]].concat();
-        assert!(violations_in(&[("a", &shared_epoch), ("b", &b)])[0].contains("is held by two"));
-        let old_statement = [&b[..], &["fleet: 5.3 told keeper epoch 1 Out"]].concat();
-        assert!(violations_in(&[("b", &old_statement)])[0].contains("accepts a statement"));
+        assert!(
+            violations_in(&[("a", &shared_epoch), ("b", &b)])[0]
+                .contains("two members act on keeper under epoch 2")
+        );
+        let stale_update = [&b[..], &["fleet: 5.3 told keeper epoch 1 Out"]].concat();
+        assert!(violations_in(&[("b", &stale_update)])[0].contains("accepts an update"));
         let after_restart =
             [&b[..], &["fleet: b of m, birth 0b, life 2", "fleet: 6.0 told keeper epoch 1 Out"]].concat();
         assert_eq!(violations_in(&[("b", &after_restart)]), Vec::<String>::new());
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -531,7 +531,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FleetSettings {
-    /// Number of voters, which are the first members; the others are observers. Without voters there is no
+    /// Number of voters, which are the first members; the others are learners. Without voters there is no
     /// fleet.
     pub voters: usize,
     /// Further lines of the fleet's configuration file.
--- a/crates/lab/src/test_fleet.rs
+++ b/crates/lab/src/test_fleet.rs
@@ -23,8 +23,8 @@
 pub struct FleetShape {
     /// Number of voters, which are the first members.
     pub voters: usize,
-    /// Number of observers.
-    pub observers: usize,
+    /// Number of learners.
+    pub learners: usize,
     /// Further lines of the fleet's configuration file.
     pub extra_config: String,
 }
@@ -49,7 +49,7 @@
     pub fn new(
         program: &Path, parent: &Path, shape: &FleetShape, platforms: &[&Platform], known: &[Value],
     ) -> io::Result<TestFleet> {
-        let members = shape.voters + shape.observers;
+        let members = shape.voters + shape.learners;
         let mut dispatchers: Vec<Dispatcher> = (0..members)
             .map(|i| Dispatcher::new(program, parent, platforms[i % platforms.len()], known))
             .collect();
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Bootstraps the fleet, starts all processes, and waits until all are members and the keeper's duty is
+    /// Bootstraps the fleet, starts all processes, and waits until all are members and the log maintenance duty is
     /// held.
     ///
     /// # Panics
@@ -110,7 +110,7 @@
         self.bootstrap().expect("the fleet is bootstrapped");
         self.dispatchers.iter_mut().for_each(Dispatcher::start);
         let members = self.dispatchers.len();
-        eventually("all members and a holder of the keeper's duty", || {
+        eventually("all members and a holder of the log maintenance duty", || {
             (0..members).all(|i| {
                 self.status(i).is_some_and(|fleet| fleet["members"].as_array().map_or(0, Vec::len) == members)
             }) && self.voters(0) == self.voters
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -9,7 +9,7 @@
 use fawnspoke_cluster::runtime::{self, MemberHandle};
 use fawnspoke_duty::Seconds as BootSeconds;
 use fawnspoke_duty::discovery_polling::PollingRate;
-use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, Settings};
+use fawnspoke_duty::duties::{Duties, DutyEvent, DutyReport, DutySettings};
 use fawnspoke_duty::lease_table::{DutyId, HolderUpdate};
 use fawnspoke_duty::trials::{DestinationReport, TrialPermission};
 use std::cell::{Cell, RefCell};
@@ -94,7 +94,7 @@
             name: config.name.clone(),
             state_dir: config.state_dir.clone(),
         };
-        let duties = Settings { rules: duty_rules(), ..Settings::from_file(fleet_config) };
+        let duties = DutySettings { rules: duty_rules(), ..DutySettings::from_config(fleet_config) };
         let create_duties = move || Duties::new(duties.clone(), fastrand::u64(..u64::MAX / 2));
         match runtime::spawn(member_settings, create_duties, self.update_sender.clone()) {
             Ok(member) => drop(self.member.replace(Some(member))),
