--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -22,7 +22,7 @@
     at
 }
 
-/// The clock rate that the test's environment variable asks for.
+/// The clock rate from the environment variable that tests set.
 #[cfg(feature = "fast-clock")]
 fn rate() -> f64 {
     static RATE: std::sync::OnceLock<f64> = std::sync::OnceLock::new();
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -38,7 +38,7 @@
     /// Maximum relative error of a clock's rate, as a fraction of 1.
     #[serde(default = "default_clock_rate")]
     pub clock_rate: f64,
-    /// How long other members hold back after an update from a duty's holder.
+    /// How long other members defer after an update from a duty's holder.
     #[serde(default = "default_max_hold")]
     pub hold_most_s: Seconds,
     /// Maximum size of the replicated log on disk, in megabytes.
@@ -157,7 +157,7 @@
             if let Some((other, _)) =
                 self.member.iter().find(|(other, p)| *other != member && p.at == peer.at)
             {
-                return Err(format!("member.{member}.at: is {other}'s too"));
+                return Err(format!("member.{member}.at: is also the address of {other}"));
             }
         }
         if !self.member.contains_key(name) {
@@ -176,12 +176,12 @@
         self.member.get(name).is_some_and(|peer| peer.voter)
     }
 
-    /// Whether `caller` is the one of the two members that opens their connection: a learner connects to each voter,
+    /// Whether `dialer` is the one of the two members that opens their connection: a learner connects to each voter,
     /// and a voter to each voter whose name sorts after its own.
-    pub fn dials(&self, caller: &str, target: &str) -> bool {
-        match (self.is_voter(caller), self.is_voter(target)) {
+    pub fn dials(&self, dialer: &str, target: &str) -> bool {
+        match (self.is_voter(dialer), self.is_voter(target)) {
             (false, voter) => voter,
-            (true, true) => caller < target,
+            (true, true) => dialer < target,
             (true, false) => false,
         }
     }
@@ -238,7 +238,7 @@
             (VALID.replace("\"m\"", "\"\""), "cluster: must be a name"),
             (VALID.replace("voter = true", "voter = false"), "member: 0 have voter = true"),
             (VALID.replace("\"b\"", &format!("\"{}\"", "b".repeat(65))), "a name must have 1 to 64 bytes"),
-            (VALID.replace("7102", "7101"), "is b's too"),
+            (VALID.replace("7102", "7101"), "is also the address of b"),
             (VALID.replace("7102", "0"), "member.b.at: must have a port"),
             (VALID.replace("127.0.0.1:7102", "nowhere"), "member.b.at: "),
             (VALID.replace("voter", "votes"), "member.a"),
--- a/crates/cluster/src/connections.rs
+++ b/crates/cluster/src/connections.rs
@@ -25,9 +25,9 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The shortest and the longest delay before a member is called again.
+/// The shortest and the longest delay before another attempt to connect to a member.
 const RECONNECT_DELAY: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(500));
-/// Delay before the next call after a rejection.
+/// Delay before the next attempt to connect after a rejection.
 const REJECTED_DELAY: Duration = Duration::from_secs(1);
 /// Maximum number of accepted connections that have not completed their hello.
 const MAX_PENDING_HELLOS: usize = 32;
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Listens for the members that call this one, and keeps calling those that this one has to call, for as long as
-    /// the thread runs. Returns the address that it listens on, if any member calls this one.
+    /// Accepts connections from the members that dial this one, and keeps connecting to those that this one dials, for as
+    /// long as the thread runs. Returns the address that it listens on, if any member dials this one.
     ///
     /// # Errors
     /// If it can't listen on its address.
@@ -172,12 +172,12 @@
         }
         for (name, peer) in self.config.member.iter().filter(|(name, _)| self.config.dials(&self.name, name))
         {
-            spawn_local(self.clone().keep_calling(name.clone(), peer.at));
+            spawn_local(self.clone().keep_connecting(name.clone(), peer.at));
         }
         Ok(address)
     }
 
-    /// Sets the hello for the next calls. No member is called before the first.
+    /// Sets the hello for the next connections. No connection is opened before the first call.
     pub fn set_hello(&self, hello: Hello) {
         self.hello.replace(Some(hello));
     }
@@ -219,7 +219,7 @@
         }
     }
 
-    /// Waits for a caller's hello and replies to it. Returns the caller's id and the own id in the reply, if the caller
+    /// Waits for the dialing member's hello and replies to it. Returns that member's id and the own id in the reply, if it
     /// is accepted.
     async fn answer_hello(
         &self, framed: &mut Framed<TcpStream, LengthDelimitedCodec>, connection: Connection,
@@ -235,8 +235,8 @@
         accepted.then_some((id, own_hello.id))
     }
 
-    /// Calls one member again and again, with a delay that grows while it can't be reached.
-    async fn keep_calling(self, name: String, address: SocketAddr) {
+    /// Connects to one member whenever there is no connection, with a delay that grows while it can't be reached.
+    async fn keep_connecting(self, name: String, address: SocketAddr) {
         let mut delay = RECONNECT_DELAY.0;
         loop {
             let (connection, packets) = self.new_connection();
@@ -244,7 +244,7 @@
             let abort = connection.abort.clone();
             let task =
                 spawn_local(
-                    async move { connections.call_once(&target, address, connection, packets).await },
+                    async move { connections.connect_once(&target, address, connection, packets).await },
                 );
             abort.replace(Some(task.abort_handle()));
             match task.await {
@@ -258,7 +258,7 @@
 
     /// Runs one outgoing connection until it closes. Returns whether both sides accepted each other, or nothing if they
     /// did not exchange hellos.
-    async fn call_once(
+    async fn connect_once(
         &self, name: &str, address: SocketAddr, connection: Connection, packets: Receiver<QueuedPacket>,
     ) -> Option<bool> {
         let own_hello = Hello { to: name.into(), ..self.hello.borrow().clone()? };
@@ -286,7 +286,7 @@
             .ok()?;
         let (own_hello, accepted) = received_reply.await.ok()?;
         if !accepted {
-            // Tells the other side why.
+            // Sends the reason for the rejection.
             let _ = framed.send(Bytes::from(fawnspoke_frames::encode_hello(&own_hello).ok()?)).await;
             return Some(false);
         }
@@ -314,7 +314,7 @@
         let read = async {
             while let Ok(Some(Ok(packet))) = timeout(read_timeout, source.next()).await {
                 let Ok(frame) = fawnspoke_frames::decode::<Frame>(&packet) else {
-                    // An invalid frame closes the connection, and so does a hello by which the caller rejects this
+                    // An invalid frame closes the connection, and so does a hello by which the other side rejects this
                     // side.
                     if let Ok(hello) = fawnspoke_frames::decode_hello::<Hello>(&packet)
                         && hello.rejection.is_some()
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -29,7 +29,7 @@
 const MAX_INFLIGHT_MESSAGES: usize = 32;
 /// Maximum size of the proposed entries that are not committed; further proposals are rejected.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
-/// Number of ticks after which a sent snapshot is taken for delivered, so that the library probes whether it was.
+/// Number of ticks after which a sent snapshot is assumed to be delivered, so that the library probes whether it was.
 const SNAPSHOT_TICKS: u32 = ELECTION_TICKS as u32;
 /// A join request expires unless it is repeated within this many heartbeat intervals.
 const JOIN_REQUEST_HEARTBEATS: f64 = 20.0;
@@ -244,8 +244,9 @@
         Ok(previous)
     }
 
-    /// The other side has accepted a connection that this member opened, so it has verified this member's hello. It is
-    /// told that this member has verified its hello too; else both could wait forever for the first frame.
+    /// The other side has accepted a connection that this member opened, so it has verified this member's hello. This
+    /// member replies that it has verified the other side's hello too; otherwise both could wait forever for the first
+    /// frame.
     pub fn peer_accepted(&mut self, id: MemberId) {
         self.record_checks.record_verified_by(id);
         self.frames.push((id, Frame::HelloVerified));
--- a/crates/cluster/src/members.rs
+++ b/crates/cluster/src/members.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members(pub BTreeMap<MemberId, Member>);
 
-/// What a leader needs to know to choose the next membership change.
+/// The information by which a leader chooses the next membership change.
 pub struct ChangeContext<'a> {
     /// The names of those that have requested to join, by id.
     pub join_requests: &'a BTreeMap<MemberId, String>,
--- a/crates/cluster/src/record_checks.rs
+++ b/crates/cluster/src/record_checks.rs
@@ -36,7 +36,7 @@
         }
         state.start_count = start_count;
         // The last entries may come from a former leader and be overwritten, so the hello's last index is not recorded.
-        // What the member acknowledges in a term is kept.
+        // What the member has acknowledged within a term remains recorded.
         state.position.advance(position.term, position.voted, 0);
         while self.acknowledged.len() > MAX_REMEMBERED {
             let non_member = self
--- a/crates/cluster/src/runtime.rs
+++ b/crates/cluster/src/runtime.rs
@@ -1,5 +1,5 @@
-//! The member's thread. It drives the core: persists records before it sends frames, keeps the connections and reads
-//! the clock. It takes no decisions of its own, and the dispatcher never blocks on it.
+//! The member's thread. It drives the core: persists records before it sends frames, maintains the connections and reads
+//! the clock. It makes no decisions of its own, and the dispatcher never blocks on it.
 
 use crate::clock::now;
 use crate::config::FleetConfig;
@@ -148,11 +148,11 @@
 
 /// Why a session ended.
 enum SessionEnd {
-    /// The member is to stop.
+    /// The member has to stop.
     Stop,
-    /// An error: the store is to be opened again.
+    /// An error after which the store has to be opened again.
     Reopen(String),
-    /// The state directory is an older copy: the member is to come back with a new id.
+    /// The state directory is an older copy: the member has to rejoin with a new id.
     OlderCopy,
 }
 
@@ -179,8 +179,11 @@
                 let locked = matches!(error, StoreError::Locked(_));
                 let text = error.to_string();
                 if text != last_error {
-                    let consequence =
-                        if locked { "waiting for it" } else { "this dispatcher is no member meanwhile" };
+                    let consequence = if locked {
+                        "waiting for it"
+                    } else {
+                        "this dispatcher is not a member until it can be opened"
+                    };
                     logging::log_line(format_args!("fleet: {text}; {consequence}"));
                 }
                 last_error = text;
@@ -236,7 +239,9 @@
                 // The Raft library panics where a peer violates the protocol. That must not stop this member for good.
                 let result = AssertUnwindSafe(session.run(&mut commands, &mut events)).catch_unwind().await;
                 result.unwrap_or_else(|_| {
-                    SessionEnd::Reopen("the replicated log is not as its rules have it".into())
+                    SessionEnd::Reopen(
+                        "the Raft library panicked, probably because a peer violated the protocol".into(),
+                    )
                 })
             }
             Err(error) => SessionEnd::Reopen(error.to_string()),
@@ -261,7 +266,7 @@
 }
 
 /// Discards commands for the length of the delay, while this process has no open store: inputs are sent again after the
-/// next start, and status requests time out. Returns `false` if the member is to stop.
+/// next start, and status requests time out. Returns `false` if the member has to stop.
 async fn discard_commands<I>(commands: &mut UnboundedReceiver<Command<I>>, delay: Duration) -> bool {
     let until = tokio::time::Instant::now() + delay;
     loop {
@@ -331,14 +336,14 @@
     fn process_output(&mut self) -> Result<(), String> {
         while let Some((records, sync)) = self.core.take_records() {
             if !records.is_empty() {
-                self.store.append(&records, sync).map_err(|error| format!("the record: {error}"))?;
+                self.store.append(&records, sync).map_err(|error| format!("can't write the log: {error}"))?;
             }
             self.core.records_persisted(now()).map_err(|error: CoreError| error.to_string())?;
         }
         if let Some(records) =
             self.core.compact(self.store.needs_compaction()).map_err(|error| error.to_string())?
         {
-            self.store.replace(&records).map_err(|error| format!("the record: {error}"))?;
+            self.store.replace(&records).map_err(|error| format!("can't write the log: {error}"))?;
         }
         for (to, frame) in self.core.take_frames() {
             if let (Some(connection), Ok(packet)) =
@@ -364,7 +369,7 @@
         Ok(())
     }
 
-    /// Sets the hello for the next calls to this member's current state.
+    /// Sets the hello for the next connections to this member's current state.
     fn update_hello(&self) {
         self.connections.set_hello(self.hello(None));
     }
@@ -382,7 +387,7 @@
                 let own = self.core.identity();
                 let local =
                     LocalMember { cluster: &self.settings.config.cluster, name: &own.name, id: own.id };
-                // The reply to a call names no receiver.
+                // The reply of an accepting member names no receiver.
                 let hello =
                     Box::new(Hello { to: if outgoing { own.name.clone() } else { hello.to }, ..*hello });
                 let checked = hello.check(&local, |name| self.settings.config.member.contains_key(name));
--- a/crates/cluster/src/state_machine.rs
+++ b/crates/cluster/src/state_machine.rs
@@ -23,7 +23,7 @@
 pub struct Decisions<E> {
     /// Entries to propose. A member that does not lead forwards them to the leader; they may be lost.
     pub proposals: Vec<Vec<u8>>,
-    /// Entries that rest on what this member knows as the leader. They are proposed under that leadership or dropped.
+    /// Entries that this member has decided on as the leader. They are proposed under that leadership or dropped.
     pub leader_proposals: Vec<Vec<u8>>,
     /// Reports to the dispatcher.
     pub events: Vec<E>,
@@ -75,7 +75,7 @@
 
     /// The member is about to stop: releases everything that it holds.
     fn release_all(&mut self, now: Seconds);
-    /// Whether the log shows that this member holds nothing any more.
+    /// Whether, according to the log, this member holds nothing any more.
     fn has_released_all(&self) -> bool;
 
     /// Handles a report of the dispatcher.
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -19,8 +19,8 @@
 const RECORD_HEADER_BYTES: usize = 8;
 /// Maximum length of a record.
 const MAX_RECORD_BYTES: usize = 1 << 20;
-/// Fraction of the allowed size at which the log is compacted even if no holder of the log maintenance duty requests it. It is below one half
-/// because the compacted log is written next to the old one.
+/// Fraction of the allowed size at which the log is compacted even if no holder of the log maintenance duty requests
+/// it. It is below one half because the compacted log is written next to the old one.
 const COMPACTION_SHARE: f64 = 0.4;
 
 /// One record of the log file.
@@ -103,7 +103,7 @@
                 .filter(|identity| identity.id != 0 && identity.name == name)
                 .ok_or_else(|| StoreError::Damaged { path: identity_path.clone(), at: 0 })?,
             Err(error) if error.kind() == io::ErrorKind::NotFound => {
-                // Without an identity nobody knows whose votes and acknowledgements the log contains.
+                // Without an identity it is unknown whose votes and acknowledgements the log contains.
                 if log_path.exists() {
                     return Err(StoreError::Damaged { path: log_path, at: 0 });
                 }
@@ -172,8 +172,8 @@
     }
 }
 
-/// Gives up this directory's identity and log, so that the next start gets a new member id. The files are renamed; one
-/// old copy of each is kept.
+/// Discards this directory's identity and log, so that the next start gets a new member id. The files are renamed; one
+/// old copy of each remains.
 ///
 /// # Errors
 /// Those of the directory.
--- a/crates/duty/src/discovery_polling.rs
+++ b/crates/duty/src/discovery_polling.rs
@@ -24,7 +24,7 @@
     max_deferral: Seconds,
     /// Since when discovery has not answered this member.
     failing_since: Option<Seconds>,
-    /// When another holder last gave a sign of life.
+    /// When another holder was last active.
     other_holder_seen_at: Option<Seconds>,
     /// Sequence number of this member's list.
     own_seq: u64,
@@ -148,7 +148,7 @@
     }
 
     #[test]
-    fn a_silent_holder_slows_nobody_for_long() {
+    fn polling_is_reduced_only_until_the_deferral_to_a_silent_holder_ends() {
         let mut polling = DiscoveryPolling::new(3.0);
         polling.discovery_failed(1.0);
         polling.granted(1.0, Some(false));
--- a/crates/duty/src/duties.rs
+++ b/crates/duty/src/duties.rs
@@ -34,7 +34,7 @@
 /// Events for the dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DutyEvent {
-    /// The duties have started and know none of the earlier reports.
+    /// The duties have started; earlier reports have to be repeated.
     Started,
     /// The permission for this member's trials at a destination has changed.
     TrialPermission(u32, trials::TrialPermission),
@@ -115,7 +115,7 @@
 }
 
 impl Duties {
-    /// The duties of a member that has not been given its ID yet. `first_renewal`: see [`LeaseTerm::new`].
+    /// The duties of a member whose id has not been set yet. `first_renewal`: see [`LeaseTerm::new`].
     pub fn new(settings: DutySettings, first_renewal: u64) -> Duties {
         let DutySettings { lease_term, max_clock_error, max_deferral, rules, .. } = settings;
         Duties {
--- a/crates/duty/src/granter.rs
+++ b/crates/duty/src/granter.rs
@@ -14,7 +14,7 @@
 /// A grant that has not been applied after this share of a lease term is proposed again.
 const RETRY_TERM_SHARE: f64 = 0.25;
 
-/// What the leader knows about members' lease terms. It is kept in memory only: the next leader starts without it and
+/// The leader's record of members' lease terms. It is kept in memory only: the next leader starts without it and
 /// waits.
 #[derive(Clone, Debug)]
 pub struct LeaseGranter {
@@ -232,13 +232,13 @@
         let counts: Vec<usize> = (1..=4).map(|id| table.held_by(id).count()).collect();
         assert_eq!(counts.iter().sum::<usize>(), 200);
         assert!(counts[..3].iter().all(|count| (40..95).contains(count)) && counts[3] == 0, "{counts:?}");
-        // A member that comes back is given no lease held by another.
+        // A member that rejoins is granted no lease that another one holds.
         [1, 2, 3, 4].iter().for_each(|id| granter.renewal_received(2.0, *id));
         assert!(granter.decide_grants(2.0, &table, &members).is_empty());
     }
 
     #[test]
-    fn a_flapping_member_gets_nothing_for_a_while() {
+    fn a_flapping_member_is_granted_nothing_until_the_window_has_passed() {
         let (members, mut granter) =
             (members_with(&[1]), LeaseGranter::new(1.0, 0.0, SafetyRules::default()));
         granter.set_leading(0.0, true);
--- a/crates/duty/src/lease_table.rs
+++ b/crates/duty/src/lease_table.rs
@@ -56,7 +56,7 @@
 /// format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A member could use a duty, and requests it.
+    /// A member requests a duty.
     Request {
         /// The requested duty.
         duty: DutyId,
@@ -113,7 +113,7 @@
 /// The effect of applying one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
-    /// No effect that anybody has to react to.
+    /// No change that a member has to react to.
     NoChange,
     /// The duty has a new holder, or none, under this new epoch.
     Granted(DutyId, u64, Option<MemberId>),
@@ -282,7 +282,7 @@
             table.get(DutyId::LogMaintenance).map(|lease| lease.requested_by.len()),
             Some(MAX_REQUESTERS)
         );
-        // Removed members leave nothing behind.
+        // Nothing of a removed member remains in the table.
         (1..=MAX_REQUESTERS as MemberId).for_each(|member| table.remove_member(member));
         assert!(table.get(DutyId::LogMaintenance).is_none());
         for number in 0..MAX_DUTIES as u32 + 5 {
--- a/crates/duty/src/trials.rs
+++ b/crates/duty/src/trials.rs
@@ -44,7 +44,7 @@
 struct UnavailableDestination {
     /// The last grant in the log: the epoch, and whether this member is the holder.
     grant: Option<(u64, bool)>,
-    /// When another holder last gave a sign of life: when it was granted the duty, or published an update.
+    /// When another holder was last active: when it was granted the duty, or published an update.
     holder_seen_at: Seconds,
     /// Whether the holder has reported that the destination serves calls again.
     recovered: bool,
--- a/crates/duty/tests/model.rs
+++ b/crates/duty/tests/model.rs
@@ -2,7 +2,7 @@
 //! whose rates differ within a limit, checked state by state. The model shares no code with the implementation: it
 //! states the safety rules independently, and disables each one to show that it is needed.
 //!
-//! The other member is modelled as the worst case: it learns of its grant at once, and its own lease term never ends.
+//! The other member is modelled as the worst case: it is informed of its grant at once, and its own lease term never ends.
 //! Exclusion that holds here therefore holds for any other member.
 
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -322,7 +322,7 @@
 
 #[test]
 fn each_rule_is_necessary() {
-    // Rules that `fawnspoke_duty::SafetyRules::without` also knows go by the same name here.
+    // Rules that `fawnspoke_duty::SafetyRules::without` also accepts have the same names here.
     type DisableRule = fn(&mut SafetyRules);
     let rules_to_disable: [(&str, DisableRule); 7] = [
         ("from_question", |rules| rules.term_from_request = false),
--- a/crates/duty/tests/schedules.rs
+++ b/crates/duty/tests/schedules.rs
@@ -151,7 +151,7 @@
     assert!(first.observations.len() > 100);
 }
 
-/// CI uses fewer learners than `OBSERVERS=100`.
+/// `OBSERVERS=100` sets the number of learners; CI uses fewer.
 #[test]
 fn many_learners_join_at_once() {
     let learners = std::env::var("OBSERVERS").ok().and_then(|text| text.parse().ok()).unwrap_or(30);
--- a/crates/duty/tests/simulation/mod.rs
+++ b/crates/duty/tests/simulation/mod.rs
@@ -293,12 +293,12 @@
                 let is_blocked =
                     |a, b| self.blocked_until.get(&(a, b)).is_some_and(|until| self.now < *until);
                 let (name, peer_name) = (&self.members[i].name, &self.members[j].name);
-                let may_call =
+                let may_dial =
                     (self.fleet_config.dials(name, peer_name), self.fleet_config.dials(peer_name, name));
                 let can_connect =
                     self.is_running(i) && self.is_running(j) && !is_blocked(i, j) && !is_blocked(j, i);
                 if !can_connect
-                    || may_call == (false, false)
+                    || may_dial == (false, false)
                     || self.connected.get(&pair(i, j)) == Some(&true)
                 {
                     continue;
@@ -326,11 +326,11 @@
                 }
                 if accepted {
                     self.connected.insert(pair(i, j), true);
-                    // The called member learns of the connection from the first frame.
-                    let (caller, called) = if may_call.0 { (i, j) } else { (j, i) };
-                    let id = self.members[called].identity.id;
-                    self.members[caller].core.as_mut().unwrap().peer_accepted(id);
-                    self.process_output(caller);
+                    // The first frame informs the accepting member of the connection.
+                    let (dialer, acceptor) = if may_dial.0 { (i, j) } else { (j, i) };
+                    let id = self.members[acceptor].identity.id;
+                    self.members[dialer].core.as_mut().unwrap().peer_accepted(id);
+                    self.process_output(dialer);
                 }
             }
         }
--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -138,7 +138,7 @@
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Audit a record kept by an earlier run
+    /// Audit a record written by an earlier run
     Audit {
         /// The record, one JSON object a line
         record: PathBuf,
--- a/crates/fawnspoke/tests/fleet/duties.rs
+++ b/crates/fawnspoke/tests/fleet/duties.rs
@@ -14,10 +14,10 @@
     assert!(next != holder && later > epoch);
     // The killed member restarts as a follower and doesn't regain the duty.
     fleet.members.dispatchers[holder].start();
-    eventually("its return to the fleet", || {
+    eventually("the member to rejoin the fleet", || {
         fleet.members.status(holder).is_some_and(|status| status["leader"].is_string())
     });
-    assert_eq!(fleet.members.duty_holder("keeper").map(|(who, _)| who), Some(next));
+    assert_eq!(fleet.members.duty_holder("keeper").map(|(member, _)| member), Some(next));
     assert_valid_history(&fleet.members);
 }
 
@@ -39,7 +39,7 @@
             let histories = fleet.members.histories();
             histories[&format!("n{holder}")]
                 .iter()
-                .any(|line| matches!(line, LogLine::DutyGranted { duty, epoch: given_epoch, .. } if duty == "keeper" && *given_epoch > epoch))
+                .any(|line| matches!(line, LogLine::DutyGranted { duty, epoch: granted_epoch, .. } if duty == "keeper" && *granted_epoch > epoch))
         });
     }
     assert_valid_history(&fleet.members);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_flapping_partition_breaks_no_lease_and_work_continues() {
+fn a_flapping_partition_breaks_no_lease_and_stops_no_duty() {
     let fleet = start_fleet(3, 0);
     let (holder, _) = wait_for_log_maintainer(&fleet.members, 0);
     let action_count = |members: &TestFleet| {
@@ -126,13 +126,13 @@
         acted.is_some()
     });
     // Expiry of the lease takes a second or more. The time itself is no criterion, because a busy machine may be slow.
-    let took = stopped_at.elapsed();
+    let elapsed = stopped_at.elapsed();
     assert!(fleet.members.dispatchers[holder].wait());
     let released = fleet.members.histories().values().flatten().any(|line| {
         // After an explicit release the duty has no holder for a while.
-        matches!(line, LogLine::DutyGranted { duty, epoch: given_epoch, holder, .. } if duty == "keeper" && *given_epoch == epoch + 1 && holder == "nobody")
+        matches!(line, LogLine::DutyGranted { duty, epoch: granted_epoch, holder, .. } if duty == "keeper" && *granted_epoch == epoch + 1 && holder == "nobody")
     });
-    assert!(released, "the duty moved by expiry of its lease, after {took:?}");
+    assert!(released, "the duty moved by expiry of its lease, after {elapsed:?}");
     assert_valid_history(&fleet.members);
 }
 
@@ -197,15 +197,15 @@
 }
 
 #[test]
-fn links_that_break_within_frames_or_delay_them_cost_only_time() {
+fn links_that_break_within_frames_or_delay_them_break_no_lease() {
     let fleet = start_fleet(3, 1);
     for round in 0..20 {
-        fleet
-            .members
-            .update_relays(|way| (way.resets, way.delay_s) = (way.resets + 1, f64::from(round % 4) * 0.03));
+        fleet.members.update_relays(|link| {
+            (link.resets, link.delay_s) = (link.resets + 1, f64::from(round % 4) * 0.03)
+        });
         std::thread::sleep(Duration::from_millis(100));
     }
-    fleet.members.update_relays(|way| way.delay_s = 0.0);
+    fleet.members.update_relays(|link| link.delay_s = 0.0);
     wait_for_log_maintainer(&fleet.members, 0);
     assert_valid_history(&fleet.members);
 }
--- a/crates/fawnspoke/tests/fleet/faults.rs
+++ b/crates/fawnspoke/tests/fleet/faults.rs
@@ -15,19 +15,19 @@
     // ending the process.
     fleet.members.dispatchers[2].shell_prelude.insert_str(0, "trap '' XFSZ; ulimit -f 16;");
     fleet.members.start();
-    eventually("the write error of its record", || {
-        fleet.members.dispatchers[2].log_contains("fleet: the record: ")
+    eventually("the write error of its log", || {
+        fleet.members.dispatchers[2].log_contains("fleet: can't write the log: ")
     });
     assert_eq!(fleet.members.dispatchers[2].submit("keyed", "m1", 7), 202);
     eventually("the call", || fleet.endpoint.message_ids() == ["m1"]);
     let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
-    assert!(fleet.members.duty_holder("keeper").is_some_and(|(who, _)| who != 2));
+    assert!(fleet.members.duty_holder("keeper").is_some_and(|(member, _)| member != 2));
     // Without the limit it is a member again.
     fleet.members.dispatchers[2].kill();
     let shell_prefix = fleet.members.dispatchers[2].shell_prelude.replace("ulimit -f 16;", "");
     fleet.members.dispatchers[2].shell_prelude = shell_prefix;
     fleet.members.dispatchers[2].start();
-    eventually("its return to the fleet", || {
+    eventually("the member to rejoin the fleet", || {
         fleet.members.status(2).is_some_and(|status| status["speaks"] == true && status["leader"].is_string())
     });
     assert!(wait_for_log_maintainer(&fleet.members, epoch - 1).1 >= epoch);
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn a_peer_with_an_impossible_commit_index_costs_a_second_of_membership() {
+fn a_member_rejoins_after_a_peer_sends_an_impossible_commit_index() {
     let mut fleet = new_fleet(1, 1, FAST_SETTINGS, || Reply::status(200));
-    fleet.members.bootstrap().expect("a founded fleet");
+    fleet.members.bootstrap().expect("a bootstrapped fleet");
     fleet.members.dispatchers[0].start();
     let (_, epoch) = wait_for_log_maintainer(&fleet.members, 0);
     let address =
@@ -60,8 +60,8 @@
     let message = serde_json::from_value(heartbeat).expect("a message");
     let frame = fawnspoke_cluster::wire::Frame::Raft(Box::new(message));
     send(&mut connection, &fawnspoke_frames::encode(&frame).expect("a frame"));
-    eventually("the member to reopen its record", || {
-        fleet.members.dispatchers[0].log_contains("not as its rules have it")
+    eventually("the member to reopen its log", || {
+        fleet.members.dispatchers[0].log_contains("the Raft library panicked")
     });
     drop(connection);
     assert_eq!(fleet.members.dispatchers[0].submit("keyed", "m1", 7), 202);
--- a/crates/fawnspoke/tests/fleet/member_identity.rs
+++ b/crates/fawnspoke/tests/fleet/member_identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a member: fleet folders restored empty or from an older copy, two processes with one fleet folder,
+//! The identity of a member: fleet directorys restored empty or from an older copy, two processes with one fleet directory,
 //! connections from other fleets, and invalid fleet files.
 
 use super::*;
@@ -12,18 +12,18 @@
 
 /// Copies the files of a directory.
 fn copy_files(from: &Path, to: &Path) {
-    fs::create_dir_all(to).expect("a folder");
-    for file in fs::read_dir(from).expect("a folder").flatten() {
+    fs::create_dir_all(to).expect("a directory");
+    for file in fs::read_dir(from).expect("a directory").flatten() {
         fs::copy(file.path(), to.join(file.file_name())).expect("a copy");
     }
 }
 
 #[test]
-fn a_fleet_folder_restored_empty_is_a_new_member() {
+fn a_fleet_directory_restored_empty_is_a_new_member() {
     let mut fleet = start_fleet(3, 0);
     let before = instance_id(&fleet.members, 1);
     fleet.members.dispatchers[1].kill();
-    fs::remove_dir_all(fleet.members.dispatchers[1].state_dir().join("fleet")).expect("a folder");
+    fs::remove_dir_all(fleet.members.dispatchers[1].state_dir().join("fleet")).expect("a directory");
     fleet.members.dispatchers[1].start();
     eventually("the new instance as a voter", || {
         let now = instance_id(&fleet.members, 1);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_fleet_folder_restored_from_an_older_copy_is_a_new_member() {
+fn a_fleet_directory_restored_from_an_older_copy_is_a_new_member() {
     let mut fleet = start_fleet(3, 0);
     let (state, backup) = {
         let state = fleet.members.dispatchers[2].state_dir();
@@ -54,7 +54,7 @@
         status["applied"].as_u64() > Some(40)
     });
     fleet.members.dispatchers[2].kill();
-    fs::remove_dir_all(&state).expect("a folder");
+    fs::remove_dir_all(&state).expect("a directory");
     copy_files(&backup, &state);
     fleet.members.dispatchers[2].start();
     eventually("the new instance as a voter", || {
@@ -68,13 +68,13 @@
 }
 
 #[test]
-fn a_second_process_of_a_fleet_folder_is_not_a_second_member() {
+fn a_second_process_of_a_fleet_directory_is_not_a_second_member() {
     let fleet = start_fleet(1, 0);
     let state = fleet.members.dispatchers[0].state_dir();
     let mut command = fleet.members.dispatchers[0].command();
-    // A separate dispatcher, except that its fleet record is a symbolic link to the same folder.
+    // A separate dispatcher, except that its fleet record is a symbolic link to the same directory.
     let other = state.with_file_name("other");
-    fs::create_dir_all(&other).expect("a folder");
+    fs::create_dir_all(&other).expect("a directory");
     std::os::unix::fs::symlink(state.join("fleet"), other.join("fleet")).expect("a link");
     let mut second = command.env("GW_STATE", &other).spawn().expect("a process");
     let output = std::io::BufReader::new(second.stdout.take().expect("its output"));
--- a/crates/fawnspoke/tests/lab.rs
+++ b/crates/fawnspoke/tests/lab.rs
@@ -42,8 +42,8 @@
         (Some("early"), &["nothing is lost"]),
         (Some("resends"), &["nothing takes effect twice"]),
         (Some("doubles"), &["nothing takes effect twice", "no two attempts at once"]),
-        (Some("impatient"), &["waits are heeded"]),
-        (Some("stubborn"), &["drains are kept"]),
+        (Some("impatient"), &["Retry-After is honoured"]),
+        (Some("stubborn"), &["draining endpoints get no new calls"]),
     ];
     let run_case = |(fault, rules): (Option<&str>, &[&str])| {
         let arguments: Vec<&str> = fault.into_iter().flat_map(|fault| ["--broken", fault]).collect();
@@ -149,7 +149,7 @@
     let output = run_program(&["lab", "run", &short]);
     let report = output_text(&output);
     assert_eq!(output.status.code(), Some(0), "{report}");
-    assert!(report.contains("no yes in time: 0; old ones that stayed too long: 0"), "{report}");
+    assert!(report.contains("not ready in time: 0; old processes that exited too late: 0"), "{report}");
     let count =
         report.lines().find_map(|line| line.split_once(" upgrades, with kills")?.0.parse::<u32>().ok());
     assert!(count.is_some_and(|count| count >= 10), "{report}");
--- a/crates/fawnspoke/tests/sockets/clients.rs
+++ b/crates/fawnspoke/tests/sockets/clients.rs
@@ -168,7 +168,7 @@
         assert_eq!(dispatcher.submit("unsafe", "good", 7), 202);
     };
     assert_repeats_are_answered_from_the_record(&dispatcher);
-    // The next process learns it from the records in the journal.
+    // The next process reads it from the records in the journal.
     dispatcher.kill();
     dispatcher.start();
     assert_repeats_are_answered_from_the_record(&dispatcher);
--- a/crates/fawnspoke/tests/sockets/closing.rs
+++ b/crates/fawnspoke/tests/sockets/closing.rs
@@ -54,7 +54,7 @@
 fn dispatcher_with_call_in_flight()
 -> (ManualEndpoint, crate::manual_endpoint::Peer, Platform, Dispatcher, SocketAddr) {
     let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), draining_endpoint(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7), draining_endpoint(8)]);
     let address = free_address();
     dispatcher.config["listen"] = address.to_string().into();
     dispatcher.start();
@@ -122,7 +122,7 @@
 #[test]
 fn silent_connections_are_closed_before_one_in_the_middle_of_a_request() {
     let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.host("e", 7), draining_endpoint(8)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7), draining_endpoint(8)]);
     let address = free_address();
     dispatcher.config["listen"] = address.to_string().into();
     dispatcher.config["limits"]["sockets"] = 64.into();
@@ -144,7 +144,7 @@
     const RETRY_AFTER: Duration = Duration::from_millis(2500);
     for closes in [false, true] {
         let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-        let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7)]);
+        let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7)]);
         assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
         let mut peer = endpoint.accept();
         assert!(peer.read_request().is_some());
--- a/crates/fawnspoke/tests/sockets/limits.rs
+++ b/crates/fawnspoke/tests/sockets/limits.rs
@@ -70,7 +70,7 @@
     send_messages(&dispatcher, "m", 7);
     eventually("some calls", || endpoint.requests().len() >= 10);
     let requests = endpoint.requests();
-    // Holds until the dispatcher has learned that reused connections break at this endpoint.
+    // Holds until the dispatcher has detected that reused connections break at this endpoint.
     for lost in [2, 4, 6] {
         assert!(requests[..lost].iter().any(|s| s.connection == requests[lost].connection));
         let gap = requests[lost + 1].received_at - requests[lost].received_at;
--- a/crates/fawnspoke/tests/sockets/machine_faults.rs
+++ b/crates/fawnspoke/tests/sockets/machine_faults.rs
@@ -138,13 +138,13 @@
 #[test]
 fn a_wall_clock_step_back_does_not_extend_the_repeat_window() {
     for seconds in [-3600, -2, 0] {
-        let (gated, platform) = (ManualEndpoint::start(), Platform::start());
-        let mut dispatcher = Dispatcher::new(&platform, &[gated.host("e", 7)]);
+        let (manual_endpoint, platform) = (ManualEndpoint::start(), Platform::start());
+        let mut dispatcher = Dispatcher::new(&platform, &[manual_endpoint.list_entry("e", 7)]);
         dispatcher.config["settings"]["grades"][1]["repeat_window"] = 3.0.into();
         let faults = FaultInjector::attach(&mut dispatcher);
         dispatcher.start();
         assert_eq!(dispatcher.submit("keyed", "m1", 7), 202);
-        let mut peer = gated.accept();
+        let mut peer = manual_endpoint.accept();
         assert!(peer.read_request().is_some());
         let called_at = Instant::now();
         dispatcher.kill();
@@ -152,7 +152,7 @@
         eventually("the end of the repeat window", || called_at.elapsed() > Duration::from_secs(3));
         dispatcher.start();
         eventually("a notice or a repeated call", || {
-            !platform.outcomes("m1").is_empty() || !has_no_connection(&gated)
+            !platform.outcomes("m1").is_empty() || !has_no_connection(&manual_endpoint)
         });
         assert_eq!(
             platform.outcomes("m1"),
@@ -163,8 +163,8 @@
 }
 
 /// Whether no connection waits at the endpoint.
-fn has_no_connection(gated: &ManualEndpoint) -> bool {
-    gated.accept_within(Duration::ZERO).is_none()
+fn has_no_connection(manual_endpoint: &ManualEndpoint) -> bool {
+    manual_endpoint.accept_within(Duration::ZERO).is_none()
 }
 
 /// The wall clock is stepped forward and back while the dispatcher serves: no message ends early or late.
--- a/crates/fawnspoke/tests/sockets/main.rs
+++ b/crates/fawnspoke/tests/sockets/main.rs
@@ -214,8 +214,8 @@
     let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
     assert_eq!(dispatcher.submit("unsafe", "m1", 7), 202);
     eventually("the first notice", || platform.outcomes("m1") == ["given_up"]);
-    // Three notices are lost, the first of them on the kept connection.
-    platform.set(|mood| mood.unanswered_notices = 3);
+    // Three notices are lost, the first of them on the reused connection.
+    platform.set(|behavior| behavior.unanswered_notices = 3);
     let started_at = std::time::Instant::now();
     assert_eq!(dispatcher.submit("unsafe", "m2", 7), 202);
     eventually("the second notice", || platform.outcomes("m2") == ["given_up"]);
@@ -268,7 +268,7 @@
     let mut bytes = fs::read(dispatcher.last_segment()).unwrap();
     bytes.truncate(bytes.len() - 3);
     fs::write(dispatcher.last_segment(), bytes).unwrap();
-    // A partially written replacement file is not taken for a journal.
+    // A partially written replacement file is not mistaken for a journal.
     fs::write(dispatcher.state_dir().join("journal.next"), b"half").unwrap();
     let endpoint = Endpoint::start(|_, _| ok());
     dispatcher.config["known"]["hosts"] =
@@ -500,7 +500,7 @@
     assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
     eventually("the rejected call", || endpoint.requests().len() == 1);
     assert_eq!(dispatcher.submit("safe", "m2", 7), 202);
-    eventually("both calls after the wait", || endpoint.requests().len() == 3);
+    eventually("both calls after the Retry-After", || endpoint.requests().len() == 3);
     let requests = endpoint.requests();
     assert!(requests[1].received_at - requests[0].received_at >= Duration::from_millis(1250));
 }
@@ -558,7 +558,7 @@
 #[test]
 fn a_live_subscription_is_not_renewed() {
     let (endpoint, platform) = (Endpoint::start(|_, _| ok()), Platform::start());
-    platform.set(|mood| mood.heartbeats = true);
+    platform.set(|behavior| behavior.heartbeats = true);
     let mut dispatcher = Dispatcher::new(&platform, &[endpoint.list_entry("e", 7, "up")]);
     dispatcher.config["settings"]["discovery"] = "subscribe".into();
     dispatcher.config["settings"]["safety"]["must_ask_in"] = 6.0.into();
@@ -592,7 +592,7 @@
     assert_eq!(kept_client.submit("unsafe", "m1", 7, 15_000, b"x").status(), 202);
     eventually("the call", || endpoint.requests().len() == 1);
     dispatcher.signal("TERM");
-    // Requests on a kept and on a new connection are still answered, with `Connection: close`.
+    // Requests on an open and on a new connection are still answered, with `Connection: close`.
     eventually("the shutdown", || {
         let mut probe = dispatcher.connect();
         probe.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/crates/fawnspoke/tests/sockets/manual_endpoint.rs
+++ b/crates/fawnspoke/tests/sockets/manual_endpoint.rs
@@ -103,7 +103,7 @@
     }
 
     /// The entry of this endpoint in discovery's list.
-    pub fn host(&self, name: &str, destination: u32) -> Value {
+    pub fn list_entry(&self, name: &str, destination: u32) -> Value {
         list_entry(name, self.address, destination, "single", "up")
     }
 }
--- a/crates/fawnspoke/tests/sockets/races.rs
+++ b/crates/fawnspoke/tests/sockets/races.rs
@@ -11,7 +11,8 @@
     const RETRY_AFTER: Duration = Duration::from_millis(3900);
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
+    let mut dispatcher =
+        Dispatcher::new(&platform, &[slow.list_entry("slow", 7), quick.list_entry("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
     assert_eq!(dispatcher.submit("safe", "m1", 7), 202);
@@ -42,7 +43,8 @@
 fn a_connection_pooled_without_use_counts_as_idle() {
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7), quick.host("quick", 7)]);
+    let mut dispatcher =
+        Dispatcher::new(&platform, &[slow.list_entry("slow", 7), quick.list_entry("quick", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
     let mut client = dispatcher.connect();
@@ -56,7 +58,7 @@
     assert!(peer.read_request().is_none(), "the dispatcher has read the response and closes");
     slow.accept_connects();
     let mut pooled = slow.accept();
-    let mut draining = quick.host("quick", 7);
+    let mut draining = quick.list_entry("quick", 7);
     draining["health"] = "draining".into();
     platform.push_changes(2, &[draining]);
     // Both messages expire before the Retry-After is over; only the unsafe message remains after it.
@@ -77,7 +79,7 @@
 fn a_keyed_message_is_not_repeated_if_its_window_ends_while_connecting() {
     let (quick, mut slow) = (ManualEndpoint::start(), ManualEndpoint::with_full_backlog());
     let platform = Platform::start();
-    let mut dispatcher = Dispatcher::new(&platform, &[quick.host("quick", 7)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[quick.list_entry("quick", 7)]);
     dispatcher.config["settings"]["grades"][1]["repeat_window"] = 2.25.into();
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
@@ -86,9 +88,9 @@
     assert!(peer.read_request().is_some());
     let called_at = Instant::now();
     // The next attempt can only go to the slow endpoint.
-    let mut draining = quick.host("quick", 7);
+    let mut draining = quick.list_entry("quick", 7);
     draining["health"] = "draining".into();
-    platform.push_changes(2, &[draining, slow.host("slow", 7), draining_endpoint(8)]);
+    platform.push_changes(2, &[draining, slow.list_entry("slow", 7), draining_endpoint(8)]);
     dispatcher.submit_once_listed("safe", "other", 8);
     // The retry starts within the repeat window, which ends 2 s after the first call; a SYN is repeated after 1 s.
     eventually("the time before the retry", || called_at.elapsed() > Duration::from_millis(1400));
@@ -106,7 +108,7 @@
 
 /// A client closes its sending side (half-close) behind a request before the dispatcher reads that request.
 #[test]
-fn a_half_closed_client_is_told_that_its_message_was_rejected() {
+fn a_half_closed_client_receives_the_rejection_of_its_message() {
     let endpoint = Endpoint::start(|_, _| Reply::status(200));
     let platform = Platform::start();
     let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7, "up")]);
@@ -131,7 +133,8 @@
     const TIMEOUT: Duration = Duration::from_millis(1500);
     let (stalling, silent) = (ManualEndpoint::start(), ManualEndpoint::start());
     let platform = Platform::start();
-    let dispatcher = Dispatcher::started(&platform, &[stalling.host("a", 7), silent.host("b", 8)]);
+    let dispatcher =
+        Dispatcher::started(&platform, &[stalling.list_entry("a", 7), silent.list_entry("b", 8)]);
     let mut client = dispatcher.connect();
     let sent_at = Instant::now();
     for (id, destination) in [("stalls", 7), ("silent", 8)] {
@@ -164,7 +167,7 @@
 #[test]
 fn a_kill_while_connecting_leaves_the_message_unattempted() {
     let (slow, platform) = (ManualEndpoint::with_full_backlog(), Platform::start());
-    let mut dispatcher = Dispatcher::new(&platform, &[slow.host("slow", 7)]);
+    let mut dispatcher = Dispatcher::new(&platform, &[slow.list_entry("slow", 7)]);
     dispatcher.config["settings"]["limits"]["connect_timeout"] = 10.0.into();
     dispatcher.start();
     assert_eq!(dispatcher.submit("unsafe", "u", 7), 202);
--- a/crates/fawnspoke/tests/sockets/shutdown.rs
+++ b/crates/fawnspoke/tests/sockets/shutdown.rs
@@ -8,7 +8,7 @@
 /// endpoint.
 fn with_call_in_flight() -> (ManualEndpoint, Peer, Platform, Dispatcher) {
     let (endpoint, platform) = (ManualEndpoint::start(), Platform::start());
-    let dispatcher = Dispatcher::started(&platform, &[endpoint.host("e", 7), draining_endpoint(8)]);
+    let dispatcher = Dispatcher::started(&platform, &[endpoint.list_entry("e", 7), draining_endpoint(8)]);
     assert_eq!(dispatcher.submit("safe", "in-flight", 7), 202);
     let mut peer = endpoint.accept();
     assert!(peer.read_request().is_some());
@@ -119,7 +119,7 @@
         assert_eq!(dispatcher.submit("safe", &format!("recovered{number}"), 7), 202);
     }
     dispatcher.kill();
-    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.host("e", 7)]);
+    dispatcher.config["known"]["hosts"] = serde_json::json!([endpoint.list_entry("e", 7)]);
     dispatcher.start();
     let mut peer = endpoint.accept();
     let mut calls = vec![peer.read_request().expect("the first call")];
--- a/crates/fawnspoke/tests/sockets/soak.rs
+++ b/crates/fawnspoke/tests/sockets/soak.rs
@@ -26,10 +26,10 @@
 const READY_GRACE: Duration = Duration::from_millis(1550);
 /// Repeat window of keyed messages, and the tolerance added to time limits because of the sockets' latency.
 const KEY_WINDOW_SECONDS: f64 = 4.0;
-const SLACK: Duration = Duration::from_millis(50);
+const TOLERANCE: Duration = Duration::from_millis(50);
 /// Calls that start within this time after a Retry-After answer may have been under way already.
 const RETRY_AFTER_GRACE: Duration = Duration::from_millis(150);
-/// How long the process is stopped at a time.
+/// How long each SIGSTOP lasts.
 const STALL: Duration = Duration::from_millis(150);
 /// The endpoint that is draining for a while in each run of the process, and how long calls may still arrive there.
 const DRAINING_ENDPOINT: u32 = 2;
@@ -384,7 +384,7 @@
                 call.id
             ));
         }
-        let window = Duration::from_secs_f64(KEY_WINDOW_SECONDS) + SLACK;
+        let window = Duration::from_secs_f64(KEY_WINDOW_SECONDS) + TOLERANCE;
         if call.id.starts_with('k') && earlier().next().is_some_and(|first| call.at - first.at > window) {
             observations
                 .report_violation(format!("{}: duplicate: called again after its key had expired", call.id));
@@ -402,7 +402,7 @@
             let elapsed = other.at.saturating_duration_since(call.at);
             other.destination == call.destination
                 && elapsed > retry_after_grace
-                && elapsed + SLACK < retry_after
+                && elapsed + TOLERANCE < retry_after
         };
         // A restart ends the wait.
         let restarted = |other: &ReceivedCall| {
--- a/crates/lab/src/auditor.rs
+++ b/crates/lab/src/auditor.rs
@@ -20,8 +20,8 @@
 const MIN_TIME_LEFT: Micros = 500_000;
 /// With fewer recovered messages than this, a majority that was never called may be chance.
 const MIN_RECOVERED: u64 = 10;
-/// Breaches that are kept with their text; further ones are only counted.
-const MAX_BREACHES_KEPT: usize = 200;
+/// Maximum number of violations that are recorded with their text; further ones are only counted.
+const MAX_RECORDED_VIOLATIONS: usize = 200;
 
 /// The six rules, and what every record must satisfy besides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -38,13 +38,13 @@
     Drain,
     /// A destination that recovers cold is not overloaded.
     ColdStart,
-    /// Messages with the same order key are delivered in order, where their class asks for it.
+    /// Messages with the same order key are delivered in order, where their class requires it.
     Order,
     /// A Retry-After is honoured.
     RetryAfter,
     /// A message goes to its own destination, unchanged.
     Altered,
-    /// No process ends without having been told to.
+    /// No process ends unless it was asked to.
     Crash,
     /// Accepted messages that a restart recovers before their first attempt are still attempted.
     NeverCalled,
@@ -57,20 +57,20 @@
             Rule::SingleAnswer => "one final answer",
             Rule::Duplicate => "nothing takes effect twice",
             Rule::ConcurrentAttempts => "no two attempts at once",
-            Rule::Drain => "drains are kept",
-            Rule::ColdStart => "a returning destination is not pushed over",
+            Rule::Drain => "draining endpoints get no new calls",
+            Rule::ColdStart => "a recovering destination is not overloaded",
             Rule::Order => "order is kept",
-            Rule::RetryAfter => "waits are heeded",
+            Rule::RetryAfter => "Retry-After is honoured",
             Rule::Altered => "messages go unchanged to their own destination",
             Rule::Crash => "no dispatcher crashes",
-            Rule::NeverCalled => "what a restart finds untried is tried",
+            Rule::NeverCalled => "messages recovered before their first attempt are attempted",
         })
     }
 }
 
-/// One breach of a rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// The message, destination, endpoint or dispatcher concerned.
@@ -81,7 +81,7 @@
     pub at: Micros,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:9.3}  {}  {}: {}", seconds(self.at), self.rule, self.subject, self.text)
     }
@@ -106,11 +106,11 @@
     pub rejected: u64,
     /// The client read no response, or one that neither accepts nor rejects.
     pub unanswered: u64,
-    /// Lost, in breach of the rule.
+    /// Lost, which violates the rule.
     pub lost: u64,
     /// Took effect twice because of the dispatchers, though the class forbids it.
     pub duplicated: u64,
-    /// Took effect under two ids because the client submitted the message twice: no breach.
+    /// Took effect under two ids because the client submitted the message twice: not a violation.
     pub duplicated_by_clients: u64,
     /// Accepted submissions that a restarted process recovered without a call so far, with time left once it was ready.
     pub recovered: u64,
@@ -123,10 +123,10 @@
 /// The result of an audit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// The breaches by time, up to a maximum number.
-    pub breaches: Vec<Breach>,
-    /// The number of breaches of each rule.
-    pub breach_counts: BTreeMap<Rule, u64>,
+    /// The violations by time, up to a maximum number.
+    pub violations: Vec<Violation>,
+    /// The number of violations of each rule.
+    pub violation_counts: BTreeMap<Rule, u64>,
     /// Counts by class.
     pub classes: BTreeMap<String, ClassCounts>,
     /// Calls that endpoints received.
@@ -138,9 +138,9 @@
 }
 
 impl Verdict {
-    /// Whether there was no breach.
+    /// Whether there was no violation.
     pub fn is_clean(&self) -> bool {
-        self.breach_counts.is_empty()
+        self.violation_counts.is_empty()
     }
 }
 
@@ -213,7 +213,7 @@
     informed_dispatchers: HashSet<usize>,
     /// Calls and probes since the recovery: when, and from which dispatcher.
     arrivals: Vec<(Micros, usize)>,
-    breach_reported: bool,
+    violation_reported: bool,
 }
 
 #[derive(Default)]
@@ -226,7 +226,7 @@
     processes: BTreeMap<usize, ProcessHistory>,
     /// When a dispatcher was informed that an endpoint is draining or removed.
     informed_of_drain: HashMap<(usize, String), Micros>,
-    /// Changes of the list, which all dispatchers have to know after some time unless the platform was silent.
+    /// Changes of the list, which all dispatchers have to apply after some time unless the platform was silent.
     list_changes: Vec<(Micros, String, EndpointState)>,
     silent: bool,
     silences: Vec<(Micros, Option<Micros>)>,
@@ -252,9 +252,9 @@
 
 impl Audit {
     fn report(&mut self, rule: Rule, subject: impl Into<String>, at: Micros, text: String) {
-        *self.verdict.breach_counts.entry(rule).or_default() += 1;
-        if self.verdict.breaches.len() < MAX_BREACHES_KEPT {
-            self.verdict.breaches.push(Breach { rule, subject: subject.into(), text, at });
+        *self.verdict.violation_counts.entry(rule).or_default() += 1;
+        if self.verdict.violations.len() < MAX_RECORDED_VIOLATIONS {
+            self.verdict.violations.push(Violation { rule, subject: subject.into(), text, at });
         }
     }
 
@@ -311,7 +311,7 @@
                     refuses_connections: *refuses_connections,
                     informed_dispatchers: HashSet::new(),
                     arrivals: Vec::new(),
-                    breach_reported: false,
+                    violation_reported: false,
                 };
                 self.outages.entry(*destination).or_default().push(outage);
             }
@@ -357,7 +357,7 @@
             Event::SignalSent { dispatcher, signal } => {
                 let history = self.processes.entry(*dispatcher).or_default();
                 match signal {
-                    // A process that is told to stop and then killed counts as one restart.
+                    // A process that is asked to stop and then killed counts as one restart.
                     ProcessSignal::Kill | ProcessSignal::Term => {
                         if history.restarts.last().is_none_or(|last| last.1.is_some()) {
                             history.restarts.push((at, None));
@@ -378,7 +378,7 @@
             }
             Event::ProcessExited { dispatcher, expected } => {
                 if !expected {
-                    let text = "its process ended without having been told to".to_string();
+                    let text = "its process ended although it had not been asked to stop".to_string();
                     self.report(Rule::Crash, format!("dispatcher {dispatcher}"), at, text);
                 }
             }
@@ -404,7 +404,7 @@
         };
         let class = self.rules.classes.iter().position(|known| known.name == *class).unwrap_or(usize::MAX);
         if let Some(message) = self.messages.get_mut(id) {
-            // The client submits again on a new connection because the kept one was closed at that moment.
+            // The client submits again on a new connection because the reused one was closed at that moment.
             (message.submitted_at, message.new_connection) = (at, *new_connection);
             return;
         }
@@ -458,7 +458,7 @@
         let killed = self.processes.get(&dispatcher).is_some_and(|history| {
             history.kills.iter().any(|kill| *kill + tolerance >= submitted_at && *kill <= at + tolerance)
         });
-        // A kept connection may be closed while the request is in flight; the client then sends it again.
+        // A reused connection may be closed while the request is in flight; the client then sends it again.
         if new_connection && !killed {
             let text = format!(
                 "submitted at {:.3} on a new connection, which dispatcher {dispatcher} closed without a response",
@@ -471,7 +471,7 @@
     fn check_drain(&mut self, dispatcher: usize, endpoint: &str, first_byte_at: Micros) {
         let grace = self.rules.drain_grace + self.rules.tolerance;
         let informed_at = self.informed_of_drain.get(&(dispatcher, endpoint.to_string())).copied();
-        // The dispatcher has to know of a change after the maximum delay, unless the platform was silent in between.
+        // The dispatcher has to apply a change after the maximum delay, unless the platform was silent in between.
         let known_by =
             self.list_changes.iter().rev().find(|(_, changed, _)| changed == endpoint).and_then(|change| {
                 let due = change.0 + self.rules.max_update_delay;
@@ -534,7 +534,7 @@
         };
         let Some(outage) = self.outages.get_mut(&destination).and_then(|all| all.last_mut()) else { return };
         let Some(recovered_at) = outage.recovered_at else { return };
-        if at > recovered_at + rules.warm_up || outage.breach_reported {
+        if at > recovered_at + rules.warm_up || outage.violation_reported {
             return;
         }
         outage.arrivals.push((at, dispatcher));
@@ -554,7 +554,7 @@
             .filter(|(_, dispatcher)| outage.informed_dispatchers.contains(dispatcher))
             .count();
         if call_count as f64 > budget && 3 * informed_count >= 2 * call_count {
-            outage.breach_reported = true;
+            outage.violation_reported = true;
             let text = format!(
                 "recovered at {:.3}, it got {call_count} calls from {:.3} to {:.3}, {informed_count} of them from dispatchers \
                  that had observed its outage; the budget for this window is {budget:.1}",
@@ -584,22 +584,22 @@
         };
         let (effect, key_window) = self.effect_of(message);
         let tolerance = self.rules.tolerance;
-        let mut breaches = Vec::new();
+        let mut violations = Vec::new();
         if destination != message.destination {
             let text = format!(
                 "for destination {}, sent to {endpoint} of {destination} in call {call}",
                 message.destination
             );
-            breaches.push((Rule::Altered, text));
+            violations.push((Rule::Altered, text));
         }
         if item.key != message.key || item.body_digest != message.body_digest {
-            breaches
+            violations
                 .push((Rule::Altered, format!("its key or body was changed in call {call} to {endpoint}")));
         }
         if let Some((answered_at, status @ (429 | 503))) = message.response {
             let text =
                 format!("rejected with {status} at {:.3}, but sent in call {call}", seconds(answered_at));
-            breaches.push((Rule::SingleAnswer, text));
+            violations.push((Rule::SingleAnswer, text));
         }
         if let Some((noticed_at, outcome, _)) = message
             .notices
@@ -608,7 +608,7 @@
         {
             let text =
                 format!("ended by {outcome:?} at {:.3}, but sent in call {call}", seconds(*noticed_at));
-            breaches.push((Rule::SingleAnswer, text));
+            violations.push((Rule::SingleAnswer, text));
         }
         if let Some(may_have_run_at) = message.may_have_run_at {
             match effect {
@@ -617,7 +617,7 @@
                         "must not be repeated and may have run at {:.3}, but was sent again in call {call} to {endpoint}",
                         seconds(may_have_run_at)
                     );
-                    breaches.push((Rule::Duplicate, text));
+                    violations.push((Rule::Duplicate, text));
                 }
                 Effect::Keyed if at > may_have_run_at + key_window + tolerance => {
                     let text = format!(
@@ -625,13 +625,13 @@
                         seconds(key_window),
                         seconds(may_have_run_at)
                     );
-                    breaches.push((Rule::Duplicate, text));
+                    violations.push((Rule::Duplicate, text));
                 }
                 Effect::Keyed | Effect::Safe => {}
             }
         }
-        let duplicated = breaches.iter().any(|(rule, _)| *rule == Rule::Duplicate);
-        for (rule, text) in breaches {
+        let duplicated = violations.iter().any(|(rule, _)| *rule == Rule::Duplicate);
+        for (rule, text) in violations {
             self.report(rule, &item.id, at, text);
         }
         self.check_order(at, call, &item.id);
@@ -848,7 +848,7 @@
         }
         self.count_classes(&lost);
         self.check_never_called();
-        self.verdict.breaches.sort_by_key(|breach| breach.at);
+        self.verdict.violations.sort_by_key(|violation| violation.at);
     }
 
     /// Whether a process that started later recovered the accepted message before its first call, with time left.
--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -156,7 +156,7 @@
         let Ok((mut stream, _)) = listener.accept().await else { return };
         let stats = stats.clone();
         tokio::spawn(async move {
-            // Failure is harmless: the connection is only slower.
+            // A failure only makes the connection slower.
             let _ = stream.set_nodelay(true);
             let (mut buffer, mut responses) = (Vec::with_capacity(16 * 1024), Vec::new());
             while stream.read_buf(&mut buffer).await.is_ok_and(|read| read > 0) {
--- a/crates/lab/src/blocking.rs
+++ b/crates/lab/src/blocking.rs
@@ -23,7 +23,7 @@
 
 /// Timeout of every wait; much longer than any of them takes.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Most entries of a test's record.
+/// Maximum number of entries of a test's record.
 const MAX_RECORD_ENTRIES: usize = 100_000;
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -226,7 +226,7 @@
     list_entry("held", SocketAddr::from(([127, 0, 0, 9], 9)), destination, "single", "draining")
 }
 
-/// Discovery, and the receiver of notices. It sends only what a test tells it to send.
+/// Discovery, and the receiver of notices. It sends only what a test requests.
 pub struct Platform {
     /// Its address.
     pub address: SocketAddr,
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -189,7 +189,7 @@
         let time_limit = (class.deadline_s * 1e6) as Micros;
         while message.submissions < MAX_SUBMISSIONS {
             let deadline = message.first_submitted_at + time_limit;
-            // With less than 50 ms left, a submission is not worth an attempt.
+            // A submission with less than 50 ms left would hardly be delivered in time.
             if self.recorder.now() + 50_000 > deadline {
                 break;
             }
--- a/crates/lab/src/command.rs
+++ b/crates/lab/src/command.rs
@@ -30,9 +30,9 @@
     pub naive_fault: Option<String>,
     /// Program to run as the dispatcher in place of this one.
     pub program: Option<PathBuf>,
-    /// File in which the record is kept.
+    /// File to which the record is written.
     pub record: Option<PathBuf>,
-    /// Directory in which the dispatchers' logs are kept.
+    /// Directory to which the dispatchers' logs are written.
     pub logs: Option<PathBuf>,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Audits a record that an earlier run kept.
+/// Audits a record that an earlier run has written.
 pub fn audit(path: &Path) -> ExitCode {
     match record::load(path) {
         Ok(entries) => {
--- a/crates/lab/src/endpoint.rs
+++ b/crates/lab/src/endpoint.rs
@@ -1,6 +1,6 @@
-//! A stand-in for serve_call endpoint of a partner: reads calls, asks its handler how to respond, and keeps the record.
+//! A stand-in for one endpoint of a partner: reads calls, asks its handler how to respond, and keeps the record.
 //!
-//! An endpoint listens at serve_call address for each dispatcher, and so knows which dispatcher calls. It completes the work
+//! An endpoint listens at a separate address for each dispatcher, and so knows which dispatcher calls. It completes the work
 //! that its handler has chosen even if the dispatcher no longer waits: an abandoned call still runs.
 
 use crate::http::{self, HttpConnection, HttpMessage};
--- a/crates/lab/src/fleet_counters.rs
+++ b/crates/lab/src/fleet_counters.rs
@@ -1,6 +1,6 @@
 //! Sums the traffic counters that the dispatchers of a fleet log in their `counts` lines, by time interval and
-//! destination. Behavior that is harmless at one dispatcher and harmful when all of them do it shows only in
-//! these sums.
+//! destination. Behavior that overloads a destination only when all dispatchers show it at once is
+//! visible only in these sums.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader};
--- a/crates/lab/src/fleet_faults.rs
+++ b/crates/lab/src/fleet_faults.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// The relays between members, by caller and callee.
+/// The relays between members, by dialing and accepting member.
 pub type Relays = BTreeMap<(usize, usize), Relay>;
 
 /// One fault.
@@ -87,17 +87,17 @@
 ) -> io::Result<Relays> {
     let topology = Topology { members: member_dirs.len(), voters: fleet.voters };
     let mut relays = Relays::new();
-    for (caller, callee) in topology.connections() {
+    for (dialer, acceptor) in topology.connections() {
         relays.insert(
-            (caller, callee),
-            Relay::start_async(Arc::new(Mutex::new(Some(listen_address(callee))))).await?,
+            (dialer, acceptor),
+            Relay::start_async(Arc::new(Mutex::new(Some(listen_address(acceptor))))).await?,
         );
     }
     for (member, dir) in member_dirs.iter().enumerate() {
-        let addresses = |callee: usize| {
+        let addresses = |acceptor: usize| {
             (
-                relays.get(&(member, callee)).map_or(listen_address(callee), |relay| relay.address),
-                listen_address(callee),
+                relays.get(&(member, acceptor)).map_or(listen_address(acceptor), |relay| relay.address),
+                listen_address(acceptor),
             )
         };
         if let Some(clock_rate) = fleet.clock_rates.get(member) {
@@ -108,7 +108,7 @@
     Ok(relays)
 }
 
-/// Bootstraps the fleet with the first member as its founder.
+/// Bootstraps the fleet with the first member as its first voter.
 ///
 /// # Errors
 /// What the program reports.
@@ -122,10 +122,10 @@
 
 /// Blocks or unblocks what one member sends to all others and what it receives from them.
 pub fn partition(relays: &Relays, member: usize, outgoing: bool, incoming: bool) {
-    for ((caller, callee), relay) in relays {
-        if *caller == member {
+    for ((dialer, acceptor), relay) in relays {
+        if *dialer == member {
             relay.set(|link| (link.forward_blocked, link.backward_blocked) = (outgoing, incoming));
-        } else if *callee == member {
+        } else if *acceptor == member {
             relay.set(|link| (link.forward_blocked, link.backward_blocked) = (incoming, outgoing));
         }
     }
@@ -133,7 +133,7 @@
 
 /// Delays everything that one member sends and receives, in seconds.
 pub fn set_delay(relays: &Relays, member: usize, delay_s: f64) {
-    let own = relays.iter().filter(|((caller, callee), _)| [caller, callee].contains(&&member));
+    let own = relays.iter().filter(|((dialer, acceptor), _)| [dialer, acceptor].contains(&&member));
     own.for_each(|(_, relay)| relay.set(|link| link.delay_s = delay_s));
 }
 
--- a/crates/lab/src/naive.rs
+++ b/crates/lab/src/naive.rs
@@ -1,5 +1,5 @@
-//! A dispatcher that breaks rules on purpose, to show that the auditor detects the breaches. It represents a quick
-//! implementation: apart from its fault it keeps the rules in the simplest way, with one attempt after the other, no send
+//! A dispatcher that breaks rules on purpose, to show that the auditor detects the violations. It represents a quick
+//! implementation: apart from its fault it keeps the rules in the simplest way, with one attempt at a time, no send
 //! rate control and no record of which endpoints are healthy.
 
 use crate::http::{self, HttpConnection, HttpMessage};
@@ -123,14 +123,15 @@
     let address =
         |key: &str| config[key].as_str().and_then(|at| at.parse().ok()).ok_or_else(|| invalid_setting(key));
     let (listen, discovery): (SocketAddr, SocketAddr) = (address("listen")?, address("discovery")?);
-    let grades = config["settings"]["grades"].as_array().ok_or_else(|| invalid_setting("settings.grades"))?;
+    let classes =
+        config["settings"]["grades"].as_array().ok_or_else(|| invalid_setting("settings.grades"))?;
     let string_of = |value: &Value| value.as_str().unwrap_or_default().to_string();
-    let effects = grades
+    let effects = classes
         .iter()
-        .map(|grade| {
+        .map(|class| {
             (
-                string_of(&grade["name"]),
-                (string_of(&grade["effect"]), grade["repeat_window"].as_f64().unwrap_or(0.0)),
+                string_of(&class["name"]),
+                (string_of(&class["effect"]), class["repeat_window"].as_f64().unwrap_or(0.0)),
             )
         })
         .collect();
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// A repeat does no harm.
+    /// A repeat has no further effect.
     Safe,
     /// The receiver drops a repeat with the same idempotency key, within the class's key window.
     Keyed,
@@ -69,7 +69,7 @@
     /// New calls may go to a draining endpoint for this long after the dispatcher was informed.
     #[serde(rename = "drain")]
     pub drain_grace: Micros,
-    /// The dispatcher has to know of a change of the list after this time at the latest.
+    /// The dispatcher has to apply a change of the list after this time at the latest.
     #[serde(rename = "told_by")]
     pub max_update_delay: Micros,
     /// Calls are tolerated for this long after a Retry-After was sent, and for the tolerance.
@@ -387,7 +387,7 @@
     ProcessExited {
         /// The dispatcher.
         dispatcher: usize,
-        /// It had been told to exit, and its exit code was 0 or it was killed on purpose.
+        /// It had been asked to exit, and its exit code was 0 or it was killed on purpose.
         #[serde(rename = "asked")]
         expected: bool,
     },
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -18,9 +18,9 @@
 /// The faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// Whether data from the connecting side is held back.
+    /// Whether data from the connecting side is blocked.
     pub forward_blocked: bool,
-    /// Whether data from the accepting side is held back.
+    /// Whether data from the accepting side is blocked.
     pub backward_blocked: bool,
     /// Delay of each chunk of data, in seconds.
     pub delay_s: f64,
--- a/crates/lab/src/runner.rs
+++ b/crates/lab/src/runner.rs
@@ -26,7 +26,7 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Most entries of a record; a run of the largest allowed scenario stays below it.
+/// Maximum number of entries of a record; a run of the largest allowed scenario stays below it.
 const MAX_RECORD_ENTRIES: usize = 8_000_000;
 /// Shortest time between SIGTERM and SIGKILL (protocol page, "Figures").
 const KILL_AFTER: Duration = Duration::from_millis(3700);
@@ -346,7 +346,7 @@
             // Each partner has an address of its own; its endpoints differ by port.
             let addresses = vec![network.at(20 + (i % 200) as u8, 0); dispatcher_count];
             let name = format!("{}-{endpoint_index}", partner_spec.name);
-            let traits = ConnectionLimits {
+            let connection_limits = ConnectionLimits {
                 idle_timeout: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
                 max_connections: partner_spec.max_connections,
             };
@@ -355,7 +355,7 @@
                 &name,
                 destination,
                 &addresses,
-                traits,
+                connection_limits,
                 endpoint_script,
                 recorder.clone(),
                 next_call_number.clone(),
@@ -562,12 +562,12 @@
                 let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(mut host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
-                host.state = EndpointState::Draining;
-                self.platform.update_entry(host.clone());
+                let Some(mut list_entry) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                list_entry.state = EndpointState::Draining;
+                self.platform.update_entry(list_entry.clone());
                 sleep(duration).await;
-                host.state = EndpointState::Removed;
-                self.platform.update_entry(host);
+                list_entry.state = EndpointState::Removed;
+                self.platform.update_entry(list_entry);
                 // A removed endpoint still accepts calls for the grace period of the rules;
                 // then a new one replaces it.
                 sleep(Duration::from_millis(1500)).await;
@@ -577,8 +577,8 @@
                 let Some(endpoint) = self.endpoints(fault.target).get(fault.endpoint).cloned() else {
                     return Ok(());
                 };
-                let Some(host) = self.platform.entry(endpoint.name()) else { return Ok(()) };
-                self.platform.update_entry(EndpointEntry { state: EndpointState::Removed, ..host });
+                let Some(list_entry) = self.platform.entry(endpoint.name()) else { return Ok(()) };
+                self.platform.update_entry(EndpointEntry { state: EndpointState::Removed, ..list_entry });
                 self.replace_endpoint(fault, endpoint).await
             }
             FaultKind::PlatformSilent => {
@@ -700,7 +700,7 @@
         let number = self.replacement_count.fetch_add(1, Ordering::SeqCst);
         let name = format!("{}-{}-new{number}", partner_spec.name, fault.endpoint);
         let partner = &self.partners[fault.target];
-        let traits = ConnectionLimits {
+        let connection_limits = ConnectionLimits {
             idle_timeout: Some(Duration::from_secs_f64(partner_spec.idle_timeout_s)),
             max_connections: partner_spec.max_connections,
         };
@@ -710,7 +710,7 @@
             &name,
             partner.destination(),
             &addresses,
-            traits,
+            connection_limits,
             endpoint_script,
             recorder,
             next_call_number,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -6,7 +6,7 @@
 
 /// Longest run in seconds; it bounds every loop of the lab.
 const MAX_DURATION_S: f64 = 600.0;
-/// Most messages of a run, computed from its rate and duration.
+/// Maximum number of messages of a run, computed from its rate and duration.
 const MAX_MESSAGES: f64 = 500_000.0;
 
 /// The settings of one lab run.
@@ -189,7 +189,7 @@
     #[serde(default = "default_failure_detection_ms")]
     #[serde(rename = "notice_ms")]
     pub failure_detection_ms: [u64; 2],
-    /// Most idle connections kept to one dispatcher.
+    /// Maximum number of idle connections to one dispatcher.
     #[serde(default = "default_client_connections")]
     #[serde(rename = "connections")]
     pub max_connections: usize,
@@ -309,7 +309,7 @@
     #[serde(default)]
     #[serde(rename = "tells_wait")]
     pub sends_retry_after: bool,
-    /// Most messages in one call.
+    /// Maximum number of messages in one call.
     #[serde(default = "default_max_batch")]
     #[serde(rename = "batch")]
     pub max_batch: usize,
@@ -401,7 +401,7 @@
     Replace,
     /// Discovery does not respond.
     PlatformSilent,
-    /// Discovery's messages are cut in the middle of a line.
+    /// Discovery's messages are truncated in the middle of a line.
     PlatformTorn,
     /// Discovery reports changes `factor` seconds late.
     PlatformLate,
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -3,8 +3,8 @@
 use crate::auditor::{ClassCounts, Verdict};
 use std::fmt::Write;
 
-/// Maximum number of rule breaches that are printed; the others are only counted.
-const MAX_PRINTED_BREACHES: usize = 20;
+/// Maximum number of rule violations that are printed; the others are only counted.
+const MAX_PRINTED_VIOLATIONS: usize = 20;
 
 /// Quantile of sorted times in microseconds, in milliseconds.
 fn quantile_ms(sorted: &[u64], quantile: f64) -> f64 {
@@ -105,21 +105,21 @@
     std::iter::once(name.to_string()).chain(counts.map(|n| n.to_string())).chain(quantiles).collect()
 }
 
-/// Formats the auditor's verdict: clean, or each broken rule with its count, and the first breaches.
+/// Formats the auditor's verdict: clean, or each violated rule with its count, and the first violations.
 pub fn format_verdict(verdict: &Verdict) -> String {
     if verdict.is_clean() {
         return format!("verdict: clean ({} calls and {} probes seen)\n", verdict.calls, verdict.probes);
     }
     let mut text = String::from("verdict: BROKEN\n");
-    for (rule, count) in &verdict.breach_counts {
+    for (rule, count) in &verdict.violation_counts {
         let _ = writeln!(text, "  {rule}: {count}");
     }
-    for breach in verdict.breaches.iter().take(MAX_PRINTED_BREACHES) {
-        let _ = writeln!(text, "{breach}");
+    for violation in verdict.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        let _ = writeln!(text, "{violation}");
     }
-    let total = verdict.breach_counts.values().sum::<u64>() as usize;
-    if total > MAX_PRINTED_BREACHES {
-        let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_BREACHES);
+    let total = verdict.violation_counts.values().sum::<u64>() as usize;
+    if total > MAX_PRINTED_VIOLATIONS {
+        let _ = writeln!(text, "... and {} more", total - MAX_PRINTED_VIOLATIONS);
     }
     text
 }
--- a/crates/lab/src/test_fleet.rs
+++ b/crates/lab/src/test_fleet.rs
@@ -81,7 +81,7 @@
         self.dir.join(format!("n{i}.hcl"))
     }
 
-    /// Makes the first member the founder of the fleet.
+    /// Bootstraps the fleet with the first member as its first voter.
     ///
     /// # Errors
     /// What the program reports.
--- a/crates/lab/src/topology.rs
+++ b/crates/lab/src/topology.rs
@@ -17,7 +17,7 @@
         i < self.voters
     }
 
-    /// All pairs (caller, called), as the program connects them: learners connect to voters, and each voter
+    /// All pairs (dialing member, accepting member), as the program connects them: learners connect to voters, and each voter
     /// connects to the voters whose names follow its own.
     pub fn connections(self) -> Vec<(usize, usize)> {
         let connects = |i: usize, j: usize| match (self.is_voter(i), self.is_voter(j)) {
--- a/crates/lab/src/upgrader.rs
+++ b/crates/lab/src/upgrader.rs
@@ -95,7 +95,7 @@
         writeln!(
             f,
             "{} upgrades, with kills of the old process {old}, of the new one {new} (the old one served on in {}), of both \
-             {both}; no yes in time: {}; old ones that stayed too long: {}",
+             {both}; not ready in time: {}; old processes that exited too late: {}",
             self.count, self.old_continued, self.not_ready, self.not_exited
         )?;
         let format_times = |histogram: &Option<Histogram<u64>>, divisor: f64| {
--- a/crates/lab/tests/planted.rs
+++ b/crates/lab/tests/planted.rs
@@ -1,4 +1,4 @@
-//! Records with planted breaches: the auditor must find each and name its rule, and must find nothing in similar records
+//! Records with planted violations: the auditor must find each and name its rule, and must find nothing in similar records
 //! that narrowly keep the rules.
 
 use fawnspoke_lab::auditor::{Rule, Verdict, audit};
@@ -169,8 +169,8 @@
 
 type BuildRecord = fn(&mut RecordBuilder);
 
-/// The planted breach, its rule, and the record.
-const BREACHES: &[(&str, Rule, BuildRecord)] = &[
+/// The planted violation, its rule, and the record.
+const VIOLATIONS: &[(&str, Rule, BuildRecord)] = &[
     ("accepted and forgotten", Rule::Lost, |record| {
         record.accept(S, "safe", "m");
     }),
@@ -681,7 +681,7 @@
             .add(S + 11 * MS, Event::ConnectionLost { id: "m".into() })
             .add(2 * S, Event::ProcessReady { dispatcher: 0 });
     }),
-    ("a kept connection that was closed between requests", |record| {
+    ("a reused connection that was closed between requests", |record| {
         record.submit_at(S, 0, "safe", "m", false).add(S + MS, Event::ConnectionLost { id: "m".into() });
         record.submit_at(S + 2 * MS, 0, "safe", "m", true).answer(S + 9 * MS, "m", 202).deliver(
             2 * S,
@@ -782,16 +782,19 @@
 ];
 
 #[test]
-fn each_planted_breach_is_found_and_named() {
-    assert!(BREACHES.len() >= 40, "{}", BREACHES.len());
-    for (name, rule, build) in BREACHES {
+fn each_planted_violation_is_found_and_named() {
+    assert!(VIOLATIONS.len() >= 40, "{}", VIOLATIONS.len());
+    for (name, rule, build) in VIOLATIONS {
         let mut record = RecordBuilder::new();
         build(&mut record);
         let verdict = record.audit();
-        let rules: Vec<_> = verdict.breach_counts.keys().collect();
-        assert_eq!(rules, [rule], "{name}: {:#?}", verdict.breaches);
-        let breach = &verdict.breaches[0];
-        assert!(!breach.subject.is_empty() && !breach.text.is_empty() && breach.at > 0, "{name}: {breach}");
+        let rules: Vec<_> = verdict.violation_counts.keys().collect();
+        assert_eq!(rules, [rule], "{name}: {:#?}", verdict.violations);
+        let violation = &verdict.violations[0];
+        assert!(
+            !violation.subject.is_empty() && !violation.text.is_empty() && violation.at > 0,
+            "{name}: {violation}"
+        );
         assert!(!verdict.is_clean());
     }
 }
@@ -802,14 +805,14 @@
         let mut record = RecordBuilder::new();
         build(&mut record);
         let verdict = record.audit();
-        assert!(verdict.is_clean(), "{name}: {:#?}", verdict.breaches);
+        assert!(verdict.is_clean(), "{name}: {:#?}", verdict.violations);
     }
 }
 
 #[test]
-fn a_breach_is_found_among_many_clean_messages() {
+fn a_violation_is_found_among_many_clean_messages() {
     for (name, rule, build) in
-        BREACHES.iter().filter(|(_, rule, _)| !matches!(rule, Rule::ColdStart | Rule::RetryAfter))
+        VIOLATIONS.iter().filter(|(_, rule, _)| !matches!(rule, Rule::ColdStart | Rule::RetryAfter))
     {
         let mut record = RecordBuilder::new();
         for i in 0..300 {
@@ -827,7 +830,7 @@
         }
         build(&mut record);
         let verdict = record.audit();
-        assert!(verdict.breach_counts.contains_key(rule), "{name}: {:#?}", verdict.breaches);
+        assert!(verdict.violation_counts.contains_key(rule), "{name}: {:#?}", verdict.violations);
         assert!(verdict.classes["keyed"].delivered >= 300, "{name}");
     }
 }
@@ -857,7 +860,7 @@
     record.submit_at(S, 0, "keyed", "e", true).answer(S, "e", 429);
     let verdict = record.audit();
     let tally = &verdict.classes["keyed"];
-    assert!(verdict.is_clean(), "{:#?}", verdict.breaches);
+    assert!(verdict.is_clean(), "{:#?}", verdict.violations);
     assert_eq!((tally.messages, tally.accepted, tally.delivered, tally.within_target), (5, 4, 2, 1));
     assert_eq!((tally.handed_back, tally.given_up, tally.rejected, tally.unanswered), (1, 1, 1, 0));
     assert_eq!((tally.duplicated, tally.duplicated_by_clients, tally.lost), (0, 1, 0));
@@ -880,7 +883,7 @@
 }
 
 #[test]
-fn recovered_messages_that_are_mostly_never_called_are_a_breach() {
+fn recovered_messages_that_are_mostly_never_called_are_a_violation() {
     // The next process calls `called` of 12 recovered messages and hands the others back with 16 s left.
     let audit_with = |called: usize| {
         let mut record = RecordBuilder::new();
@@ -899,10 +902,10 @@
         record.audit()
     };
     let verdict = audit_with(5);
-    assert_eq!(verdict.breach_counts.get(&Rule::NeverCalled), Some(&1), "{verdict:?}");
+    assert_eq!(verdict.violation_counts.get(&Rule::NeverCalled), Some(&1), "{verdict:?}");
     assert_eq!((verdict.classes["safe"].recovered, verdict.classes["safe"].never_called), (12, 7));
     let verdict = audit_with(6);
-    assert!(verdict.is_clean(), "exactly half is no breach: {verdict:?}");
+    assert!(verdict.is_clean(), "exactly half is not a violation: {verdict:?}");
     assert_eq!((verdict.classes["safe"].recovered, verdict.classes["safe"].never_called), (12, 6));
     // Without a restart no message counts as recovered, whatever is handed back.
     let mut without_restart = RecordBuilder::new();
--- a/crates/lab/tests/scenario.rs
+++ b/crates/lab/tests/scenario.rs
@@ -144,8 +144,8 @@
                 .iter()
                 .filter(|other| targets_partner(other.kind) && targets_partner(event.kind))
             {
-                let apart = other.at + other.duration < event.at || other.target != event.target;
-                assert!(apart, "seed {seed}: {event:?} and {other:?}");
+                let disjoint = other.at + other.duration < event.at || other.target != event.target;
+                assert!(disjoint, "seed {seed}: {event:?} and {other:?}");
             }
         }
     }
