--- a/crates/cluster/src/clock.rs
+++ b/crates/cluster/src/clock.rs
@@ -1,9 +1,9 @@
-//! The machine's boot-time clock, which also counts while the machine sleeps.
+//! The machine's boot-time clock, which also counts while the machine is suspended.
 
 use crate::Seconds;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Seconds since the machine booted, including the time it slept (`CLOCK_BOOTTIME`).
+/// Seconds since the machine booted, including the time for which it was suspended (`CLOCK_BOOTTIME`).
 ///
 /// With the feature `fast-clock`, which is for tests only, the clock runs at the rate given by `FAWNSPOKE_CLOCK_RATE`.
 pub fn now() -> Seconds {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod store;
 pub mod wire;
 
-/// A time or a duration in seconds. Times are read from a clock that also counts while the machine sleeps
+/// A time or a duration in seconds. Times are read from a clock that also counts while the machine is suspended
 /// (`CLOCK_BOOTTIME`).
 pub type Seconds = f64;
 
--- a/crates/duty/tests/schedules.rs
+++ b/crates/duty/tests/schedules.rs
@@ -19,7 +19,7 @@
     let mut violations: Vec<String> =
         double_holders.iter().take(3).map(|holders| format!("two holders: {holders}")).collect();
     let mut first_actions: BTreeMap<(DutyId, u64), (f64, u64)> = BTreeMap::new();
-    // Nobody acts under an epoch after somebody has acted under a later one.
+    // No member acts under an epoch after another has acted under a later one.
     for observation in observations {
         let Observation::Acted { at, member, duty, epoch } = observation else { continue };
         let later = first_actions.range((*duty, epoch + 1)..=(*duty, u64::MAX)).next();
