--- a/crates/control/src/overrides.rs
+++ b/crates/control/src/overrides.rs
@@ -55,10 +55,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
     /// Discovery has never listed this id.
-    #[error("discovery has never listed an endpoint with this id")]
+    #[error("no endpoint of this id was ever listed")]
     NeverListed,
     /// [`MAX_OVERRIDES`] are in force.
-    #[error("128 overrides are in force, the maximum; restore an endpoint first")]
+    #[error("128 orders are in force, the most; call one back first")]
     TooMany,
 }
 
--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -72,28 +72,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The line is empty.
-    #[error("empty line; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
+    #[error("an empty line; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
     Empty,
     /// The line is not UTF-8 or contains control characters.
-    #[error("the request is not plain text")]
+    #[error("not plain text")]
     NotText,
     /// The verb is unknown.
-    #[error("unknown command; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
+    #[error("unknown call; STATUS, METRICS, SUSPEND ID or RESTORE ID expected")]
     UnknownVerb,
     /// The request has more words than its verb takes.
     #[error("too many words")]
     TooManyWords,
     /// The endpoint id is missing.
-    #[error("the endpoint's id is missing")]
+    #[error("an endpoint's id is missing")]
     MissingId,
     /// The id is longer than [`MAX_ID_BYTES`].
-    #[error("the id is longer than 256 bytes")]
+    #[error("an id longer than 256 bytes")]
     IdTooLong,
     /// There is no line end within [`MAX_LINE_BYTES`].
-    #[error("the line is longer than 512 bytes")]
+    #[error("a line longer than 512 bytes")]
     LineTooLong,
     /// The client closed its sending side before the line end. A truncated id could be that of another endpoint.
-    #[error("the line is incomplete")]
+    #[error("the line was cut off")]
     Truncated,
 }
 
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -147,8 +147,8 @@
         };
         self.idle_clients.borrow_mut().retain(|other| !Rc::ptr_eq(other, &disconnect));
         let response = match received {
-            None => failure("too many clients without a complete request"),
-            Some(Err(_)) => failure("no complete line within 2 s"),
+            None => failure("too many callers that say nothing"),
+            Some(Err(_)) => failure("no whole line within 2 s"),
             Some(Ok(request)) => match request? {
                 Ok(request) => self.respond(request).await,
                 Err(error) => failure(error),
@@ -176,13 +176,13 @@
             Request::Fleet => ControlCommand::FleetStatus(reply),
         };
         if self.commands.send(command).is_err() {
-            return failure("this process no longer accepts commands");
+            return failure("this process takes no orders any more");
         }
         match timeout(COMMAND_TIMEOUT, result).await {
             Ok(Ok(Ok(text))) => success(text),
             Ok(Ok(Err(text))) => failure(text),
-            Ok(Err(_)) => failure("this process no longer accepts commands"),
-            Err(_) => failure("not carried out within 0.8 s; it may still be"),
+            Ok(Err(_)) => failure("this process takes no orders any more"),
+            Err(_) => failure("not carried out within 0.8 s; it may be yet"),
         }
     }
 }
--- a/crates/drill/src/host.rs
+++ b/crates/drill/src/host.rs
@@ -65,7 +65,7 @@
             0 => EndpointState::Removed,
             other => {
                 return Err(
-                    reader.error(format!("an endpoint state from 0 to 2 expected before here, got {other}"))
+                    reader.error(format!("a condition from 0 to 2 expected before here, got {other}"))
                 );
             }
         };
@@ -190,8 +190,7 @@
                 let list_id = reader.u16()?;
                 reader.u32()?;
                 let list = || self.endpoint_lists.get(&list_id).cloned();
-                let missing =
-                    || reader.error(format!("an earlier endpoint list with number {list_id} expected"));
+                let missing = || reader.error(format!("a roster numbered {list_id} expected earlier"));
                 match kind {
                     0 => Event::ListUpdate(list().ok_or_else(missing)?),
                     1 | 2 => Event::ListSnapshot(list().ok_or_else(missing)?),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -110,12 +110,12 @@
     let must_save = matches!(result, UpdateResult::Changed(_)) || operator_overrides.unsaved.get();
     let saved = if must_save { operator_overrides.save() } else { Ok(()) };
     let unsaved_text =
-        |error: &io::Error| format!("in force, but not on record yet; a restart would lose it: {error}");
+        |error: &io::Error| format!("in force, but not on record yet, and gone with this process: {error}");
     if let (UpdateResult::Unchanged, Err(error)) = (&result, &saved) {
         return Err(unsaved_text(error));
     }
     match result {
-        UpdateResult::Unchanged if suspend => return Ok(format!("{id} is already out until RESTORE")),
+        UpdateResult::Unchanged if suspend => return Ok(format!("{id} is out already")),
         UpdateResult::Unchanged => return Ok(format!("{id} may serve")),
         UpdateResult::Rejected(rejection) => return Err(rejection.to_string()),
         UpdateResult::Changed(change) => {
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -190,10 +190,7 @@
     if first_request.hello.version != PROTOCOL_VERSION {
         reject_request(
             &first_request.link,
-            &format!(
-                "this process has protocol version {PROTOCOL_VERSION}, the new one has {}",
-                first_request.hello.version
-            ),
+            &format!("version {PROTOCOL_VERSION} of the frames here, {} there", first_request.hello.version),
         )
         .await;
         return HandoverResult::Resumed { stopping };
@@ -489,9 +486,7 @@
                     });
                 }
                 Action::ReportUnusable => {
-                    let frame = ReceiverFrame::StateUnusable(
-                        "it comes from another version of the program, or has other settings".into(),
-                    );
+                    let frame = ReceiverFrame::StateUnusable("another program's, or other settings".into());
                     if let (Some(link), Ok(packet)) = (link.take(), frames::encode(&frame)) {
                         let _ = timeout(PACKET_TIMEOUT, link.send(&packet, None)).await;
                     }
--- a/crates/node/src/requests.rs
+++ b/crates/node/src/requests.rs
@@ -177,7 +177,7 @@
     let unique_headers =
         ["Request-Id", "Request-Class", "Request-Timeout-Ms", "Idempotency-Key", "X-Consignee", "Tenant"];
     if unique_headers.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
-        return Err("a header is repeated");
+        return Err("a header stands twice");
     }
     let header = |name: &str| headers.get(name).map(|value| value.to_str().unwrap_or_default().trim());
     // Ids and keys are separated by blanks in a call with several messages.
@@ -201,7 +201,7 @@
     let timeout_ms = timeout_ms.ok_or("Request-Timeout-Ms: whole milliseconds expected")?;
     // The limits are planned for messages that are queued no longer than their class allows.
     if f64::from(timeout_ms) > (settings.deadline * 1000.0).ceil() {
-        return Err("Request-Timeout-Ms: longer than the deadline of the class");
+        return Err("Request-Timeout-Ms: longer than the class may take");
     }
     let parts = header("X-Consignee").unwrap_or_default().split([',', ';', ' ']);
     let destination =
