--- a/crates/drill/tests/adapter.rs
+++ b/crates/drill/tests/adapter.rs
@@ -157,5 +157,5 @@
 #[test]
 fn the_error_names_a_missing_endpoint_list() {
     let text = rejection(&encode_frame(&[create_instance(SETTINGS), list_update(1, 5)]));
-    assert!(text.contains("endpoint list with number 5"), "{text}");
+    assert!(text.contains("roster numbered 5"), "{text}");
 }
