--- a/crates/control/src/protocol.rs
+++ b/crates/control/src/protocol.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Display;
 
-/// Longest request line without its line end, in bytes. It has room for a verb and an id of [`MAX_ID_BYTES`].
+/// Longest request line without its line end, in bytes. It suffices for a verb and an id of [`MAX_ID_BYTES`].
 pub const MAX_LINE_BYTES: usize = 512;
 /// Longest endpoint id in a request, in bytes.
 pub const MAX_ID_BYTES: usize = 256;
--- a/crates/control/src/server.rs
+++ b/crates/control/src/server.rs
@@ -24,12 +24,13 @@
 pub const MAX_CLIENTS: usize = 16;
 /// Most clients beyond those, while all others have sent their request and are being answered.
 const MAX_ANSWERING_CLIENTS: usize = 16;
-/// How often the server yields to its clients' tasks to get below [`MAX_CLIENTS`] before it accepts one more.
+/// Maximum number of times that the server yields to its clients' tasks to get below [`MAX_CLIENTS`] before it accepts
+/// one more.
 const MAX_YIELDS: usize = 4;
 /// Time limit for receiving a complete request.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time limit for the dispatcher's thread to answer a command. After it the client is told of a failure, although the
-/// command may still be carried out.
+/// Time limit for the dispatcher's thread to answer a command. After it the client gets a failure response, although
+/// the command may still be carried out.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time limit for the client to read the response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
@@ -104,8 +105,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    // Makes room by disconnecting the oldest clients without a complete request. If there are none, all
-                    // clients are being answered and finish soon.
+                    // Disconnects the oldest clients without a complete request, to stay below the limit. If there are
+                    // none, all clients are being answered and finish soon.
                     for _ in 0..MAX_YIELDS {
                         if self.client_count.get() < MAX_CLIENTS {
                             break;
--- a/crates/fawnspoke/src/main.rs
+++ b/crates/fawnspoke/src/main.rs
@@ -138,7 +138,7 @@
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Audit a record kept by an earlier run
+    /// Audit a record written by an earlier run
     Audit {
         /// The record, one JSON object a line
         record: PathBuf,
@@ -274,7 +274,7 @@
     }
     match Cli::parse().command {
         Command::Serve => fawnspoke_node::serve(),
-        Command::Check { file } => print_result(fawnspoke_node::check(&file)),
+        Command::Check { file } => print_result(fawnspoke_node::check_config(&file)),
         Command::Demo { run } => command::demo(&run.into()),
         Command::Lab(LabCommand::Run { scenario, run }) => command::run(&scenario, &run.into()),
         Command::Lab(LabCommand::Script { scenario, seed }) => command::script(&scenario, seed),
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Traffic counters of each destination, logged in one line per second while anything happens: load
-//! that is harmless from one dispatcher shows in the sum over the fleet (`fawnspoke lab fleet`).
+//! Traffic counters of each destination, logged in one line per second unless all are zero. `fawnspoke
+//! lab fleet` adds up the lines of a fleet, to find load that is harmless from one dispatcher alone.
 
 use crate::calls::CallEnd;
 use std::cell::RefCell;
@@ -157,24 +157,28 @@
 
     /// Counts the end of a call.
     pub fn record_call_end(&self, destination: u32, end: &CallEnd) {
-        let delivered = end.ends.iter().filter(|end| end.outcome == Outcome::Served).count() as u64;
-        let last = end.ends.last().map(|end| end.outcome);
+        let delivered = end.message_ends.iter().filter(|end| end.outcome == Outcome::Served).count() as u64;
+        let last = end.message_ends.last().map(|end| end.outcome);
         self.update(destination, |counters| {
             counters.delivered += delivered;
-            if let Some(RateLimitReport { rate, remaining_share: left }) = end.rate_limit_report {
+            if let Some(RateLimitReport { rate, remaining_share }) = end.rate_limit_report {
                 counters.rate_limit = rate as u64;
-                counters.reports += u64::from(left.is_some());
-                counters.remaining_percent_sum += (left.unwrap_or(0.0) * 100.0) as u64;
+                counters.reports += u64::from(remaining_share.is_some());
+                counters.remaining_percent_sum += (remaining_share.unwrap_or(0.0) * 100.0) as u64;
             }
             counters.new_connections +=
                 u64::from(!end.connection_reused && last != Some(Outcome::ConnectFailed));
             match last {
                 Some(Outcome::Overloaded) => {
-                    let left = end.rate_limit_report.and_then(|report| report.remaining_share);
+                    let remaining_share = end.rate_limit_report.and_then(|report| report.remaining_share);
                     counters.overloaded += 1;
-                    counters.limit_exhausted +=
-                        u64::from(left.is_some_and(|left| left < LIMIT_EXHAUSTED_BELOW));
-                    counters.limit_unused += u64::from(left.is_some_and(|left| left >= LIMIT_UNUSED_FROM));
+                    counters.limit_exhausted += u64::from(
+                        remaining_share
+                            .is_some_and(|remaining_share| remaining_share < LIMIT_EXHAUSTED_BELOW),
+                    );
+                    counters.limit_unused += u64::from(
+                        remaining_share.is_some_and(|remaining_share| remaining_share >= LIMIT_UNUSED_FROM),
+                    );
                 }
                 Some(Outcome::ConnectFailed) => counters.connect_failures += 1,
                 Some(Outcome::Served | Outcome::NotSent) | None => {}
